--- a/packages/drain/measure/drain-load.ts
+++ b/packages/drain/measure/drain-load.ts
@@ -20,7 +20,10 @@
 }
 
 const WAYS: Readonly<Record<string, Way>> = {
-  budgets: { budgets: '(budgets (team blue (at-once-share 0.1)) (team green (at-once 4)))', share: 0.1 },
+  budgets: {
+    budgets: '(budgets (team blue (at-once-share 0.1)) (team green (at-once 4)))',
+    share: 0.1,
+  },
   'no-budgets': { budgets: '(budgets)', share: 0.1 },
   'all-at-once': { budgets: '(budgets)', share: 1 },
   'taken-at-once': { budgets: '(budgets)', share: 1, byCloud: true },
@@ -119,7 +122,9 @@
   const delays = buildHistogram({ lowestDiscernibleValue: 1, highestTrackableValue: 3_600_000 });
   for (const [id, submittedAt] of submitted) {
     if (submittedAt < from || id < idOf(2)) continue;
-    const started = cloud.history.find(({ kind, task }) => kind === 'start' && task.startsWith(`${id}/`));
+    const started = cloud.history.find(
+      ({ kind, task }) => kind === 'start' && task.startsWith(`${id}/`),
+    );
     if (started) delays.recordValue(Math.max(1, started.at - submittedAt));
   }
   const most = mostStoppedAtOnce(cloud.history, (task) => teams.get(task.split('/')[0]!) ?? '');
--- a/packages/drain/src/adapters/settings-file.ts
+++ b/packages/drain/src/adapters/settings-file.ts
@@ -39,7 +39,11 @@
 const LONGEST_S = 30 * 86_400;
 
 /** The limits among these forms; `others` gets what is no limit. */
-const readLimits = (forms: Form, where: string, others: (form: Form, name: string) => void): BudgetLimits => {
+const readLimits = (
+  forms: Form,
+  where: string,
+  others: (form: Form, name: string) => void,
+): BudgetLimits => {
   let count: number | null = null;
   let share: number | null = null;
   let window: BudgetLimits['window'] = null;
--- a/packages/drain/src/cli.ts
+++ b/packages/drain/src/cli.ts
@@ -174,9 +174,14 @@
 };
 
 const withTarget = (command: Command): Command =>
-  command.requiredOption('--at <host:port>', 'a controller').option('--json', 'print the answer as JSON');
+  command
+    .requiredOption('--at <host:port>', 'a controller')
+    .option('--json', 'print the answer as JSON');
 
-const collect = (value: string, before: string[] | undefined): string[] => [...(before ?? []), value];
+const collect = (value: string, before: string[] | undefined): string[] => [
+  ...(before ?? []),
+  value,
+];
 
 const withRequest = (command: Command): Command =>
   withTarget(command)
@@ -192,17 +197,22 @@
     .option('--no-replace', 'rent no replacements')
     .option('--deadline <seconds>', 'pause after this long');
 
-const drainPath = (name: string, change = ''): string => `/api/drains/${encodeURIComponent(name)}${change}`;
+const drainPath = (name: string, change = ''): string =>
+  `/api/drains/${encodeURIComponent(name)}${change}`;
 
 /** Adds the commands to the command line. */
 export const addCommands = (program: Command, tools: CommandTools): void => {
   const drain = program.command('drain').description('drain machines in steps');
   const details = (answer: unknown) => detailLines(answer as DrainAnswer);
   withRequest(drain.command('start').description('begin a drain').argument('<name>')).action(
-    (name: string, o: RequestOptions) => ask(tools, o, 'POST', '/api/drains', bodyOf(name, o), details),
+    (name: string, o: RequestOptions) =>
+      ask(tools, o, 'POST', '/api/drains', bodyOf(name, o), details),
   );
-  withRequest(drain.command('plan').description('what a drain would do')).action((o: RequestOptions) =>
-    ask(tools, o, 'POST', '/api/drains/plan', bodyOf(null, o), (answer) => planLines(answer as PlanAnswer)),
+  withRequest(drain.command('plan').description('what a drain would do')).action(
+    (o: RequestOptions) =>
+      ask(tools, o, 'POST', '/api/drains/plan', bodyOf(null, o), (answer) =>
+        planLines(answer as PlanAnswer),
+      ),
   );
   withTarget(drain.command('list').description('all drains')).action((o: Target) =>
     ask(tools, o, 'GET', '/api/drains', undefined, (answer) =>
@@ -214,12 +224,14 @@
   );
   for (const change of ['pause', 'resume', 'cancel']) {
     withTarget(drain.command(change).description(`${change} a drain`).argument('<name>')).action(
-      (name: string, o: Target) => ask(tools, o, 'POST', drainPath(name, `/${change}`), {}, details),
+      (name: string, o: Target) =>
+        ask(tools, o, 'POST', drainPath(name, `/${change}`), {}, details),
     );
   }
-  withTarget(drain.command('budgets').description('disruption budgets and their use')).action((o: Target) =>
-    ask(tools, o, 'GET', '/api/budgets', undefined, (answer) =>
-      (answer as { budgets: BudgetLine[] }).budgets.map(budgetLine),
-    ),
+  withTarget(drain.command('budgets').description('disruption budgets and their use')).action(
+    (o: Target) =>
+      ask(tools, o, 'GET', '/api/budgets', undefined, (answer) =>
+        (answer as { budgets: BudgetLine[] }).budgets.map(budgetLine),
+      ),
   );
 };
--- a/packages/drain/src/core/budget.ts
+++ b/packages/drain/src/core/budget.ts
@@ -115,10 +115,12 @@
     if (share === null) return count;
     let tasks = 0;
     for (const job of fleet.jobs.values()) {
-      if (job.spec.team === team && (lane === null || job.spec.lane === lane)) tasks += job.held.size;
+      if (job.spec.team === team && (lane === null || job.spec.lane === lane))
+        tasks += job.held.size;
     }
     for (const disruption of this.disruptions.values()) {
-      if (disruption.phase === 'settled' || !covers(scope, disruption.team, disruption.lane)) continue;
+      if (disruption.phase === 'settled' || !covers(scope, disruption.team, disruption.lane))
+        continue;
       if (!fleet.jobs.get(disruption.job)?.held.has(disruption.index)) tasks += 1;
     }
     const byShare = Math.floor(share * tasks);
@@ -217,7 +219,8 @@
   /** Follows what has become of each disruption. */
   update(fleet: FleetView, moment: Moment): void {
     this.blocked.clear();
-    for (const [attempt, until] of this.lapsed) if (until <= moment.now) this.lapsed.delete(attempt);
+    for (const [attempt, until] of this.lapsed)
+      if (until <= moment.now) this.lapsed.delete(attempt);
     for (const disruption of [...this.disruptions.values()]) this.follow(disruption, fleet, moment);
     this.forget(moment);
   }
@@ -232,7 +235,9 @@
     const held = job.held.get(disruption.index) ?? [];
     const stopping = held.find((other) => other.entry.attempt === disruption.attempt);
     if (disruption.phase === 'stopped') {
-      const runs = held.some((other) => other !== stopping && other.phase === 'running' && !other.kill);
+      const runs = held.some(
+        (other) => other !== stopping && other.phase === 'running' && !other.kill,
+      );
       if (runs && !stopping) disruption.phase = 'settled';
       return;
     }
@@ -264,7 +269,8 @@
       for (const { name, limits } of this.scopesOf(disruption.team, disruption.lane)) {
         const { window } = limits;
         const count = kept.get(name) ?? 0;
-        if (!window || disruption.at < timeOfDay - window.seconds * 1000 || count >= window.count) continue;
+        if (!window || disruption.at < timeOfDay - window.seconds * 1000 || count >= window.count)
+          continue;
         kept.set(name, count + 1);
         needed = true;
       }
@@ -280,7 +286,8 @@
     };
     for (const team of fleet.teams.keys()) {
       add(this.scopesOf(team, ''));
-      for (const lane of this.settings.teams.get(team)?.classes.keys() ?? []) add(this.scopesOf(team, lane));
+      for (const lane of this.settings.teams.get(team)?.classes.keys() ?? [])
+        add(this.scopesOf(team, lane));
     }
     return [...scopes.values()].map((scope) => this.use(scope, fleet, moment));
   }
--- a/packages/drain/src/core/drains.ts
+++ b/packages/drain/src/core/drains.ts
@@ -103,7 +103,10 @@
   }
 
   /** Tells each machine of the request which one replaces it. */
-  private onRented(event: Extract<ExtensionEvent, { kind: 'rented' }>, moment: Moment): RecordWrite[] {
+  private onRented(
+    event: Extract<ExtensionEvent, { kind: 'rented' }>,
+    moment: Moment,
+  ): RecordWrite[] {
     const { request, result, machines } = event;
     if (!this.replacements.answered(request, result, machines, moment)) return [];
     const writes: RecordWrite[] = [];
@@ -122,7 +125,8 @@
 
   private onReleased(attempt: AttemptView, how: 'reported' | 'gone', moment: Moment): void {
     const { job, phase, machine, kill, superseded } = attempt;
-    const begun = phase === 'fetching' || phase === 'running' || phase === 'saving' || phase === 'recorded';
+    const begun =
+      phase === 'fetching' || phase === 'running' || phase === 'saving' || phase === 'recorded';
     if (!begun || !job || job.final !== 'none' || superseded) return;
     const taken = machine.noticeUntil !== null || machine.lostAt !== null || machine.deleting;
     if (kill && !taken) {
@@ -198,7 +202,8 @@
     }
     this.countNotices(turn);
     this.budget.update(turn.fleet, turn.moment);
-    for (const attempt of this.wishes.values()) this.budget.request(attempt, turn.fleet, turn.moment);
+    for (const attempt of this.wishes.values())
+      this.budget.request(attempt, turn.fleet, turn.moment);
     this.wishes.clear();
     for (const drain of this.all.values()) this.advance(drain, turn);
     this.records.update(turn);
@@ -207,7 +212,12 @@
 
   private reportLost({ requests }: Turn): void {
     for (const key of this.lost.splice(0)) {
-      requests.push({ kind: 'log', level: 'info', text: 'unreadable record of a drain', fields: { key } });
+      requests.push({
+        kind: 'log',
+        level: 'info',
+        text: 'unreadable record of a drain',
+        fields: { key },
+      });
     }
   }
 
@@ -227,7 +237,8 @@
     for (const machine of fleet.machines.values()) {
       if (machine.noticeUntil === null) continue;
       for (const attempt of machine.placements.values()) {
-        const open = attempt.job?.final === 'none' && !attempt.superseded && attempt.phase !== 'ended';
+        const open =
+          attempt.job?.final === 'none' && !attempt.superseded && attempt.phase !== 'ended';
         if (open && attempt.kill) this.budget.suffer(attempt, moment);
       }
     }
@@ -304,7 +315,8 @@
       requests.push({ kind: 'cordon', machine: machine.id });
       return this.setMachinePhase(drain, machineDrain, 'cordoned', turn);
     }
-    if (machine.placements.size === 0) return this.setMachinePhase(drain, machineDrain, 'returning', turn);
+    if (machine.placements.size === 0)
+      return this.setMachinePhase(drain, machineDrain, 'returning', turn);
     this.empty(drain, machineDrain, machine, turn);
   }
 
@@ -358,7 +370,8 @@
   /** Lets work end, stops what saves, and asks for moves of replicas, as far as the budgets allow. */
   private empty(drain: Drain, machineDrain: MachineDrain, machine: MachineView, turn: Turn): void {
     const work = workOn(machine, this.settings.letEndS, turn.moment);
-    if (work.ended > 0) this.progress.block(drain, { kind: 'results-kept', tasks: work.ended }, machine.id);
+    if (work.ended > 0)
+      this.progress.block(drain, { kind: 'results-kept', tasks: work.ended }, machine.id);
     if (work.ending.length > 0) {
       const inS = Math.ceil(work.endsInMs / 1000);
       const blocker: Blocker = { kind: 'work-ends-by-itself', tasks: work.ending.length, inS };
@@ -389,7 +402,8 @@
     const lapsed: Blocker = { kind: 'grant-lapsed', job: attempt.entry.job };
     if (result === null) this.progress.block(drain, lapsed, attempt.machine.id);
     else if (isBlocker(result)) this.progress.block(drain, result, attempt.machine.id);
-    else if (result.phase === 'asked') this.progress.block(drain, { kind: 'storing' }, attempt.machine.id);
+    else if (result.phase === 'asked')
+      this.progress.block(drain, { kind: 'storing' }, attempt.machine.id);
     return this.budget.isGranted(attempt.entry.attempt);
   }
 
@@ -474,7 +488,8 @@
 
   /** Goes on; a deadline that has passed does not hold any more. */
   resume(drain: Drain, turn: Turn): void {
-    if (drain.deadlineAt !== null && drain.deadlineAt <= turn.moment.timeOfDay) drain.deadlineAt = null;
+    if (drain.deadlineAt !== null && drain.deadlineAt <= turn.moment.timeOfDay)
+      drain.deadlineAt = null;
     this.setPhase(drain, drain.step > 0 ? 'running' : 'pending', null, turn);
   }
 }
--- a/packages/drain/src/core/head-check.ts
+++ b/packages/drain/src/core/head-check.ts
@@ -33,7 +33,8 @@
     for (const machine of fleet.machines.values()) {
       const type = fleet.types.get(machine.type);
       if (!type || machine.cordoned || isGoing(machine)) continue;
-      if (suits(this.head, { type, zone: machine.zone, spot: machine.spot })) this.suitable.add(machine.id);
+      if (suits(this.head, { type, zone: machine.zone, spot: machine.spot }))
+        this.suitable.add(machine.id);
     }
   }
 
--- a/packages/drain/src/core/plan.ts
+++ b/packages/drain/src/core/plan.ts
@@ -10,13 +10,19 @@
 const budgetBlockers = (drains: Drains, { work }: Disturbance, turn: Turn): Blocker[] => {
   const blockers = new Map<string, Blocker>();
   for (const { job } of [...work.stoppable, ...work.replicas]) {
-    const blocker = job && drains.budget.blocker(job.spec.team, job.spec.lane, turn.fleet, turn.moment);
+    const blocker =
+      job && drains.budget.blocker(job.spec.team, job.spec.lane, turn.fleet, turn.moment);
     if (blocker) blockers.set(describeBlocker(blocker), blocker);
   }
   return [...blockers.values()];
 };
 
-const blockersOf = (drains: Drains, guard: HeadGuard | null, item: Disturbance, turn: Turn): Blocker[] => {
+const blockersOf = (
+  drains: Drains,
+  guard: HeadGuard | null,
+  item: Disturbance,
+  turn: Turn,
+): Blocker[] => {
   const blockers = budgetBlockers(drains, item, turn);
   const { machine, work } = item;
   if (isGoing(machine) || machine.cordoned || drains.drainOf(machine.id))
--- a/packages/drain/src/core/records.ts
+++ b/packages/drain/src/core/records.ts
@@ -9,7 +9,8 @@
 const DISRUPTIONS = 'b/';
 
 export const drainKey = (name: DrainName): string => `${DRAINS}${name}`;
-export const machineKey = (name: DrainName, machine: MachineId): string => `${MACHINES}${name}/${machine}`;
+export const machineKey = (name: DrainName, machine: MachineId): string =>
+  `${MACHINES}${name}/${machine}`;
 export const disruptionsKey = (term: number, n: number): string => `${DISRUPTIONS}${term}-${n}`;
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(0));
@@ -34,7 +35,10 @@
     age: v.nullable(v.number()),
     image: v.nullable(text),
   }),
-  size: v.union([v.object({ count: v.pipe(count, v.minValue(1)) }), v.object({ share: v.number() })]),
+  size: v.union([
+    v.object({ count: v.pipe(count, v.minValue(1)) }),
+    v.object({ share: v.number() }),
+  ]),
   replace: v.boolean(),
   deadline: v.nullable(v.number()),
 });
@@ -134,7 +138,9 @@
 const rowSchema = v.tuple([text, count, count, v.string(), v.string(), v.number(), v.boolean()]);
 const disruptionsSchema = v.array(rowSchema);
 
-export const writeDisruptions = (rows: readonly Disruption[]): v.InferOutput<typeof disruptionsSchema> =>
+export const writeDisruptions = (
+  rows: readonly Disruption[],
+): v.InferOutput<typeof disruptionsSchema> =>
   rows.map((d) => [d.job, d.index, d.attempt, d.team, d.lane, d.at, d.voluntary]);
 
 const readDisruptions = (key: string, value: unknown): Disruption[] | null => {
--- a/packages/drain/src/core/replacements.ts
+++ b/packages/drain/src/core/replacements.ts
@@ -2,7 +2,13 @@
  * Replacements of drained machines. Those of one kind in a step are rented together, under a name that is stored before it is
  * sent. A repeat of a name rents nothing new, so that a request without an answer, or of a former leader, is sent again.
  */
-import type { FleetView, MachineId, MachineView, Moment, RequestName } from '@robinspread/extension-api';
+import type {
+  FleetView,
+  MachineId,
+  MachineView,
+  Moment,
+  RequestName,
+} from '@robinspread/extension-api';
 import { isGoing } from './selection.js';
 import type { DrainSettings } from './settings.js';
 import type { Turn } from './turn.js';
@@ -85,7 +91,8 @@
       for (let from = 0; from < ids.length; from += MOST_AT_ONCE) {
         const together = ids.slice(from, from + MOST_AT_ONCE);
         const request = this.newName(turn);
-        for (const [slot, id] of together.entries()) slots.set(id, { request, slot, of: together.length });
+        for (const [slot, id] of together.entries())
+          slots.set(id, { request, slot, of: together.length });
       }
     }
     return slots;
@@ -157,7 +164,8 @@
     }
     const overdue = moment.now - watch.since > this.settings.readyTimeoutS * 1000;
     const gone = machine ? isGoing(machine) : watch.wasReady;
-    if (!gone && !overdue) return { kind: 'blocked', blocker: { kind: 'replacement-booting', request } };
+    if (!gone && !overdue)
+      return { kind: 'blocked', blocker: { kind: 'replacement-booting', request } };
     this.watches.delete(machineDrain);
     return GIVEN_UP;
   }
--- a/packages/drain/src/core/step-choice.ts
+++ b/packages/drain/src/core/step-choice.ts
@@ -1,5 +1,11 @@
 /** Which machines the next step of a drain takes. */
-import type { AttemptView, MachineId, MachineView, Moment, TeamName } from '@robinspread/extension-api';
+import type {
+  AttemptView,
+  MachineId,
+  MachineView,
+  Moment,
+  TeamName,
+} from '@robinspread/extension-api';
 import { HeadGuard } from './head-check.js';
 import { byDisturbance, type Disturbance, isGoing, membersOf } from './selection.js';
 import type { Turn } from './turn.js';
@@ -51,12 +57,19 @@
 };
 
 /** Chooses those whose loss disturbs least. */
-export const chooseStep = (drain: Drain, context: StepContext, { fleet, moment }: Turn): StepChoice => {
+export const chooseStep = (
+  drain: Drain,
+  context: StepContext,
+  { fleet, moment }: Turn,
+): StepChoice => {
   const members = membersOf(drain, fleet, moment);
   // Of a machine that has not reported to this leader only a former leader's ledger, or a list that lags, may tell.
-  const free = members.filter((m) => m.everSeen && !isGoing(m) && !m.cordoned && !context.inUse(m.id));
+  const free = members.filter(
+    (m) => m.everSeen && !isGoing(m) && !m.cordoned && !context.inUse(m.id),
+  );
   const left = members.length;
-  if (free.length === 0) return { left, chosen: [], blocker: { kind: 'busy-elsewhere', machines: left } };
+  if (free.length === 0)
+    return { left, chosen: [], blocker: { kind: 'busy-elsewhere', machines: left } };
   const guard = drain.request.replace ? null : new HeadGuard(fleet);
   const size = stepSizeOf(drain);
   const chosen: MachineView[] = [];
--- a/packages/drain/src/core/types.ts
+++ b/packages/drain/src/core/types.ts
@@ -1,5 +1,11 @@
 /** Requests for drains, their progress, and what holds them up. */
-import type { ImageName, MachineId, RequestName, TypeName, ZoneName } from '@robinspread/extension-api';
+import type {
+  ImageName,
+  MachineId,
+  RequestName,
+  TypeName,
+  ZoneName,
+} from '@robinspread/extension-api';
 
 declare const brand: unique symbol;
 /** The name under which a drain was requested. */
@@ -91,7 +97,12 @@
 
 /** Why a drain, or one of its machines, does not go on at this moment. */
 export type Blocker =
-  | { readonly kind: 'budget'; readonly scope: string; readonly used: number; readonly limit: number }
+  | {
+      readonly kind: 'budget';
+      readonly scope: string;
+      readonly used: number;
+      readonly limit: number;
+    }
   | {
       readonly kind: 'window-budget';
       readonly scope: string;
--- a/packages/drain/src/core/views.ts
+++ b/packages/drain/src/core/views.ts
@@ -12,11 +12,13 @@
   blocker === null ? null : { kind: blocker.kind, text: describeBlocker(blocker) };
 
 /** A machine on its way back to the cloud is still draining to operators: it is not known to be gone. */
-const shownPhase = ({ phase }: MachineDrain): string => (phase === 'returning' ? 'draining' : phase);
+const shownPhase = ({ phase }: MachineDrain): string =>
+  phase === 'returning' ? 'draining' : phase;
 
 const requestView = ({ request }: Drain) => ({
   select: request.selector,
-  step: request.stepSize.kind === 'count' ? request.stepSize.count : `${request.stepSize.share} of all`,
+  step:
+    request.stepSize.kind === 'count' ? request.stepSize.count : `${request.stepSize.share} of all`,
   replace: request.replace,
   deadlineS: request.deadlineS,
 });
--- a/packages/drain/src/drain-extension.ts
+++ b/packages/drain/src/drain-extension.ts
@@ -48,7 +48,12 @@
     return turn.requests;
   }
 
-  call(call: OperatorCall, ticket: Ticket, fleet: FleetView, moment: Moment): OperatorAnswer | null {
+  call(
+    call: OperatorCall,
+    ticket: Ticket,
+    fleet: FleetView,
+    moment: Moment,
+  ): OperatorAnswer | null {
     return this.operators.call(call, ticket, { fleet, moment, requests: this.requests });
   }
 
--- a/packages/drain/src/operators.ts
+++ b/packages/drain/src/operators.ts
@@ -61,7 +61,9 @@
   }
 
   private list({ moment }: Turn): OperatorAnswer {
-    const drains = [...this.drains.all.values()].map((drain) => summaryOf(this.drains, drain, moment));
+    const drains = [...this.drains.all.values()].map((drain) =>
+      summaryOf(this.drains, drain, moment),
+    );
     return { status: 200, body: { drains, unreadable: [...this.drains.unreadable] } };
   }
 
@@ -79,7 +81,8 @@
     const read = readRequest(body);
     if ('fault' in read) return fault(400, read.fault);
     const { request } = read;
-    if (this.drains.unreadable.has(request.name)) return fault(409, 'a drain of this name cannot be read');
+    if (this.drains.unreadable.has(request.name))
+      return fault(409, 'a drain of this name cannot be read');
     const known = this.drains.all.get(request.name);
     if (known) return this.repeat(known, request, ticket, turn);
     if (!turn.fleet.settled) return UNSETTLED;
@@ -90,7 +93,12 @@
     return this.whenStored(ticket, drain, 201);
   }
 
-  private repeat(known: Drain, request: DrainRequest, ticket: Ticket, turn: Turn): OperatorAnswer | null {
+  private repeat(
+    known: Drain,
+    request: DrainRequest,
+    ticket: Ticket,
+    turn: Turn,
+  ): OperatorAnswer | null {
     if (JSON.stringify(known.request) !== JSON.stringify(request))
       return fault(409, `a drain named ${request.name} was requested with another body`);
     if (!this.drains.isStored(known)) return this.whenStored(ticket, known, 200);
@@ -101,7 +109,8 @@
   private refusal(drain: Drain, turn: Turn): string | null {
     const { fleet, moment } = turn;
     const { type, zone, machines } = drain.request.selector;
-    if (type !== null && !fleet.types.has(type)) return `field select.type: unknown machine type ${type}`;
+    if (type !== null && !fleet.types.has(type))
+      return `field select.type: unknown machine type ${type}`;
     if (zone !== null && !hasZone(fleet, zone)) return `field select.zone: unknown zone ${zone}`;
     const missing = machines?.find((id) => !fleet.machines.has(id));
     if (missing !== undefined) return `field select.machines: unknown machine ${missing}`;
@@ -168,7 +177,8 @@
 }
 
 const hasZone = (fleet: FleetView, zone: string): boolean => {
-  for (const type of fleet.types.values()) if (type.zones.some((known) => known === zone)) return true;
+  for (const type of fleet.types.values())
+    if (type.zones.some((known) => known === zone)) return true;
   return false;
 };
 
--- a/packages/drain/test/drain-fleet.ts
+++ b/packages/drain/test/drain-fleet.ts
@@ -350,7 +350,10 @@
 
   private rent({ request, zone, spot, count }: Extract<Effect, { kind: 'rent' }>): void {
     const reply = (result: 'ok' | 'refused' | 'unknown', machines: readonly MachineId[]) =>
-      this.held.push({ at: this.now + STEP_MS, command: { kind: 'rented', request, result, machines } });
+      this.held.push({
+        at: this.now + STEP_MS,
+        command: { kind: 'rented', request, result, machines },
+      });
     if (this.trouble.cloudAway) return void reply('unknown', []);
     const known = this.rentals.get(request);
     if (!known && this.trouble.refuseRentals) return void reply('refused', []);
@@ -364,7 +367,10 @@
 
   private hire(request: string, zone: string, spot: boolean, count: number): MachineId[] {
     const bootMs = this.trouble.neverUp ? Number.POSITIVE_INFINITY : 3000;
-    const ids = Array.from({ length: count }, () => this.addMachine(zone, spot, bootMs).id as MachineId);
+    const ids = Array.from(
+      { length: count },
+      () => this.addMachine(zone, spot, bootMs).id as MachineId,
+    );
     this.rentals.set(request, ids);
     for (const [slot, id] of ids.entries()) this.hires.set(`${request}#${slot}`, id);
     return ids;
@@ -460,8 +466,11 @@
 }
 
 /** Machines of one zone. */
-export const inZone = (count: number, zone = 'a', spot = false): { zone: string; spot: boolean }[] =>
-  Array.from({ length: count }, () => ({ zone, spot }));
+export const inZone = (
+  count: number,
+  zone = 'a',
+  spot = false,
+): { zone: string; spot: boolean }[] => Array.from({ length: count }, () => ({ zone, spot }));
 
 /** An array whose tasks save, two to a machine of 8 processors. */
 export const SAVING = { cpus: 4, checkpointS: 5, saveS: 1 };
--- a/packages/drain/test/histories.test.ts
+++ b/packages/drain/test/histories.test.ts
@@ -63,7 +63,8 @@
   call(route: string, subject: string, body: object = {}): { status: number; body: object } | null {
     for (let tries = 0; tries < 40; tries += 1) {
       const pending = this.world.operate({ route, subject, body });
-      for (let waited = 0; pending && !pending.answer && waited < 4000; waited += 250) this.play(250, true);
+      for (let waited = 0; pending && !pending.answer && waited < 4000; waited += 250)
+        this.play(250, true);
       if (pending?.answer && pending.answer.status !== 503) return pending.answer;
       this.play(1000, true);
     }
@@ -161,7 +162,11 @@
 /** It has ended, or gives a reason why not. */
 const saysWhy = (told: Told | undefined): boolean => {
   if (told?.status === 'done' || told?.status === 'cancelled') return true;
-  const reasons = [told?.why, told?.blocked?.text, ...(told?.machines ?? []).map((m) => m.blocked?.text)];
+  const reasons = [
+    told?.why,
+    told?.blocked?.text,
+    ...(told?.machines ?? []).map((m) => m.blocked?.text),
+  ];
   return reasons.some(Boolean);
 };
 
--- a/packages/drain/test/input.test.ts
+++ b/packages/drain/test/input.test.ts
@@ -46,14 +46,23 @@
       '(drain (budgets (team blue (at-once 1.5))))',
       'drain: field budgets blue at-once: must be a whole number',
     ],
-    ['(drain (budgets (team blue (at-once))))', 'drain: field budgets blue at-once: takes 1 value(s)'],
+    [
+      '(drain (budgets (team blue (at-once))))',
+      'drain: field budgets blue at-once: takes 1 value(s)',
+    ],
     [
       '(drain (budgets (team blue (at-once-share 1.2))))',
       'drain: field budgets blue at-once-share: must be a number from 0 to 1',
     ],
-    ['(drain (budgets (team blue (within 10))))', 'drain: field budgets blue within: takes 2 value(s)'],
+    [
+      '(drain (budgets (team blue (within 10))))',
+      'drain: field budgets blue within: takes 2 value(s)',
+    ],
     ['(drain (budgets (team blue (often 3))))', 'drain: unknown field budgets blue often'],
-    ['(drain (budgets (team blue (class))))', 'drain: field budgets blue class: expected (class NAME ...)'],
+    [
+      '(drain (budgets (team blue (class))))',
+      'drain: field budgets blue class: expected (class NAME ...)',
+    ],
     ['(drain (budgets (team blue) (team blue)))', 'drain: field budgets blue: stated twice'],
     ['(drain (budget))', 'drain: unknown field budget'],
     ['(drain (let-end-s soon))', 'drain: field let-end-s: must be a number from 0 to 86400'],
@@ -115,7 +124,9 @@
   it('may be repeated; the same name with another body is refused', () => {
     const fleet = new DrainFleet(inZone(2));
     expect(fleet.start('out', { select: { all: true } }).status).toBe(201);
-    expect(fleet.start('out', { select: { all: true }, atOnce: 1, replace: true }).status).toBe(200);
+    expect(fleet.start('out', { select: { all: true }, atOnce: 1, replace: true }).status).toBe(
+      200,
+    );
     expect(fleet.start('out', { select: { all: true }, atOnce: 2 }).status).toBe(409);
     fleet.until(() => fleet.phase('out') === 'done');
     expect(fleet.start('out', { select: { all: true } })).toMatchObject({
--- a/packages/drain/test/large-fleet.test.ts
+++ b/packages/drain/test/large-fleet.test.ts
@@ -17,7 +17,9 @@
       return (counting.visited - before) / FLEET / 4;
     };
     const idle = walks();
-    expect(fleet.start('all', { select: { all: true }, atOnceShare: 0.01, replace: false }).status).toBe(201);
+    expect(
+      fleet.start('all', { select: { all: true }, atOnceShare: 0.01, replace: false }).status,
+    ).toBe(201);
     // Walks over the fleet for each tick: those of a drain are few beside those of the daemon itself.
     const draining = walks();
     expect(draining - idle).toBeLessThan(6);
@@ -25,7 +27,8 @@
     const told = fleet.call('status', 'all').body as { total: number };
     expect(told.total).toBe(FLEET);
     const plan = fleet.call('plan', '', { select: { all: true }, atOnceShare: 0.01 });
-    for (const answer of [told, plan.body]) expect(JSON.stringify(answer).length).toBeLessThan(60_000);
+    for (const answer of [told, plan.body])
+      expect(JSON.stringify(answer).length).toBeLessThan(60_000);
     fleet.until(() => fleet.returned.length >= 120);
     expect(fleet.problems).toEqual([]);
   }, 120_000);
--- a/packages/drain/test/loopback.test.ts
+++ b/packages/drain/test/loopback.test.ts
@@ -24,7 +24,10 @@
 const startFleet = async (capacity: number, params: Record<string, unknown> = {}) => {
   const file = join(directory, 'drain.scm');
   await writeFile(file, BUDGETS);
-  return startProcesses(directory, 3, capacity, ['--enable', file], { workers: WORKERS, ...params });
+  return startProcesses(directory, 3, capacity, ['--enable', file], {
+    workers: WORKERS,
+    ...params,
+  });
 };
 
 const SAVES = { Pieces: 4, GuessS: 600, BookmarkS: 1, StowS: 0, Cpus: 2 };
@@ -39,7 +42,9 @@
     const submit = async (n: number, change: object) => {
       const Crew = n % 2 === 0 ? 'blue' : 'green';
       await until(async () =>
-        [200, 201].includes((await post(at(n), '/api/jobs', body(id(n), { Crew, ...change })))?.status ?? 0),
+        [200, 201].includes(
+          (await post(at(n), '/api/jobs', body(id(n), { Crew, ...change })))?.status ?? 0,
+        ),
       );
     };
     for (const n of [2, 3]) await submit(n, { Shape: 'daemon', Rank: 'standard', Pieces: 3 });
@@ -75,13 +80,22 @@
     for (const part of [0.25, 0.6]) {
       await until(() => gone() >= before.length * part);
       await killAndRestart(leader()!);
-      const alive = [...cloud.workers.entries()].filter(([, worker]) => worker.running().length > 0);
+      const alive = [...cloud.workers.entries()].filter(
+        ([, worker]) => worker.running().length > 0,
+      );
       const old = alive.find(([name]) => before.includes(name));
       const fresh = alive.find(([name]) => !before.includes(name));
       for (const [, worker] of [old, fresh].filter((found) => found !== undefined)) worker.crash();
     }
     const doneOf = async () => {
-      const shown = await runCommand(directory, ['drain', 'status', 'whole', '--json', '--at', at(0)]);
+      const shown = await runCommand(directory, [
+        'drain',
+        'status',
+        'whole',
+        '--json',
+        '--at',
+        at(0),
+      ]);
       return shown.code === 0
         ? (JSON.parse(shown.out) as { status: string; returned: number; failed: number })
         : null;
@@ -117,8 +131,12 @@
     state.limits = { valueBytes: 1024, txnOps: 3, writeRps: 20 };
     const at = processes[0]!.api;
     cloud.runMsOf = (task) => (task.startsWith('job-000004') ? null : 300);
-    expect((await post(at, '/api/jobs', body('job-000004', { ...SAVES, Pieces: 6 })))?.status).toBe(201);
-    await until(() => [...cloud.workers.values()].reduce((sum, w) => sum + w.running().length, 0) === 6);
+    expect((await post(at, '/api/jobs', body('job-000004', { ...SAVES, Pieces: 6 })))?.status).toBe(
+      201,
+    );
+    await until(
+      () => [...cloud.workers.values()].reduce((sum, w) => sum + w.running().length, 0) === 6,
+    );
     const before = [...cloud.workers.keys()];
     const begun = await runCommand(directory, [
       'drain',
@@ -162,7 +180,9 @@
       code: 2,
       error: 'robinspread: 400 field select: must not be empty\n',
     });
-    expect(await run('start', 'x', '--all', '--at-once', 'many', '--at', at)).toMatchObject({ code: 2 });
+    expect(await run('start', 'x', '--all', '--at-once', 'many', '--at', at)).toMatchObject({
+      code: 2,
+    });
     const nobody = await run('list', '--at', '127.0.0.1:1');
     expect(nobody).toMatchObject({ code: 3, error: 'robinspread: no answer from 127.0.0.1:1\n' });
     const plan = await run('plan', '--all', '--at', at);
@@ -187,10 +207,26 @@
     const settings = join(directory, 'plain.json');
     const { settingsText } = await import('../../../test/stand-ins/settings.js');
     await writeFile(settings, settingsText());
-    const bad = await runCommand(directory, ['check-config', '--config', settings, '--enable', file]);
-    expect(bad).toEqual({ code: 2, out: '', error: 'robinspread: drain: field budgets: unknown team red\n' });
+    const bad = await runCommand(directory, [
+      'check-config',
+      '--config',
+      settings,
+      '--enable',
+      file,
+    ]);
+    expect(bad).toEqual({
+      code: 2,
+      out: '',
+      error: 'robinspread: drain: field budgets: unknown team red\n',
+    });
     await writeFile(file, '(unheard-of)');
-    const none = await runCommand(directory, ['check-config', '--config', settings, '--enable', file]);
+    const none = await runCommand(directory, [
+      'check-config',
+      '--config',
+      settings,
+      '--enable',
+      file,
+    ]);
     expect(none.code).toBe(2);
     expect(none.error).toMatch(/^robinspread: extension: .* begins with no known name/);
     const good = await runCommand(directory, [
--- a/packages/drain/test/plain-model.test.ts
+++ b/packages/drain/test/plain-model.test.ts
@@ -37,12 +37,14 @@
   ),
 });
 
-const machines = fc.array(fc.array(attempt, { maxLength: 4 }), { minLength: 1, maxLength: 8 }).map((all) =>
-  all.map((attempts, i) => ({
-    id: `n-${i}`,
-    placements: new Map(attempts.map((a, n) => [n, a])),
-  })),
-) as fc.Arbitrary<unknown> as fc.Arbitrary<MachineView[]>;
+const machines = fc
+  .array(fc.array(attempt, { maxLength: 4 }), { minLength: 1, maxLength: 8 })
+  .map((all) =>
+    all.map((attempts, i) => ({
+      id: `n-${i}`,
+      placements: new Map(attempts.map((a, n) => [n, a])),
+    })),
+  ) as fc.Arbitrary<unknown> as fc.Arbitrary<MachineView[]>;
 
 describe('the order in which machines are taken', () => {
   it('is that of the plain model', () => {
@@ -132,7 +134,8 @@
         fc.array(action, { minLength: 10, maxLength: 60, size: 'max' }),
         (team, lane, actions) => {
           const file = `(drain (budgets (team blue ${written(team)} (class settle ${written(lane)} ))))`;
-          const inner = written(lane).trim() === '' ? file.replace(/\(class.*\)\)\)\)$/, ')))') : file;
+          const inner =
+            written(lane).trim() === '' ? file.replace(/\(class.*\)\)\)\)$/, ')))') : file;
           const ledger = new BudgetLedger(settingsOf(inner));
           const tasks = new Tasks(TASKS);
           const list: (PlainDisruption & { index: number })[] = [];
--- a/packages/drain/test/plain-model.ts
+++ b/packages/drain/test/plain-model.ts
@@ -2,7 +2,11 @@
 import type { AttemptView, MachineView } from '@robinspread/extension-api';
 
 /** What a task needs to leave its machine, by the letter of the design note. */
-const wayOut = (a: AttemptView, letEndS: number, now: number): 'ends' | 'saves' | 'moves' | 'leaving' => {
+const wayOut = (
+  a: AttemptView,
+  letEndS: number,
+  now: number,
+): 'ends' | 'saves' | 'moves' | 'leaving' => {
   const { job } = a;
   if (a.kill !== null || job === null || job.final !== 'none' || a.superseded) return 'leaving';
   if (job.spec.shape === 'service') return 'moves';
@@ -22,9 +26,16 @@
 };
 
 /** True when the first machine is to be taken before the second. */
-export const takenBefore = (one: MachineView, other: MachineView, letEndS: number, now: number): boolean => {
+export const takenBefore = (
+  one: MachineView,
+  other: MachineView,
+  letEndS: number,
+  now: number,
+): boolean => {
   const ways = (m: MachineView) =>
-    [...m.placements.values()].filter((a) => a.phase !== 'ended').map((a) => wayOut(a, letEndS, now));
+    [...m.placements.values()]
+      .filter((a) => a.phase !== 'ended')
+      .map((a) => wayOut(a, letEndS, now));
   const rank = (m: MachineView) => {
     const all = ways(m);
     if (all.length === 0) return 0;
@@ -33,7 +44,10 @@
   if (rank(one) !== rank(other)) return rank(one) < rank(other);
   const ends = [lastEnd(one, letEndS, now), lastEnd(other, letEndS, now)] as const;
   if (ends[0] !== ends[1]) return ends[0] < ends[1];
-  const moves = [one, other].map((m) => ways(m).filter((way) => way === 'moves').length) as [number, number];
+  const moves = [one, other].map((m) => ways(m).filter((way) => way === 'moves').length) as [
+    number,
+    number,
+  ];
   if (moves[0] !== moves[1]) return moves[0] < moves[1];
   return one.id < other.id;
 };
--- a/packages/drain/test/recovery.test.ts
+++ b/packages/drain/test/recovery.test.ts
@@ -96,14 +96,22 @@
 describe('what cannot be read', () => {
   it('pauses its drain, is logged, and leaves the others alone', () => {
     const fleet = begun();
-    fleet.until(() => fleet.phaseOf('swap', 'n-0000') !== null || fleet.phaseOf('swap', 'n-0001') !== null);
+    fleet.until(
+      () => fleet.phaseOf('swap', 'n-0000') !== null || fleet.phaseOf('swap', 'n-0001') !== null,
+    );
     const key = [...fleet.records.keys()].find((k) => k.startsWith('m/swap/'))!;
     fleet.records.set(key, { phase: 'unheard of' });
     fleet.records.set('d/other', 7);
     fleet.takeOver();
     fleet.run(30_000);
-    expect(fleet.status('swap')).toMatchObject({ status: 'paused', why: 'a record of it cannot be read' });
-    expect(fleet.status('other')).toMatchObject({ status: 'paused', why: 'its record cannot be read' });
+    expect(fleet.status('swap')).toMatchObject({
+      status: 'paused',
+      why: 'a record of it cannot be read',
+    });
+    expect(fleet.status('other')).toMatchObject({
+      status: 'paused',
+      why: 'its record cannot be read',
+    });
     expect(fleet.start('other', { select: { all: true } }).status).toBe(409);
     expect(fleet.start('third', { select: { all: true } }).status).toBe(201);
     fleet.until(() => fleet.phase('third') === 'done');
@@ -231,7 +239,9 @@
     fleet.machines.get(id)!.noticeAt = fleet.now + 10_000;
     fleet.run(2000);
     expect(fleet.status('out').machines[0]?.blocked?.kind).toBe('being-lost');
-    expect(fleet.call('budgets').body.budgets).toMatchObject([{ scope: 'team blue', disrupted: 1 }]);
+    expect(fleet.call('budgets').body.budgets).toMatchObject([
+      { scope: 'team blue', disrupted: 1 },
+    ]);
     fleet.trouble.refuseRentals = false;
     fleet.until(() => fleet.phase('out') === 'done');
     expect(fleet.status('out')).toMatchObject({ returned: 0, failed: 1 });
--- a/packages/drain/test/steps.test.ts
+++ b/packages/drain/test/steps.test.ts
@@ -4,7 +4,8 @@
 
 const BUDGET_1 = '(drain (let-end-s 5) (budgets (team blue (at-once 1))))';
 
-const spread = (fleet: DrainFleet) => [...fleet.machines.keys()].map((id) => fleet.tasksOn(id).length);
+const spread = (fleet: DrainFleet) =>
+  [...fleet.machines.keys()].map((id) => fleet.tasksOn(id).length);
 
 describe('a drain', () => {
   it('replaces machines step by step: replacement ready, cordon, stops, return, and only then the next', () => {
@@ -21,10 +22,13 @@
     expect(spread(fleet).reduce((a, b) => a + b)).toBe(4);
     // The idle one went first, then each of the others: four tasks stopped once each.
     expect(fleet.stops).toHaveLength(4);
-    for (const { task } of fleet.stops) expect(fleet.starts.filter((s) => s.task === task)).toHaveLength(2);
+    for (const { task } of fleet.stops)
+      expect(fleet.starts.filter((s) => s.task === task)).toHaveLength(2);
     expect(fleet.status('swap')).toMatchObject({ returned: 3, failed: 0, step: 3, machines: [] });
     // A step's work ran again before the next began.
-    const phases = fleet.writes.filter((key) => key.startsWith('m/swap') || key.startsWith('d/swap'));
+    const phases = fleet.writes.filter(
+      (key) => key.startsWith('m/swap') || key.startsWith('d/swap'),
+    );
     expect(phases.length).toBeGreaterThan(9);
     expect(fleet.problems).toEqual([]);
     // What is over leaves no records but its own.
@@ -143,7 +147,14 @@
     fleet.submit('job-1', { cpus: 8, zone: 'b', tasks: 2 });
     fleet.run(3000);
     fleet.trouble.refuseRentals = true;
-    fleet.submit('job-2', { cpus: 8, zone: 'b', tasks: 2, estimateS: 1, priority: 'urgent', spotOk: false });
+    fleet.submit('job-2', {
+      cpus: 8,
+      zone: 'b',
+      tasks: 2,
+      estimateS: 1,
+      priority: 'urgent',
+      spotOk: false,
+    });
     fleet.run(30_000);
     const refused = fleet.start('out', { select: { zone: 'b' }, replace: false });
     expect(refused.status).toBe(422);
@@ -258,7 +269,9 @@
     fleet.start('out', { select: { machines: [drained] }, replace: false });
     fleet.run(60_000);
     expect(fleet.stops).toEqual([]);
-    expect(fleet.status('out').machines[0]?.blocked?.text).toBe('budget of team blue: 1 of 1 disrupted');
+    expect(fleet.status('out').machines[0]?.blocked?.text).toBe(
+      'budget of team blue: 1 of 1 disrupted',
+    );
     expect(fleet.call('budgets').body.budgets).toMatchObject([
       { scope: 'team blue', disrupted: 1, atOnce: 1 },
     ]);
@@ -268,7 +281,10 @@
   });
 
   it('of 0 block and say so', () => {
-    const fleet = new DrainFleet(inZone(2), '(drain (let-end-s 5) (budgets (team blue (at-once 0))))');
+    const fleet = new DrainFleet(
+      inZone(2),
+      '(drain (let-end-s 5) (budgets (team blue (at-once 0))))',
+    );
     fleet.submit('job-1', SAVING);
     fleet.run(4000);
     fleet.start('out', { select: { machines: [fleet.holderOf('job-1/0')!] }, replace: false });
@@ -295,7 +311,10 @@
   });
 
   it('that shrink below what is in use start nothing new', () => {
-    const fleet = new DrainFleet(inZone(4), '(drain (let-end-s 5) (budgets (team blue (at-once 2))))');
+    const fleet = new DrainFleet(
+      inZone(4),
+      '(drain (let-end-s 5) (budgets (team blue (at-once 2))))',
+    );
     fleet.submit('job-1', { ...SAVING, cpus: 8, tasks: 4 });
     fleet.run(4000);
     fleet.trouble.refuseRentals = true;
@@ -331,7 +350,9 @@
     const later = fleet.holderOf('job-3/0')!;
     fleet.start('more', { select: { machines: [later] } });
     fleet.run(20_000);
-    expect(fleet.status('more').machines[0]?.blocked?.text).toContain('3 of 3 disrupted within 300 s');
+    expect(fleet.status('more').machines[0]?.blocked?.text).toContain(
+      '3 of 3 disrupted within 300 s',
+    );
     fleet.until(() => fleet.phase('more') === 'done');
     expect(fleet.now - first).toBeGreaterThan(299_000);
   });
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -8,5 +8,11 @@
 
 // The compiled code is only accepted by a node of the same version and with the same flags.
 const service = await readFile('deploy/service.toml', 'utf8');
-const flags = /^run = "node (.*?) ?target\/main\.cjs/m.exec(service)?.[1]?.split(' ').filter(Boolean) ?? [];
-execFileSync(process.execPath, [...flags, 'target/main.cjs', '--compile-to', 'target/bundle.cache']);
+const flags =
+  /^run = "node (.*?) ?target\/main\.cjs/m.exec(service)?.[1]?.split(' ').filter(Boolean) ?? [];
+execFileSync(process.execPath, [
+  ...flags,
+  'target/main.cjs',
+  '--compile-to',
+  'target/bundle.cache',
+]);
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -58,7 +58,9 @@
     ...OPTIONS,
   });
   await build({
-    entryPoints: Object.fromEntries(PACKAGES.map((name) => [name, `packages/${name}/src/index.ts`])),
+    entryPoints: Object.fromEntries(
+      PACKAGES.map((name) => [name, `packages/${name}/src/index.ts`]),
+    ),
     outdir: directory,
     ...OPTIONS,
   });
--- a/scripts/measure-drain.mjs
+++ b/scripts/measure-drain.mjs
@@ -21,7 +21,9 @@
 });
 let failed = false;
 for (const way of ways.length > 0 ? ways : WAYS) {
-  const { status } = spawnSync(process.execPath, [program, way, machines, seed], { stdio: 'inherit' });
+  const { status } = spawnSync(process.execPath, [program, way, machines, seed], {
+    stdio: 'inherit',
+  });
   failed ||= status !== 0;
 }
 rmSync(directory, { recursive: true, force: true });
--- a/src/adapters/api.ts
+++ b/src/adapters/api.ts
@@ -87,7 +87,11 @@
     const subject = c.req.param('subject') ?? '';
     const body = route.method === 'POST' ? await readOptionalBody(c) : { json: null };
     if ('fault' in body) return sendJson(c, { error: body.fault }, 400);
-    const answer = await controller.operate(extension, { route: route.name, subject, body: body.json });
+    const answer = await controller.operate(extension, {
+      route: route.name,
+      subject,
+      body: body.json,
+    });
     if (!answer) return later(c, 'no leader to ask');
     const headers = answer.status === 503 ? { 'Retry-After': RETRY_AFTER_S } : {};
     return sendJson(c, answer.body, answer.status, headers);
--- a/src/adapters/check-in.ts
+++ b/src/adapters/check-in.ts
@@ -24,11 +24,14 @@
   const reader = new ReportReader();
   const malformed = new Once();
 
-  const refuse = (parsed: { readonly json: unknown } | { readonly fault: string }): CheckInReply => {
+  const refuse = (
+    parsed: { readonly json: unknown } | { readonly fault: string },
+  ): CheckInReply => {
     const fault = 'fault' in parsed ? parsed.fault : 'fields';
     const body = 'json' in parsed ? (parsed.json as { Berth?: unknown } | null) : null;
     const machine = 'json' in parsed ? String(body?.Berth).slice(0, MAX_LOGGED_NAME) : '';
-    if (malformed.first(`${machine} ${fault}`)) log.info({ machine, fault }, 'check-in of an unknown form');
+    if (malformed.first(`${machine} ${fault}`))
+      log.info({ machine, fault }, 'check-in of an unknown form');
     return MALFORMED;
   };
 
--- a/src/adapters/clock.ts
+++ b/src/adapters/clock.ts
@@ -11,6 +11,8 @@
 };
 
 /** Turns a time of day from another node into an instant here; it may be off by the clocks' bound. */
-export const fromTimeOfDay = (wallMs: number): Instant => (steadyNow() - (Date.now() - wallMs)) as Instant;
+export const fromTimeOfDay = (wallMs: number): Instant =>
+  (steadyNow() - (Date.now() - wallMs)) as Instant;
 
-export const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
+export const sleep = (ms: number): Promise<void> =>
+  new Promise((resolve) => setTimeout(resolve, ms));
--- a/src/adapters/cloud-client.ts
+++ b/src/adapters/cloud-client.ts
@@ -44,10 +44,12 @@
     body?: unknown,
     entitled: () => boolean = () => true,
   ): Promise<Reply> {
-    if (!(await this.limiter.take(1, QUEUE_MS))) return { kind: 'none', sent: false, reason: 'rate' };
+    if (!(await this.limiter.take(1, QUEUE_MS)))
+      return { kind: 'none', sent: false, reason: 'rate' };
     if (!entitled()) return { kind: 'none', sent: false, reason: 'no longer entitled' };
     const reply = await this.http.call(method, path, body, REQUEST_MS);
-    const error = reply.kind === 'answer' ? (reply.body as { error?: unknown } | null)?.error : undefined;
+    const error =
+      reply.kind === 'answer' ? (reply.body as { error?: unknown } | null)?.error : undefined;
     this.away = reply.kind === 'none' || error === 'trouble';
     return reply;
   }
--- a/src/adapters/peer-link.ts
+++ b/src/adapters/peer-link.ts
@@ -62,7 +62,11 @@
 export type Question = Omit<v.InferOutput<typeof questionSchema>, 'n'>;
 export type Respond = (question: Question) => Promise<unknown> | unknown;
 
-export const servePeers = (at: Endpoint, respond: Respond, onBad: (reason: string) => void): Server => {
+export const servePeers = (
+  at: Endpoint,
+  respond: Respond,
+  onBad: (reason: string) => void,
+): Server => {
   const server = createServer((socket) => {
     const reader = new FrameReader();
     socket.setNoDelay(true);
--- a/src/adapters/settings.ts
+++ b/src/adapters/settings.ts
@@ -95,7 +95,11 @@
     readonly txnOps: number;
   };
   readonly cloudLimits: { readonly rps: number; readonly listLagS: number };
-  readonly quota: { readonly cores: number; readonly memoryMb: number; readonly maxConnections: number };
+  readonly quota: {
+    readonly cores: number;
+    readonly memoryMb: number;
+    readonly maxConnections: number;
+  };
 }
 
 export const parseEndpoint = (text: string): Endpoint => {
@@ -134,7 +138,10 @@
     teams: new Map(
       params.teams.map((t) => {
         const name = t.name as TeamName;
-        return [name, { name, cpus: t.cpus, cpusMax: t.cpus_max, gpus: t.gpus, gpusMax: t.gpus_max }];
+        return [
+          name,
+          { name, cpus: t.cpus, cpusMax: t.cpus_max, gpus: t.gpus, gpusMax: t.gpus_max },
+        ];
       }),
     ),
     workers: {
@@ -227,11 +234,14 @@
     const list = entry as unknown[];
     const value = Array.isArray(entry) && list.length === 2 ? Number(String(list[1])) : Number.NaN;
     if (!Number.isFinite(value) || value < field.min || value > field.max) {
-      throw new SettingsError(`policy: field ${name} must be one number from ${field.min} to ${field.max}`);
+      throw new SettingsError(
+        `policy: field ${name} must be one number from ${field.min} to ${field.max}`,
+      );
     }
     policy[field.key] = value;
   }
-  if (policy.max < policy.min) throw new SettingsError('policy: field deadline-max is below deadline-min');
+  if (policy.max < policy.min)
+    throw new SettingsError('policy: field deadline-max is below deadline-min');
   return policy;
 };
 
--- a/src/adapters/state-client.ts
+++ b/src/adapters/state-client.ts
@@ -106,7 +106,12 @@
     return this.failing;
   }
 
-  private async call(method: string, target: string, body: unknown, timeoutMs: number): Promise<Reply> {
+  private async call(
+    method: string,
+    target: string,
+    body: unknown,
+    timeoutMs: number,
+  ): Promise<Reply> {
     if (!(await this.requests.take(1, QUEUE_MS))) {
       return { kind: 'none', sent: false, reason: 'too many requests waiting' };
     }
@@ -174,7 +179,11 @@
     if (reply.kind === 'answer' && reply.status === 200) {
       const item = v.safeParse(itemSchema, reply.body);
       if (item.success) {
-        return { key: item.output.Path, value: item.output.Data, revision: item.output.Stamp as Revision };
+        return {
+          key: item.output.Path,
+          value: item.output.Data,
+          revision: item.output.Stamp as Revision,
+        };
       }
     }
     return this.failed('get', reply);
--- a/src/adapters/wire.ts
+++ b/src/adapters/wire.ts
@@ -19,7 +19,12 @@
 export const label = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
 /** Names that become part of a key of the state service, which would refuse others for good. */
 export const keyLabel = v.pipe(v.string(), v.regex(/^[\w.-]{1,120}$/));
-export const count = v.pipe(v.number(), v.integer(), v.minValue(0), v.maxValue(Number.MAX_SAFE_INTEGER));
+export const count = v.pipe(
+  v.number(),
+  v.integer(),
+  v.minValue(0),
+  v.maxValue(Number.MAX_SAFE_INTEGER),
+);
 
 export const parseJobId = (text: unknown): JobId | null =>
   typeof text === 'string' && JOB_ID.test(text) ? (text as JobId) : null;
@@ -94,7 +99,12 @@
   readonly waiting?: string;
 }
 
-const STATUS = { queued: 'queued', running: 'running', done: 'done', cancelled: 'withdrawn' } as const;
+const STATUS = {
+  queued: 'queued',
+  running: 'running',
+  done: 'done',
+  cancelled: 'withdrawn',
+} as const;
 
 export const jobAnswer = (view: JobView) => ({
   Ref: view.id,
@@ -172,7 +182,9 @@
   More: v.nullish(v.boolean(), false),
 });
 
-export const parseMachines = (body: unknown): { machines: ListedMachine[]; more: boolean } | null => {
+export const parseMachines = (
+  body: unknown,
+): { machines: ListedMachine[]; more: boolean } | null => {
   const result = v.safeParse(listSchema, body);
   if (!result.success) return null;
   const machines = result.output.Berths.map(
--- a/src/adapters/worker-client.ts
+++ b/src/adapters/worker-client.ts
@@ -28,7 +28,14 @@
   ): Promise<Report | null> {
     if (!/^[\w.-]+:\d{1,5}$/.test(endpoint)) return null;
     const body = { Baton: term, Tenure: session, Orders: ordersOut(orders) };
-    const reply = await exchange(this.agent, parseEndpoint(endpoint), 'POST', '/orders', body, REQUEST_MS);
+    const reply = await exchange(
+      this.agent,
+      parseEndpoint(endpoint),
+      'POST',
+      '/orders',
+      body,
+      REQUEST_MS,
+    );
     if (reply.kind !== 'answer' || (reply.status !== 200 && reply.status !== 409)) return null;
     return parseReport(reply.body);
   }
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -2,7 +2,9 @@
 import type { Files } from './load.js';
 
 const build = (): Command => {
-  const program = new Command('robinspread').description('cluster scheduler service').version('0.1.0');
+  const program = new Command('robinspread')
+    .description('cluster scheduler service')
+    .version('0.1.0');
 
   program
     .command('serve')
--- a/src/core/backfill.ts
+++ b/src/core/backfill.ts
@@ -65,7 +65,10 @@
  * A replica whose machine is about to go is stopped as soon as room elsewhere is held for it, in this round and in each until
  * it is proven gone: then it starts, ahead of the queue or by its rank.
  */
-const reserveForMoves = (leaving: readonly Placement[], capacities: readonly FreeCapacity[]): void => {
+const reserveForMoves = (
+  leaving: readonly Placement[],
+  capacities: readonly FreeCapacity[],
+): void => {
   for (const p of leaving) {
     const job = p.job!;
     const capacity = capacities.find(
@@ -91,7 +94,8 @@
 export const placeWaitingReplicas = (state: CoreState, now: Instant): Round => {
   const placed: Placement[] = [];
   let waits = false;
-  for (const job of state.jobs.values()) waits ||= goesFirst(job) && job.pending > 0 && job.final === 'none';
+  for (const job of state.jobs.values())
+    waits ||= goesFirst(job) && job.pending > 0 && job.final === 'none';
   if (!waits) return { placed, ranked: [] };
   const ranked = rankWaiting(state, now).filter(({ job }) => goesFirst(job));
   const capacities = freeCapacities(state, now);
--- a/src/core/capacity.ts
+++ b/src/core/capacity.ts
@@ -59,10 +59,15 @@
 /** The zone rules, given where the job's other tasks may be at this moment. */
 export const zoneAllows = (job: Job, machine: Pick<Machine, 'zone'>): boolean => {
   const { spec, heldByZone } = job;
-  if (spec.oneZone && heldByZone.size > 0 && !(heldByZone.size === 1 && heldByZone.has(machine.zone))) {
+  if (
+    spec.oneZone &&
+    heldByZone.size > 0 &&
+    !(heldByZone.size === 1 && heldByZone.has(machine.zone))
+  ) {
     return false;
   }
-  if (spec.scatter && (heldByZone.get(machine.zone) ?? 0) >= Math.ceil(spec.tasks / 2)) return false;
+  if (spec.scatter && (heldByZone.get(machine.zone) ?? 0) >= Math.ceil(spec.tasks / 2))
+    return false;
   return true;
 };
 
@@ -89,8 +94,10 @@
   if (!team) return 0;
   const used = state.usage.get(team.name) ?? { cpus: 0, gpus: 0 };
   let tasks = Number.POSITIVE_INFINITY;
-  if (job.spec.cpus > 0) tasks = Math.min(tasks, (team.cpusMax - used.cpus + EPSILON) / job.spec.cpus);
-  if (job.spec.gpus > 0) tasks = Math.min(tasks, (team.gpusMax - used.gpus + EPSILON) / job.spec.gpus);
+  if (job.spec.cpus > 0)
+    tasks = Math.min(tasks, (team.cpusMax - used.cpus + EPSILON) / job.spec.cpus);
+  if (job.spec.gpus > 0)
+    tasks = Math.min(tasks, (team.gpusMax - used.gpus + EPSILON) / job.spec.gpus);
   return Math.max(0, Math.floor(tasks));
 };
 
@@ -121,7 +128,10 @@
 };
 
 /** The machines on which some waiting task may still fit. */
-export const stillUseful = (capacities: readonly FreeCapacity[], least: SmallestNeed): FreeCapacity[] =>
+export const stillUseful = (
+  capacities: readonly FreeCapacity[],
+  least: SmallestNeed,
+): FreeCapacity[] =>
   capacities.filter(
     (c) =>
       c.slots > 0 &&
@@ -138,7 +148,10 @@
 }
 
 /** What a machine has free once these attempts have left it. */
-export const resourcesWithout = (capacity: FreeCapacity, leaving: readonly Placement[]): Resources => {
+export const resourcesWithout = (
+  capacity: FreeCapacity,
+  leaving: readonly Placement[],
+): Resources => {
   const { cpus, gpus, memoryGb } = capacity;
   const space = { cpus, gpus, memoryGb };
   for (const { entry } of leaving) {
--- a/src/core/demand.ts
+++ b/src/core/demand.ts
@@ -4,7 +4,12 @@
 
 /** A machine that counts as supply: it is there to stay. */
 export const counted = (m: Machine): boolean =>
-  !m.draining && !m.cordoned && !m.deaf && !m.deleting && m.lostAt === null && m.noticeUntil === null;
+  !m.draining &&
+  !m.cordoned &&
+  !m.deaf &&
+  !m.deleting &&
+  m.lostAt === null &&
+  m.noticeUntil === null;
 
 /** Machines of a kind that are being asked for. */
 export const asked = (option: RentOption): number => {
@@ -36,7 +41,8 @@
     guarantees += team.cpus;
   }
   let supply = 0;
-  for (const m of state.machines.values()) if (counted(m)) supply += state.types.get(m.type)?.cpus ?? 0;
+  for (const m of state.machines.values())
+    if (counted(m)) supply += state.types.get(m.type)?.cpus ?? 0;
   for (const o of state.options.values()) supply += asked(o) * o.type.cpus;
   const busy = now - state.lastWorkAt < policy.idleReturnS * 1000;
   const standing = busy ? policy.standingShare * guarantees : 0;
--- a/src/core/extension-host.ts
+++ b/src/core/extension-host.ts
@@ -173,7 +173,9 @@
     if (!tickDue && !this.due) return;
     this.due = false;
     for (const extension of this.extensions) {
-      const requests = this.attempt(extension, [], () => extension.decide(this.fleet, this.moment()));
+      const requests = this.attempt(extension, [], () =>
+        extension.decide(this.fleet, this.moment()),
+      );
       for (const request of requests) this.carryOut(extension, request);
     }
   }
@@ -218,7 +220,11 @@
         this.writes.push({ extension: extension.name, writes: request.writes });
         return;
       case 'answer':
-        this.effects.push({ kind: 'operator-answer', ticket: request.ticket, answer: request.answer });
+        this.effects.push({
+          kind: 'operator-answer',
+          ticket: request.ticket,
+          answer: request.answer,
+        });
         return;
       case 'log':
         logEvent(this.effects, request.level, request.text, request.fields);
--- a/src/core/extension.ts
+++ b/src/core/extension.ts
@@ -142,7 +142,12 @@
 export type ExtensionRequest =
   | { readonly kind: 'cordon' | 'uncordon'; readonly machine: MachineId }
   /** Stops an attempt; with grace enough for saving, a task that saves does so. */
-  | { readonly kind: 'stop'; readonly machine: MachineId; readonly attempt: Attempt; readonly graceS: number }
+  | {
+      readonly kind: 'stop';
+      readonly machine: MachineId;
+      readonly attempt: Attempt;
+      readonly graceS: number;
+    }
   /** Returns a machine to the cloud once nothing is on it; cannot be taken back. */
   | { readonly kind: 'return'; readonly machine: MachineId }
   | ({ readonly kind: 'rent' } & Rental)
--- a/src/core/fleet.ts
+++ b/src/core/fleet.ts
@@ -94,7 +94,12 @@
   state.waiting.delete(m);
 };
 
-export const deleted = (state: CoreState, ids: readonly MachineId[], ok: boolean, now: Instant): void => {
+export const deleted = (
+  state: CoreState,
+  ids: readonly MachineId[],
+  ok: boolean,
+  now: Instant,
+): void => {
   for (const id of ids) {
     const m = state.machines.get(id);
     if (!m) continue;
--- a/src/core/jobs.ts
+++ b/src/core/jobs.ts
@@ -6,7 +6,15 @@
 import { quarantine } from './returns.js';
 import { leaveChunkSegment } from './segments.js';
 import type { CoreState, Job, Machine, Placement } from './state.js';
-import { type Effect, type Instant, type JobId, later, type Millis, seconds, type Ticket } from './types.js';
+import {
+  type Effect,
+  type Instant,
+  type JobId,
+  later,
+  type Millis,
+  seconds,
+  type Ticket,
+} from './types.js';
 
 /** Longer than a read, a watch or an unanswered write can be under way. */
 const ENDED_KEPT_MS = 120_000;
@@ -64,7 +72,13 @@
   for (const chunk of job.chunks.values()) leaveChunkSegment(state, chunk);
   if (state.head === job.spec.id) state.head = null;
   const outcome = job.final === 'cancelled' ? 'cancelled' : 'done';
-  effects.push({ kind: 'final', job: job.spec.id, outcome, tasks: job.spec.tasks, team: job.spec.team });
+  effects.push({
+    kind: 'final',
+    job: job.spec.id,
+    outcome,
+    tasks: job.spec.tasks,
+    team: job.spec.team,
+  });
   settle(job, effects);
   killAll(job, now, effects);
   for (const m of state.machines.values()) m.failedJobs.delete(job.spec.id);
@@ -155,8 +169,13 @@
     const pause = Math.min(60, 2 ** Math.min(job.failures - SUSPECT_MACHINES + 1, 6));
     job.retryAt = later(now, seconds(Math.max(2, pause)));
     if (state.head === job.spec.id) state.head = null;
-    logEvent(effects, 'info', 'job fails on every machine, pausing', { job: job.spec.id, pauseS: pause });
+    logEvent(effects, 'info', 'job fails on every machine, pausing', {
+      job: job.spec.id,
+      pauseS: pause,
+    });
   } else if (quarantine(state, m, now)) {
-    logEvent(effects, 'info', 'machine fails tasks of several jobs, replacing it', { machine: m.id });
+    logEvent(effects, 'info', 'machine fails tasks of several jobs, replacing it', {
+      machine: m.id,
+    });
   }
 };
--- a/src/core/ledger.ts
+++ b/src/core/ledger.ts
@@ -5,7 +5,13 @@
 import { chunkOf, isDone, recountPending } from './job-state.js';
 import { finishSaved } from './jobs.js';
 import { adopt, ensureMachine } from './reports.js';
-import { leaveChunkSegment, leaveSegment, openSegment, recordBytes, segmentKey } from './segments.js';
+import {
+  leaveChunkSegment,
+  leaveSegment,
+  openSegment,
+  recordBytes,
+  segmentKey,
+} from './segments.js';
 import type { Batch, CoreState, Job, Placement, Segment } from './state.js';
 import {
   type Attempt,
@@ -68,7 +74,10 @@
   private costOf({ entry, machine }: Placement): number {
     const row = this.machines.has(machine.id)
       ? 0
-      : MACHINE_BYTES + byteLength(machine.id) + byteLength(machine.type) + byteLength(machine.zone);
+      : MACHINE_BYTES +
+        byteLength(machine.id) +
+        byteLength(machine.type) +
+        byteLength(machine.zone);
     const { job, team, cpus, gpus, memoryGb } = entry;
     const named = this.jobs.has(job)
       ? 0
@@ -103,7 +112,11 @@
     const cost = PROGRESS_BYTES + job.spec.id.length + Math.ceil(chunk.bits.length / 3) * 4;
     if (this.bytes + cost > limit) return false;
     this.bytes += cost;
-    this.progress.push({ job: job.spec.id, from: number * job.partTasks, bits: chunk.bits.slice() });
+    this.progress.push({
+      job: job.spec.id,
+      from: number * job.partTasks,
+      bits: chunk.bits.slice(),
+    });
     leaveChunkSegment(state, chunk);
     chunk.segment = this.segment;
     this.segment.chunks.set(chunk, { job, number });
@@ -133,7 +146,8 @@
       if (!put(lasts(p), (draft) => draft.enter(state, p, limit))) return;
     }
     for (const { job, number } of [...segment.chunks.values()]) {
-      if (job.superseded > 0 || !put(false, (draft) => draft.record(state, job, number, limit))) return;
+      if (job.superseded > 0 || !put(false, (draft) => draft.record(state, job, number, limit)))
+        return;
     }
   }
 };
@@ -142,7 +156,12 @@
 const EXTENSION_SHARE = 0.25;
 
 /** Adds what extensions want stored, as far as there is room; returns how many changes that makes. */
-const takeExtensionWrites = (state: CoreState, batch: Batch, ops: SaveOp[], room: number): number => {
+const takeExtensionWrites = (
+  state: CoreState,
+  batch: Batch,
+  ops: SaveOp[],
+  room: number,
+): number => {
   const waiting = state.extensions?.writes;
   if (!waiting || waiting.length === 0) return 0;
   const most = Math.max(MOST_WRITES_TOGETHER, Math.floor(room * EXTENSION_SHARE));
@@ -165,7 +184,13 @@
     Math.max(LEAST_BATCH_CHANGES, Math.ceil(writeRps * BATCH_S)),
   );
   const ops: SaveOp[] = [];
-  const batch: Batch = { id: state.nextBatch, entered: [], chunks: [], finals: [], extensionWrites: [] };
+  const batch: Batch = {
+    id: state.nextBatch,
+    entered: [],
+    chunks: [],
+    finals: [],
+    extensionWrites: [],
+  };
   let changes = 0;
   let bytes = 0;
   for (const job of state.dirtyFinals) {
@@ -182,7 +207,10 @@
   }
   const limit = recordBytes(state.config);
   /** The records at hand, for what ends soon and for what lasts. */
-  const open: { short: SegmentDraft | null; lasting: SegmentDraft | null } = { short: null, lasting: null };
+  const open: { short: SegmentDraft | null; lasting: SegmentDraft | null } = {
+    short: null,
+    lasting: null,
+  };
   const drafts: SegmentDraft[] = [];
   const fresh = new Set<Segment>();
   const openBytes = () => (open.short?.bytes ?? 0) + (open.lasting?.bytes ?? 0);
@@ -224,7 +252,8 @@
       const add = (d: SegmentDraft) => d.record(state, job, number, limit);
       if (!over && !(progressDue ? put(false, add) : add(open.short!))) break;
       state.dirtyChunks.delete(key);
-      if (!over) batch.chunks.push({ job, chunk: number, version: job.chunks.get(number)!.version });
+      if (!over)
+        batch.chunks.push({ job, chunk: number, version: job.chunks.get(number)!.version });
     }
     if (state.dirtyChunks.size === 0) state.dirtySince = null;
   }
@@ -254,7 +283,12 @@
 };
 
 /** Changes that the state service takes in no size hold up only what they speak of. */
-const onRefused = (state: CoreState, batch: Batch, refused: readonly SaveOp[], now: Instant): void => {
+const onRefused = (
+  state: CoreState,
+  batch: Batch,
+  refused: readonly SaveOp[],
+  now: Instant,
+): void => {
   const jobs = new Set<JobId>();
   const attempts = new Set<Attempt>();
   for (const op of refused) {
@@ -335,7 +369,10 @@
 };
 
 /** A new leader reads what is done of a job. */
-export const onProgress = (state: CoreState, command: Extract<Command, { kind: 'progress' }>): void => {
+export const onProgress = (
+  state: CoreState,
+  command: Extract<Command, { kind: 'progress' }>,
+): void => {
   const job = state.jobs.get(command.job);
   const segment = openSegment(state, command.segment);
   const { from, bits: row } = command;
--- a/src/core/orders.ts
+++ b/src/core/orders.ts
@@ -75,7 +75,8 @@
   if (!m.endpoint || m.session === 0) return;
   const orders: Order[] = [];
   for (const p of m.placements.values()) {
-    if (!p.kill || p.phase === 'entering' || p.phase === 'ended' || orders.length >= MAX_ORDERS) continue;
+    if (!p.kill || p.phase === 'entering' || p.phase === 'ended' || orders.length >= MAX_ORDERS)
+      continue;
     if (!which(p) || (p.kill.sentAt !== null && now - p.kill.sentAt < KILL_RESEND_MS)) continue;
     const { job, index, attempt } = p.entry;
     orders.push({ op: 'kill', job, index, attempt, graceS: p.kill.graceS });
@@ -106,8 +107,10 @@
       for (const p of m.placements.values()) waits ||= p.phase === 'entering';
       if (waits) continue;
     }
-    const nothingEnds = m.placements.size === 0 || (m.kept && [...m.placements.values()].every(runsOn));
-    if (authority === 'lead' && nothingEnds && usable(state, m, now) && now - since < idleHoldMs) continue;
+    const nothingEnds =
+      m.placements.size === 0 || (m.kept && [...m.placements.values()].every(runsOn));
+    if (authority === 'lead' && nothingEnds && usable(state, m, now) && now - since < idleHoldMs)
+      continue;
     m.ticket = null;
     state.waiting.delete(m);
     if (authority === 'none') {
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -66,7 +66,12 @@
   return best;
 };
 
-const place = (state: CoreState, job: Job, capacity: FreeCapacity, now: Instant): Placement | null => {
+const place = (
+  state: CoreState,
+  job: Job,
+  capacity: FreeCapacity,
+  now: Instant,
+): Placement | null => {
   const index = takePending(job);
   if (index === null) return null;
   if (!hasAttemptLeft(state)) {
@@ -124,18 +129,21 @@
     reserved = true;
     return false;
   };
-  const usableNow = (r: FreeCapacity) => fitsNow(job, r) && zoneAllows(job, r.machine) && allowed(r);
+  const usableNow = (r: FreeCapacity) =>
+    fitsNow(job, r) && zoneAllows(job, r.machine) && allowed(r);
   const order = candidates(state, job, capacities, now);
   // A service's replicas go to one machine after the other, an array's tasks fill each.
   const spread = isService(job);
   let capacity: FreeCapacity | null = null;
   while (job.pending > 0 && placed.length < most) {
-    if (suspect && job.held.size > 0) return { placed, blockedBy: 'its tasks fail on every machine' };
+    if (suspect && job.held.size > 0)
+      return { placed, blockedBy: 'its tasks fail on every machine' };
     if (tasksWithinLimit(state, job) < 1) return { placed, blockedBy: TEAM_LIMIT };
     if (spread) capacity = null;
     while (!capacity || !usableNow(capacity)) {
       const next: IteratorResult<FreeCapacity> = order.next();
-      if (next.done) return { placed, blockedBy: reserved ? 'room reserved for the head' : NO_MACHINE };
+      if (next.done)
+        return { placed, blockedBy: reserved ? 'room reserved for the head' : NO_MACHINE };
       capacity = next.value;
     }
     const outlasts = shadowAt === 0 || now + runMs(job) + fetchMs(job, capacity) > shadowAt;
--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -1,7 +1,13 @@
 /** The two exceptions to running tasks to their end: for an urgent head, and for replicas of critical services. */
 
 import { occupies } from './attempts.js';
-import { type FreeCapacity, fitsIn, mayUseMachine, resourcesWithout, zoneAllows } from './capacity.js';
+import {
+  type FreeCapacity,
+  fitsIn,
+  mayUseMachine,
+  resourcesWithout,
+  zoneAllows,
+} from './capacity.js';
 import type { Job, Placement } from './state.js';
 import { type Instant, isService, PRIORITY_LEVEL } from './types.js';
 
@@ -66,7 +72,8 @@
       stopped.push(p);
       if (!fitsIn(job, soon)) continue;
       // Only once a task of the head fits is anything stopped for it.
-      for (const victim of stopped) victim.kill = { graceS: (victim.job?.spec.saveS ?? 0) + 5, sentAt: null };
+      for (const victim of stopped)
+        victim.kill = { graceS: (victim.job?.spec.saveS ?? 0) + 5, sentAt: null };
       stopped = [];
       while (left > 0 && fitsIn(job, soon)) {
         soon.cpus -= cpus;
@@ -98,7 +105,9 @@
       continue;
     }
     const lower = all
-      .filter((p) => p.job && !p.kill && !isService(p.job) && PRIORITY_LEVEL[p.job.spec.priority] < level)
+      .filter(
+        (p) => p.job && !p.kill && !isService(p.job) && PRIORITY_LEVEL[p.job.spec.priority] < level,
+      )
       .map((p) => ({ p, loss: lossMs(p, now) }))
       .sort((a, b) => a.loss - b.loss);
     const victims: Placement[] = [];
--- a/src/core/rank.ts
+++ b/src/core/rank.ts
@@ -63,7 +63,12 @@
   return { ratio, ample: Math.max(ample, 1) };
 };
 
-export const deadlineScore = (spec: JobSpec, submittedAt: Instant, now: Instant, policy: Policy): number => {
+export const deadlineScore = (
+  spec: JobSpec,
+  submittedAt: Instant,
+  now: Instant,
+  policy: Policy,
+): number => {
   if (spec.deadlineS === null || spec.shape === 'service') return 0;
   const estimate = spec.estimateS * 1000;
   const deadline = submittedAt + spec.deadlineS * 1000;
--- a/src/core/rentals.ts
+++ b/src/core/rentals.ts
@@ -54,7 +54,8 @@
 
 /** Cheapest per processor first; of equals the more powerful. */
 const byPrice = (a: RentOption, b: RentOption): number => {
-  const price = (o: RentOption) => (o.spot ? o.type.spotPrice : o.type.price) / Math.max(o.type.cpus, 0.1);
+  const price = (o: RentOption) =>
+    (o.spot ? o.type.spotPrice : o.type.price) / Math.max(o.type.cpus, 0.1);
   return price(a) - price(b) || b.type.cpus - a.type.cpus || (a.key < b.key ? -1 : 1);
 };
 
@@ -157,7 +158,8 @@
   if (now - job.submittedAt < BESIDE_KEPT_MS || tasksWithinLimit(state, job) < 1) return false;
   for (const m of state.machines.values()) {
     const type = m.kept ? state.types.get(m.type) : undefined;
-    if (!type || !zoneAllows(job, m) || (job.spec.zone !== null && job.spec.zone !== m.zone)) continue;
+    if (!type || !zoneAllows(job, m) || (job.spec.zone !== null && job.spec.zone !== m.zone))
+      continue;
     const room = { cpus: type.cpus - m.usedCpus, gpus: type.gpus - m.usedGpus };
     if (job.spec.cpus <= room.cpus && job.spec.gpus <= room.gpus) return true;
   }
@@ -182,7 +184,8 @@
   const keptIsMissed = keptFree > 0 && jobs.some((job) => waitsBesideKept(state, job, now));
   const supply = need.supply - (keptIsMissed ? keptFree : 0);
   if (supply < need.cpus) {
-    const useful = jobs.length > 0 ? options.filter((o) => jobs.some((j) => optionSuits(j, o))) : options;
+    const useful =
+      jobs.length > 0 ? options.filter((o) => jobs.some((j) => optionSuits(j, o))) : options;
     rentFrom(state, useful, need.cpus - supply, now, effects);
   }
   // Jobs that only a few kinds of machine suit: see that at least their own share of those is there.
@@ -197,7 +200,9 @@
     const plain = !job.spec.oneZone && !job.spec.scatter;
     if (plain && suited.has(job.needs)) continue;
     // A service that must be spread waits for good where all machines are in a zone that has its half.
-    let there = options.some((o) => o.outstanding.size > 0 && optionSuits(job, o) && zoneAllows(job, o));
+    let there = options.some(
+      (o) => o.outstanding.size > 0 && optionSuits(job, o) && zoneAllows(job, o),
+    );
     for (const m of there ? [] : state.machines.values()) {
       const type = state.types.get(m.type);
       if (!type || !counted(m) || !mayUseMachine(job, m) || !zoneAllows(job, m)) continue;
--- a/src/core/reports.ts
+++ b/src/core/reports.ts
@@ -92,7 +92,12 @@
   return p;
 };
 
-const adoptReported = (state: CoreState, m: Machine, task: ReportedTask, now: Instant): Placement => {
+const adoptReported = (
+  state: CoreState,
+  m: Machine,
+  task: ReportedTask,
+  now: Instant,
+): Placement => {
   const spec = state.jobs.get(task.job)?.spec;
   const entry: LedgerEntry = {
     job: task.job,
@@ -125,7 +130,10 @@
       p.startedAt = now;
       if (job && isService(job)) {
         const fields = { job: job.spec.id, task: p.entry.index, machine: machine.id };
-        logEvent(effects, 'debug', 'replica runs', { ...fields, afterMs: Math.round(now - p.placedAt) });
+        logEvent(effects, 'debug', 'replica runs', {
+          ...fields,
+          afterMs: Math.round(now - p.placedAt),
+        });
       }
     }
     p.phase = task.phase;
@@ -166,18 +174,21 @@
   const { offered } = m;
   m.offered = null;
   const before = m.unheard;
-  if (report.session > m.session && m.answeredSession === m.session && m.session > 0) m.unheard += 1;
+  if (report.session > m.session && m.answeredSession === m.session && m.session > 0)
+    m.unheard += 1;
   else if (offered && report.session === m.session && report.seq > offered.seq) {
     const shown = new Set<number>(report.tasks.map((t) => t.attempt));
     m.unheard = offered.attempts.some((attempt) => shown.has(attempt)) ? 0 : m.unheard + 1;
   }
-  if (m.unheard > before && m.unheard >= UNHEARD_STOPS) m.shunUntil = later(now, state.config.leaseMs);
+  if (m.unheard > before && m.unheard >= UNHEARD_STOPS)
+    m.shunUntil = later(now, state.config.leaseMs);
   else if (m.unheard === 0) m.shunUntil = 0 as Instant;
   const { unprovenSince } = m;
   const unproven = unprovenSince !== null && now - unprovenSince > 1.5 * state.config.leaseMs;
   if (m.deaf || (m.unheard < UNHEARD_REPLACES && !unproven)) return;
   let deaf = 0;
-  for (const other of state.machines.values()) if (other.deaf || other.unheard >= UNHEARD_STOPS) deaf += 1;
+  for (const other of state.machines.values())
+    if (other.deaf || other.unheard >= UNHEARD_STOPS) deaf += 1;
   // When many seem deaf the fault is more likely our own slowness: replacing them would help nobody.
   if (deaf > Math.max(2, state.machines.size * DEAF_SHARE)) {
     m.unheard = Math.min(m.unheard, UNHEARD_STOPS);
@@ -201,7 +212,8 @@
   const known = state.machines.get(report.machine);
   if (
     known &&
-    (report.session < known.session || (report.session === known.session && report.seq <= known.seq))
+    (report.session < known.session ||
+      (report.session === known.session && report.seq <= known.seq))
   ) {
     return refuse();
   }
@@ -212,7 +224,8 @@
   if (m.ticket) state.waiting.add(m);
   else state.waiting.delete(m);
   const first = !m.everSeen;
-  if (first) logEvent(effects, 'debug', 'machine is up', { machine: m.id, type: m.type, zone: m.zone });
+  if (first)
+    logEvent(effects, 'debug', 'machine is up', { machine: m.id, type: m.type, zone: m.zone });
   m.session = report.session;
   m.seq = report.seq;
   m.everSeen = true;
@@ -230,7 +243,8 @@
   // Only a report that carries our term, on a session we answered, proves what is not on the machine:
   // a report sent before could be older than a start that a former leader's answer still brought.
   // Nor does a reply to direct orders, which may cross the answer to a check-in that is still under way.
-  const proof = ticket !== null && report.term === state.config.term && m.answeredSession === report.session;
+  const proof =
+    ticket !== null && report.term === state.config.term && m.answeredSession === report.session;
   if (proof && !m.ready) {
     m.ready = true;
     state.placementDue = true;
@@ -255,7 +269,8 @@
       if (seen.has(p.entry.attempt) || p.phase === 'entering') continue;
       // On its way, unless it went out in a session that has ended: what that one held is gone, and answers to its
       // reports are dropped. Sent again, it would run under an attempt that may have run before.
-      if (p.phase === 'offered' && !p.kill && (p.sentIn === null || p.sentIn === report.session)) continue;
+      if (p.phase === 'offered' && !p.kill && (p.sentIn === null || p.sentIn === report.session))
+        continue;
       release(state, p, now);
       m.placements.delete(p.entry.attempt);
     }
--- a/src/core/reservation.ts
+++ b/src/core/reservation.ts
@@ -1,7 +1,13 @@
 /** The head's reservation: what it misses is set aside up to the shadow time. */
 
 import { occupies } from './attempts.js';
-import { type FreeCapacity, fitsShadow, mayUseMachine, takeShadow, zoneAllows } from './capacity.js';
+import {
+  type FreeCapacity,
+  fitsShadow,
+  mayUseMachine,
+  takeShadow,
+  zoneAllows,
+} from './capacity.js';
 import { estimatedEnd } from './estimates.js';
 import type { Job, Placement } from './state.js';
 import type { Instant } from './types.js';
@@ -32,7 +38,9 @@
   let left = missing;
   let shadow = 0;
   for (const second of [...seconds.keys()].sort((a, b) => a - b)) {
-    const ends = seconds.get(second)!.sort((a, b) => a.at - b.at || a.p.entry.attempt - b.p.entry.attempt);
+    const ends = seconds
+      .get(second)!
+      .sort((a, b) => a.at - b.at || a.p.entry.attempt - b.p.entry.attempt);
     for (const end of ends) {
       if (left <= 0) return shadow;
       end.capacity.shadowCpus += end.p.entry.cpus;
--- a/src/core/returns.ts
+++ b/src/core/returns.ts
@@ -45,7 +45,8 @@
     // Services move once there is room for them elsewhere.
     if (!occupies(p.phase) || p.kill || (p.job && isService(p.job))) continue;
     const estimate = (p.job?.spec.estimateS ?? 0) * 1000;
-    const end = p.phase === 'running' && p.startedAt !== null ? p.startedAt + estimate : now + estimate;
+    const end =
+      p.phase === 'running' && p.startedAt !== null ? p.startedAt + estimate : now + estimate;
     if (end <= now + left) continue;
     const saves = (p.job?.spec.checkpointS ?? 0) > 0;
     p.kill = { graceS: saves ? Math.max(0, left / 1000 - 0.5) : 0, sentAt: null };
--- a/src/core/segments.ts
+++ b/src/core/segments.ts
@@ -5,11 +5,13 @@
 const RECORD_BYTES = 14_000;
 
 /** What a ledger record may hold, by the settings' bound for a value. */
-export const recordBytes = ({ valueBytes }: CoreConfig): number => Math.min(valueBytes * 0.96, RECORD_BYTES);
+export const recordBytes = ({ valueBytes }: CoreConfig): number =>
+  Math.min(valueBytes * 0.96, RECORD_BYTES);
 
 /** Where ledger records stand in the state service; the term in the name keeps every name new. */
 export const SEGMENTS = 'l/';
-export const segmentKey = (term: Term, n: number): SegmentKey => `${SEGMENTS}${term}/${n}` as SegmentKey;
+export const segmentKey = (term: Term, n: number): SegmentKey =>
+  `${SEGMENTS}${term}/${n}` as SegmentKey;
 
 export const openSegment = (state: CoreState, key: SegmentKey): Segment => {
   let segment = state.segments.get(key);
--- a/src/core/services.ts
+++ b/src/core/services.ts
@@ -10,10 +10,12 @@
 import { type ImageName, type Instant, isService, PRIORITY_LEVEL, seconds } from './types.js';
 
 /** Replicas of critical services go ahead of the queue; those of others wait in it. */
-export const goesFirst = (job: Job): boolean => isService(job) && PRIORITY_LEVEL[job.spec.priority] === 3;
+export const goesFirst = (job: Job): boolean =>
+  isService(job) && PRIORITY_LEVEL[job.spec.priority] === 3;
 
 /** A service that only ordinary machines suit. */
-const ordinaryOnly = (job: Job): boolean => isService(job) && !job.spec.spotOk && job.final === 'none';
+const ordinaryOnly = (job: Job): boolean =>
+  isService(job) && !job.spec.spotOk && job.final === 'none';
 
 /** The machine is about to go: replicas on it move. */
 export const isLeaving = (m: Machine): boolean =>
@@ -66,7 +68,8 @@
     const type = state.types.get(m.type);
     const was = m.kept;
     m.kept = false;
-    if (left <= 0 || m.spot || !type || !m.everSeen || isLeaving(m) || m.deaf || m.lostAt !== null) continue;
+    if (left <= 0 || m.spot || !type || !m.everSeen || isLeaving(m) || m.deaf || m.lostAt !== null)
+      continue;
     let replicas = 0;
     for (const p of m.placements.values()) if (isReplica(p)) replicas += 1;
     const rank = replicas > 0 ? 2 : was ? 1 : 0;
@@ -145,7 +148,11 @@
   for (const capacity of capacities) {
     const startsIn = startsInMs(state, job, capacity, now);
     const tier = job.failedOn.has(capacity.machine.id) ? FAILED : Math.floor(startsIn / AS_SOON_MS);
-    const item = { capacity, startsIn: Math.floor(startsIn / 1000), there: there.get(capacity.machine) ?? 0 };
+    const item = {
+      capacity,
+      startsIn: Math.floor(startsIn / 1000),
+      there: there.get(capacity.machine) ?? 0,
+    };
     const list = tiers.get(tier);
     if (list) list.push(item);
     else tiers.set(tier, [item]);
@@ -162,7 +169,10 @@
 }
 
 /** One room after the other, until each has this many. */
-function* inTurn<T>(tier: readonly { readonly capacity: T; there: number }[], limit: number): Generator<T> {
+function* inTurn<T>(
+  tier: readonly { readonly capacity: T; there: number }[],
+  limit: number,
+): Generator<T> {
   for (let most = 1; most <= limit; most += 1) {
     for (const item of tier) {
       if (item.there >= most) continue;
--- a/src/core/state.ts
+++ b/src/core/state.ts
@@ -49,7 +49,14 @@
  * entering: its ledger entry is being written; offered: its start goes out with every answer;
  * the rest as the worker reports.
  */
-export type Phase = 'recorded' | 'entering' | 'offered' | 'fetching' | 'running' | 'saving' | 'ended';
+export type Phase =
+  | 'recorded'
+  | 'entering'
+  | 'offered'
+  | 'fetching'
+  | 'running'
+  | 'saving'
+  | 'ended';
 
 export interface Placement {
   readonly entry: LedgerEntry;
--- a/src/core/step.ts
+++ b/src/core/step.ts
@@ -10,7 +10,14 @@
 import { onReport } from './reports.js';
 import { settleSegment } from './segments.js';
 import type { CoreState } from './state.js';
-import { type Authority, type Command, type Effect, type Instant, later, type Millis } from './types.js';
+import {
+  type Authority,
+  type Command,
+  type Effect,
+  type Instant,
+  later,
+  type Millis,
+} from './types.js';
 
 const TICK_MS = 500;
 /** Rounds without an event, so that scores that change with time alone take effect. */
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -117,7 +117,12 @@
 }
 
 export type Order =
-  | { readonly op: 'start'; readonly job: JobId; readonly index: TaskIndex; readonly attempt: Attempt }
+  | {
+      readonly op: 'start';
+      readonly job: JobId;
+      readonly index: TaskIndex;
+      readonly attempt: Attempt;
+    }
   | {
       readonly op: 'kill';
       readonly job: JobId;
@@ -125,7 +130,12 @@
       readonly attempt: Attempt;
       readonly graceS: number;
     }
-  | { readonly op: 'reap'; readonly job: JobId; readonly index: TaskIndex; readonly attempt: Attempt };
+  | {
+      readonly op: 'reap';
+      readonly job: JobId;
+      readonly index: TaskIndex;
+      readonly attempt: Attempt;
+    };
 
 /** What the placement ledger holds of one attempt: enough to count it when its job is gone. */
 export interface LedgerEntry {
@@ -182,7 +192,11 @@
     }
   | { readonly kind: 'segment-gone'; readonly key: SegmentKey }
   /** Records of an extension, stored together. */
-  | { readonly kind: 'extension'; readonly extension: string; readonly writes: readonly RecordWrite[] }
+  | {
+      readonly kind: 'extension';
+      readonly extension: string;
+      readonly writes: readonly RecordWrite[];
+    }
   | {
       readonly kind: 'final';
       readonly job: JobId;
@@ -238,7 +252,11 @@
       readonly revision?: Revision;
     }
   | { readonly kind: 'types'; readonly types: readonly MachineType[] }
-  | { readonly kind: 'listed'; readonly askedAt: Instant; readonly machines: readonly ListedMachine[] }
+  | {
+      readonly kind: 'listed';
+      readonly askedAt: Instant;
+      readonly machines: readonly ListedMachine[];
+    }
   | {
       readonly kind: 'rented';
       readonly request: RequestName;
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -161,7 +161,8 @@
       const fresh = await parts.cloud.types();
       if (fresh) use(fresh);
       // Larger than a value may be, it is left out: the cloud tells it too.
-      const small = Buffer.byteLength(JSON.stringify(fresh)) <= parts.settings.stateLimits.valueBytes;
+      const small =
+        Buffer.byteLength(JSON.stringify(fresh)) <= parts.settings.stateLimits.valueBytes;
       if (fresh && small && (await stored) === 'absent') {
         await parts.state.txn(
           [{ key: TYPES_KEY, revision: 0 as Revision }],
@@ -200,7 +201,9 @@
   /** Answers an operator's call to an extension: here when this node leads, else by the leader; null when neither can. */
   async operate(extension: string, call: OperatorCall): Promise<OperatorAnswer | null> {
     if (this.leading) return this.leading.operate(extension, call);
-    const answer = await this.users.leaderPeer()?.ask({ ask: 'operate', extension, call }, OPERATE_MS);
+    const answer = await this.users
+      .leaderPeer()
+      ?.ask({ ask: 'operate', extension, call }, OPERATE_MS);
     return readOperatorAnswer(answer);
   }
 
--- a/src/service/leadership.ts
+++ b/src/service/leadership.ts
@@ -65,9 +65,21 @@
   readonly owner: Owner;
   private readonly persister: Persister;
   private readonly tickets = new TicketCounter();
-  private readonly checkIns = new PendingAnswers<readonly Order[] | null>(this.tickets, TICKET_MS, null);
-  private readonly operatorCalls = new PendingAnswers<OperatorAnswer | null>(this.tickets, OPERATE_MS, null);
-  private readonly aborts = new PendingAnswers<Outcome | null | 'late'>(this.tickets, ABORT_MS, 'late');
+  private readonly checkIns = new PendingAnswers<readonly Order[] | null>(
+    this.tickets,
+    TICKET_MS,
+    null,
+  );
+  private readonly operatorCalls = new PendingAnswers<OperatorAnswer | null>(
+    this.tickets,
+    OPERATE_MS,
+    null,
+  );
+  private readonly aborts = new PendingAnswers<Outcome | null | 'late'>(
+    this.tickets,
+    ABORT_MS,
+    'late',
+  );
   /** Workers turned away while this node was cut off from all but them, and when. */
   private readonly released = new Map<MachineId, number>();
   /** When jobs came in, of late. */
@@ -112,7 +124,13 @@
       steadyNow,
       quota.cores,
     );
-    this.persister = new Persister(parts.batchState, term, parts.log, parts.jitter, stateLimits.txnOps);
+    this.persister = new Persister(
+      parts.batchState,
+      term,
+      parts.log,
+      parts.jitter,
+      stateLimits.txnOps,
+    );
   }
 
   start(): void {
@@ -259,7 +277,10 @@
     this.arrivals = this.arrivals.filter((at) => now - at < ARRIVALS_MS);
     const { writeRps } = this.parts.settings.stateLimits;
     const admissions = (this.arrivals.length * 1000) / ARRIVALS_MS / writeRps;
-    const share = Math.min(MOST_BATCH_WRITES, Math.max(BATCH_WRITES, MOST_BATCH_WRITES - admissions));
+    const share = Math.min(
+      MOST_BATCH_WRITES,
+      Math.max(BATCH_WRITES, MOST_BATCH_WRITES - admissions),
+    );
     this.parts.batchState.scaleWrites(share / BATCH_WRITES);
   }
 
@@ -344,15 +365,24 @@
   /** The orders for a worker; 'elsewhere' when it should turn to another node; null for "not now". */
   async checkIn(report: Report): Promise<readonly Order[] | 'elsewhere' | null> {
     if (report.term > this.term) {
-      this.parts.log.info({ machine: report.machine, term: report.term }, 'a worker has seen a higher term');
+      this.parts.log.info(
+        { machine: report.machine, term: report.term },
+        'a worker has seen a higher term',
+      );
       this.election.deposed();
       return 'elsewhere';
     }
     const authority = this.authority();
     if (authority === 'none') return 'elsewhere';
-    if (authority === 'keep-alive' && this.events.isIsolated() && this.sendsElsewhere(report.machine))
+    if (
+      authority === 'keep-alive' &&
+      this.events.isIsolated() &&
+      this.sendsElsewhere(report.machine)
+    )
       return 'elsewhere';
-    const orders = await this.checkIns.ask((ticket) => this.owner.submit({ kind: 'report', report, ticket }));
+    const orders = await this.checkIns.ask((ticket) =>
+      this.owner.submit({ kind: 'report', report, ticket }),
+    );
     if (!orders || !this.current) return null;
     // The process may have stood still since the orders were decided: right and time are looked at again as they go out.
     const now = this.authority();
--- a/src/service/persister.ts
+++ b/src/service/persister.ts
@@ -87,7 +87,10 @@
     const units: Unit[] = [];
     for (const op of ops) {
       if (op.kind === 'final') {
-        const writes: Write[] = [{ put: finalKey(op.job), value: writeFinal(op) }, { del: jobKey(op.job) }];
+        const writes: Write[] = [
+          { put: finalKey(op.job), value: writeFinal(op) },
+          { del: jobKey(op.job) },
+        ];
         units.push({ op, writes });
       } else if (op.kind === 'extension') {
         const writes = op.writes.map((write) => this.extensionWrite(op.extension, write));
@@ -134,7 +137,10 @@
     if (!this.toldTooLarge) {
       this.toldTooLarge = true;
       const changes = units.reduce((sum, unit) => sum + unit.writes.length, 0);
-      this.log.info({ changes }, 'the state service refuses a batch as too large: cutting it smaller');
+      this.log.info(
+        { changes },
+        'the state service refuses a batch as too large: cutting it smaller',
+      );
     }
     if (units.length > 1) {
       const half = Math.ceil(units.length / 2);
@@ -160,7 +166,10 @@
     const whole = op.kind === 'segment' ? op.key : null;
     for (const half of halves) {
       if (
-        !(await this.store([{ op: half, writes: [{ put: half.key, value: writeSegment(half) }] }], refused))
+        !(await this.store(
+          [{ op: half, writes: [{ put: half.key, value: writeSegment(half) }] }],
+          refused,
+        ))
       )
         return false;
       if (whole !== null) this.rememberPieces(whole, half.key);
@@ -195,7 +204,9 @@
       }
       await sleep(
         this.jitter.around(
-          result === 'refused' && !this.state.down ? 120 : Math.min(1000, 60 * 2 ** Math.min(tries, 4)),
+          result === 'refused' && !this.state.down
+            ? 120
+            : Math.min(1000, 60 * 2 ** Math.min(tries, 4)),
         ),
       );
     }
--- a/src/service/records.ts
+++ b/src/service/records.ts
@@ -31,7 +31,8 @@
 
 /** Each extension's records stand under a prefix of its own; versions without the extension never look there. */
 export const extensionPrefix = (extension: string): string => `${EXTENSIONS}${extension}/`;
-export const extensionKey = (extension: string, key: string): string => extensionPrefix(extension) + key;
+export const extensionKey = (extension: string, key: string): string =>
+  extensionPrefix(extension) + key;
 
 export const jobKey = (id: JobId): string => `${JOBS}${id}`;
 export const finalKey = (id: JobId): string => `${FINALS}${id}`;
@@ -114,7 +115,11 @@
   return r.success ? (r.output as unknown as MachineType[]) : null;
 };
 
-const finalSchema = v.object({ o: v.picklist(['done', 'cancelled']), n: v.number(), t: v.string() });
+const finalSchema = v.object({
+  o: v.picklist(['done', 'cancelled']),
+  n: v.number(),
+  t: v.string(),
+});
 
 export interface FinalRecord {
   readonly outcome: Outcome;
@@ -125,7 +130,9 @@
 export const writeFinal = (f: FinalRecord) => ({ o: f.outcome, n: f.tasks, t: f.team });
 export const readFinal = (value: unknown): FinalRecord | null => {
   const r = v.safeParse(finalSchema, value);
-  return r.success ? { outcome: r.output.o, tasks: r.output.n, team: r.output.t as TeamName } : null;
+  return r.success
+    ? { outcome: r.output.o, tasks: r.output.n, team: r.output.t as TeamName }
+    : null;
 };
 
 // One record holds what a batch entered and finished: jobs are named once, and rows count from 0 in that list.
@@ -135,7 +142,13 @@
   j: v.array(v.tuple([v.string(), v.string(), amount, amount, amount])),
   /** [machine, type, zone, spot, [[job's row, task, attempt], ...]] */
   m: v.array(
-    v.tuple([v.string(), v.string(), v.string(), v.boolean(), v.array(v.tuple([whole, whole, whole]))]),
+    v.tuple([
+      v.string(),
+      v.string(),
+      v.string(),
+      v.boolean(),
+      v.array(v.tuple([whole, whole, whole])),
+    ]),
   ),
   /** [job, block, bits of done tasks in base64] */
   d: v.array(v.tuple([v.string(), whole, v.string()])),
--- a/src/service/users.ts
+++ b/src/service/users.ts
@@ -111,7 +111,8 @@
     const team = this.parts.settings.teams.get(spec.team);
     const no = (reason: string) => ({ kind: 'impossible' as const, reason });
     if (!team) return no(`unknown team ${spec.team}`);
-    if (spec.cpus > team.cpusMax || spec.gpus > team.gpusMax) return no("a task exceeds the team's limit");
+    if (spec.cpus > team.cpusMax || spec.gpus > team.gpusMax)
+      return no("a task exceeds the team's limit");
     const replicas = isService({ spec }) ? spec.tasks : 1;
     if (spec.cpus * replicas > team.cpusMax || spec.gpus * replicas > team.gpusMax)
       return no("all replicas together exceed the team's limit");
@@ -139,7 +140,10 @@
     const fault = this.fault(parsed);
     if (fault) return this.refuse(id, fault);
     const record: JobRecord = { at: Date.now(), spec: parsed };
-    if (Buffer.byteLength(JSON.stringify(writeJob(record))) > this.parts.settings.stateLimits.valueBytes) {
+    if (
+      Buffer.byteLength(JSON.stringify(writeJob(record))) >
+      this.parts.settings.stateLimits.valueBytes
+    ) {
       return this.refuse(id, TOO_LARGE);
     }
     return this.parts.state.down
@@ -274,7 +278,8 @@
       }
     }
     const view = await this.storedView(id);
-    if (typeof view === 'object' && (view.status === 'queued' || view.status === 'running')) return 'later';
+    if (typeof view === 'object' && (view.status === 'queued' || view.status === 'running'))
+      return 'later';
     return view;
   }
 
@@ -325,7 +330,11 @@
     const answer = await this.leaderPeer()?.ask({ ask: 'explain', job: id }, PEER_MS);
     if (answer) return answer;
     if (!this.parts.state.down) return null;
-    return { id, waiting: 'the state service is away: nothing starts until it is back', state: 'away' };
+    return {
+      id,
+      waiting: 'the state service is away: nothing starts until it is back',
+      state: 'away',
+    };
   }
 
   async list(team: TeamName): Promise<readonly JobView[] | null> {
--- a/test/api-limits.test.ts
+++ b/test/api-limits.test.ts
@@ -52,7 +52,9 @@
     );
     const at = `127.0.0.1:${port}`;
     await until(() => server.listening);
-    const waiting = Array.from({ length: MAX_IN_FLIGHT }, () => post(at, '/slow', undefined, 'GET'));
+    const waiting = Array.from({ length: MAX_IN_FLIGHT }, () =>
+      post(at, '/slow', undefined, 'GET'),
+    );
     await until(() => held.length === MAX_IN_FLIGHT);
     const refused = await post(at, '/slow', undefined, 'GET');
     expect([refused?.status, refused?.headers['retry-after']]).toEqual([503, '1']);
--- a/test/backfill.test.ts
+++ b/test/backfill.test.ts
@@ -185,7 +185,13 @@
   });
 
   /** A fleet that is mostly busy, with more waiting than fits; what a round looks at is counted. */
-  const fleet = (machines: number, jobs: number, largest: number, running: number, services = false) => {
+  const fleet = (
+    machines: number,
+    jobs: number,
+    largest: number,
+    running: number,
+    services = false,
+  ) => {
     const kinds = ['small', 'big', 'big'];
     const drawn: DrawnWorld = {
       jobs: Array.from({ length: jobs }, (_, i) => ({
@@ -215,7 +221,11 @@
         heardAgoMs: 0,
         waits: i % 2 === 0,
       })),
-      running: Array.from({ length: running }, (_, i) => ({ job: i, machine: i, startedAgo: i % 30 })),
+      running: Array.from({ length: running }, (_, i) => ({
+        job: i,
+        machine: i,
+        startedAgo: i % 30,
+      })),
       head: 0,
     };
     const { state, world } = worldOf(drawn, machines * 5, machines * 4);
@@ -250,7 +260,9 @@
       // The head has more than ever fits, so that it reserves.
       const once = fleet(990, 200, 5000, 2970, services);
       const twice = fleet(1980, 400, 10_000, 5940, services);
-      const placed = [once, twice].map(({ state }) => runRound(state, NOW as Instant).placed.length);
+      const placed = [once, twice].map(
+        ({ state }) => runRound(state, NOW as Instant).placed.length,
+      );
       expect(Math.min(...placed)).toBeGreaterThan(1000);
       for (const { state } of [once, twice]) expect(state.shadowAt).not.toBeNull();
       expect(twice.looked()).toBeLessThan(2.6 * once.looked());
@@ -295,7 +307,13 @@
       m.ready = true;
       m.lastSeen = 64_000 as Instant;
       state.machines.set(m.id, m);
-      const sweep = job('job-1', { priority: 'best_effort', tasks: 4, cpus: 2, estimateS: 500, ...victim });
+      const sweep = job('job-1', {
+        priority: 'best_effort',
+        tasks: 4,
+        cpus: 2,
+        estimateS: 500,
+        ...victim,
+      });
       state.jobs.set(sweep.id, newJob(sweep, 0 as Instant));
       for (const p of runRound(state, 0 as Instant).placed) {
         p.phase = 'running';
@@ -344,7 +362,8 @@
 
 describe('the deadline score', () => {
   const spec = job('job-1', { estimateS: 10, deadlineS: 100 });
-  const at = (s: number) => deadlineScore(spec, 0 as Instant, (s * 1000) as Instant, DEFAULT_POLICY);
+  const at = (s: number) =>
+    deadlineScore(spec, 0 as Instant, (s * 1000) as Instant, DEFAULT_POLICY);
   it('is the least before the threshold, grows to the most at the deadline, and is nothing after', () => {
     expect([at(0), at(69), at(70), at(80), at(90), at(91)]).toEqual([1, 1, 1, 5.5, 10, 0]);
   });
--- a/test/check-ins.test.ts
+++ b/test/check-ins.test.ts
@@ -17,7 +17,11 @@
 
 const MAX_BODY = 1000;
 
-const request = (body: string, headers: readonly string[] = [], line = 'POST /checkin HTTP/1.1'): string =>
+const request = (
+  body: string,
+  headers: readonly string[] = [],
+  line = 'POST /checkin HTTP/1.1',
+): string =>
   `${[line, 'Host: 10.0.0.1', `Content-Length: ${body.length}`, ...headers].join('\r\n')}\r\n\r\n${body}`;
 
 const kindOf = (text: string): Framing['kind'] => frameCheckIn(Buffer.from(text), MAX_BODY).kind;
@@ -64,7 +68,9 @@
 });
 
 /** A connection that gathers what comes back. */
-const dial = async (port: number): Promise<{ socket: Socket; text: () => string; closed: () => boolean }> => {
+const dial = async (
+  port: number,
+): Promise<{ socket: Socket; text: () => string; closed: () => boolean }> => {
   let text = '';
   let closed = false;
   const socket = connect(port, '127.0.0.1');
@@ -115,7 +121,8 @@
     for (const byte of request('{"n":1}')) socket.write(byte);
     await until(() => answersIn(text()) === 1);
     socket.write(
-      request('{"n":2}') + request('{"n":"\u00e4"}').replace('Content-Length: 9', 'Content-Length: 10'),
+      request('{"n":2}') +
+        request('{"n":"\u00e4"}').replace('Content-Length: 9', 'Content-Length: 10'),
     );
     await until(() => answersIn(text()) === 3);
     expect(bodies).toEqual(['{"n":1}', '{"n":2}', '{"n":"\u00e4"}']);
@@ -205,7 +212,11 @@
       decision = { kind: 'elsewhere', leader: null };
       await ask(told, other);
       await ask('[1]', other);
-      decision = { kind: 'orders', term: 7, orders: [{ op: 'reap', job: 'job-1', index: 2, attempt: 3 }] };
+      decision = {
+        kind: 'orders',
+        term: 7,
+        orders: [{ op: 'reap', job: 'job-1', index: 2, attempt: 3 }],
+      };
       await ask(told, other);
     }
     expect(answers.slice(0, 5)).toEqual([
--- a/test/compound-failures.test.ts
+++ b/test/compound-failures.test.ts
@@ -79,7 +79,11 @@
       step(state, commands, now as Instant, 'lead');
     run(0, { kind: 'types', types: [type('c8')] }, { kind: 'loaded' });
     run(10, { kind: 'listed', askedAt: 0 as Instant, machines: [] });
-    const asked = run(3000, { kind: 'job', spec: job('job-1', { tasks: 4 }), submittedAt: 3000 as Instant });
+    const asked = run(3000, {
+      kind: 'job',
+      spec: job('job-1', { tasks: 4 }),
+      submittedAt: 3000 as Instant,
+    });
     const more = [...asked, ...run(3600, { kind: 'tick' })];
     const rent = more.find((e) => e.kind === 'rent');
     if (rent?.kind !== 'rent') throw new Error('rents nothing');
@@ -98,7 +102,11 @@
     expect(answers).toMatchObject([{ ticket: 1, orders: [] }]);
     // It was carried out all the same, and is learnt of late: the next answer brings the starts.
     run(6000, { kind: 'saved', batch: save.batch });
-    const second = run(6100, { kind: 'report', report: report('n-1', 2, 7, []), ticket: 2 as Ticket });
+    const second = run(6100, {
+      kind: 'report',
+      report: report('n-1', 2, 7, []),
+      ticket: 2 as Ticket,
+    });
     const sent = second.flatMap((e) => (e.kind === 'answer' && e.orders ? e.orders : []));
     expect(sent.map((o) => o.op)).toEqual(['start', 'start', 'start', 'start']);
     // The leader ends. Its successor knows each of them before it hears the machine, and starts none again.
@@ -148,7 +156,9 @@
               ledger = ledger.filter((x) => x.kind !== 'segment' || x.key !== op.key);
             else finals += 1;
           }
-          all.push(...keep(step(state, [{ kind: 'saved', batch: e.batch }], now as Instant, 'lead')));
+          all.push(
+            ...keep(step(state, [{ kind: 'saved', batch: e.batch }], now as Instant, 'lead')),
+          );
         }
         return all;
       };
@@ -172,7 +182,13 @@
         const tasks = [...attempts]
           .filter(([index]) => !reaped.has(index))
           .map(([index, attempt]) =>
-            task('job-1', index, attempt, index < ends ? 'ended' : 'running', index < ends ? 'done' : null),
+            task(
+              'job-1',
+              index,
+              attempt,
+              index < ends ? 'ended' : 'running',
+              index < ends ? 'done' : null,
+            ),
           );
         const told = report('n-1', term * 100 + i, i < 1 ? term - 1 : term, tasks);
         const effects = keep(
--- a/test/direct-orders.test.ts
+++ b/test/direct-orders.test.ts
@@ -66,7 +66,9 @@
     );
     const { port } = server.address() as AddressInfo;
     const client = new WorkerClient(5);
-    const orders = Array.from({ length: 40 }, () => client.orders(`127.0.0.1:${port}`, 7 as Term, 1, []));
+    const orders = Array.from({ length: 40 }, () =>
+      client.orders(`127.0.0.1:${port}`, 7 as Term, 1, []),
+    );
     await Promise.all(orders);
     expect(asked).toBe(40);
     expect(most).toBeLessThanOrEqual(5);
--- a/test/duplicated-reports.test.ts
+++ b/test/duplicated-reports.test.ts
@@ -38,14 +38,19 @@
       expect(s.state.machines.get('n-1' as MachineId)!.lastSeen).toBe(lastSeen);
     }
     s.send({ kind: 'deleted', machines: ['n-1' as MachineId], ok: true });
-    s.send({ kind: 'report', report: report('n-1', 200, 7, starts.map(running)), ticket: 501 as Ticket });
+    s.send({
+      kind: 'report',
+      report: report('n-1', 200, 7, starts.map(running)),
+      ticket: 501 as Ticket,
+    });
     expect(s.state.machines.size).toBe(0);
     expect(s.state.jobs.get('job-1' as JobId)?.pending).toBe(3);
   });
 
   it('that show a new leader a machine first, free nothing of its ledger, and it is replaced when dead', () => {
     const state = core();
-    const send = (now: number, ...commands: Command[]) => step(state, commands, now as Instant, 'lead');
+    const send = (now: number, ...commands: Command[]) =>
+      step(state, commands, now as Instant, 'lead');
     const segment = segmentKey(6 as Term, 1);
     send(
       0,
@@ -64,7 +69,8 @@
     send(9000, { kind: 'report', report: report('n-1', 2, 6, []), ticket: 2 as Ticket });
     expect(state.usage.get('blue' as TeamName)?.cpus).toBe(2);
     let deleted = false;
-    for (let now = 9500; now < 30_000; now += 500) deleted ||= asked(send(now, { kind: 'tick' }), 'n-1');
+    for (let now = 9500; now < 30_000; now += 500)
+      deleted ||= asked(send(now, { kind: 'tick' }), 'n-1');
     expect(deleted).toBe(true);
   });
 
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -44,7 +44,9 @@
     return {
       get: () =>
         this.carry(() =>
-          this.key ? { key: 'leader', value: this.key.value, revision: this.key.revision } : 'absent',
+          this.key
+            ? { key: 'leader', value: this.key.value, revision: this.key.revision }
+            : 'absent',
         ),
       grant: (lifeMs: number) =>
         this.carry(() => {
@@ -66,7 +68,8 @@
       txn: (guards: Guard[], writes: Write[]) =>
         this.carry(() => {
           const write = writes[0]!;
-          if (!('put' in write) || guards[0]!.revision !== (this.key?.revision ?? 0)) return 'conflict';
+          if (!('put' in write) || guards[0]!.revision !== (this.key?.revision ?? 0))
+            return 'conflict';
           if (!this.ends.has(write.lease!)) return 'expired';
           this.change({ value: write.value, lease: write.lease! });
           return { revision: this.revision as Revision };
@@ -97,7 +100,14 @@
   const start = (state: SlowState, node: string, terms: Term[], seed: number) => {
     const events = { acquired: (term: Term) => void terms.push(term), lost: () => {} };
     const log = pino({ level: 'silent' });
-    const election = new Election(node as NodeId, state.client(), LEASE_MS, events, log, new Jitter(seed));
+    const election = new Election(
+      node as NodeId,
+      state.client(),
+      LEASE_MS,
+      events,
+      log,
+      new Jitter(seed),
+    );
     void election.run();
     return election;
   };
@@ -121,7 +131,9 @@
     const state = new SlowState();
     state.delayMs = 3;
     const terms: Term[] = [];
-    const running = ['node-0', 'node-1', 'node-2'].map((node, i) => start(state, node, terms, i + 1));
+    const running = ['node-0', 'node-1', 'node-2'].map((node, i) =>
+      start(state, node, terms, i + 1),
+    );
     const draw = new Jitter(77);
     for (let i = 0; i < 200; i += 1) {
       await vi.advanceTimersByTimeAsync(draw.around(300));
--- a/test/extensions.test.ts
+++ b/test/extensions.test.ts
@@ -37,7 +37,9 @@
     for (const id of ['n-1', 'n-2']) {
       const starts = s.starts(s.checkIn(id));
       s.checkIn(id, starts.map(running), i === 9 && id === 'n-1' ? { noticeS: 20 } : {});
-      const done = starts.map((o) => ended(o, o.job === 'job-2' ? null : i === 3 ? 'error' : 'done'));
+      const done = starts.map((o) =>
+        ended(o, o.job === 'job-2' ? null : i === 3 ? 'error' : 'done'),
+      );
       s.checkIn(id, done);
     }
     s.pass(3000);
@@ -55,14 +57,19 @@
     ]);
     const plain = playDay(off);
     const withIdle = playDay(on);
-    const extra = withIdle.filter((e) => e.kind === 'save' && e.ops.some((op) => op.kind === 'extension'));
+    const extra = withIdle.filter(
+      (e) => e.kind === 'save' && e.ops.some((op) => op.kind === 'extension'),
+    );
     expect(plain.length).toBeGreaterThan(100);
     expect(plain.some((e) => e.kind === 'delete')).toBe(true);
     expect(plain.some((e) => e.kind === 'rent')).toBe(true);
     // Only disruptions that nobody chose are written down by the package.
     const comparable = (effects: readonly Effect[]) =>
       effects
-        .filter((e) => e.kind === 'rent' || e.kind === 'delete' || e.kind === 'orders' || e.kind === 'answer')
+        .filter(
+          (e) =>
+            e.kind === 'rent' || e.kind === 'delete' || e.kind === 'orders' || e.kind === 'answer',
+        )
         .map((e) => JSON.stringify(e));
     expect(comparable(withIdle)).toEqual(comparable(plain));
     expect(withIdle.length - plain.length).toBeLessThanOrEqual(2 * extra.length);
@@ -99,7 +106,9 @@
     );
     expect(s.effects.some((e) => e.kind === 'final')).toBe(true);
     expect(asked).toBeGreaterThan(3);
-    const notes = s.effects.filter((e) => e.kind === 'note' && e.text.startsWith('extension failed'));
+    const notes = s.effects.filter(
+      (e) => e.kind === 'note' && e.text.startsWith('extension failed'),
+    );
     expect(notes.length).toBeGreaterThan(3);
   });
 
@@ -195,7 +204,9 @@
     ];
     expect(await persister.save(ops)).toEqual([]);
     expect(
-      await persister.save([{ kind: 'extension', extension: 'drain', writes: [{ key: 'a', value: null }] }]),
+      await persister.save([
+        { kind: 'extension', extension: 'drain', writes: [{ key: 'a', value: null }] },
+      ]),
     ).toEqual([]);
     expect(sent).toEqual([
       {
--- a/test/isolated-leader.test.ts
+++ b/test/isolated-leader.test.ts
@@ -3,7 +3,16 @@
 import { parseEndpoint } from '../src/adapters/settings.js';
 import type { Authority, MachineId, RequestName, TypeName, ZoneName } from '../src/core/types.js';
 import { Cloud, post } from './stand-ins/cloud.js';
-import { body, cleanUp, cleanups, cluster, freePort, type Node, status, until } from './stand-ins/cluster.js';
+import {
+  body,
+  cleanUp,
+  cleanups,
+  cluster,
+  freePort,
+  type Node,
+  status,
+  until,
+} from './stand-ins/cluster.js';
 
 afterEach(cleanUp);
 
@@ -47,7 +56,9 @@
     expect((await post(nodes[0]!.at, '/api/jobs', body('job-36')))?.status).toBe(503);
     fronts[0]!.refuse = false;
     await until(async () => (await up()) === 200);
-    await until(async () => (await post(nodes[0]!.at, '/api/jobs', body('job-36')))?.status === 201);
+    await until(
+      async () => (await post(nodes[0]!.at, '/api/jobs', body('job-36')))?.status === 201,
+    );
   });
 
   it('from the state service and its peers, but not its workers, lets them go to the next leader', async () => {
@@ -57,7 +68,9 @@
     await until(() => old.controller.authority() === 'lead');
     cloud.taskMs = 10_000_000;
     // With report periods of 2 s none of the three machines is silent for too long while it finds the next leader.
-    await until(async () => (await post(old.at, '/api/jobs', body('job-37', { Cpus: 8 })))?.status === 201);
+    await until(
+      async () => (await post(old.at, '/api/jobs', body('job-37', { Cpus: 8 })))?.status === 201,
+    );
     await until(async () => (await status(old.at, 'job-37'))?.body.running === 3);
     fronts[0]!.refuse = true;
     await until(() => next.controller.authority() === 'lead');
@@ -84,7 +97,10 @@
   it('sends no start that it decided before: right and time are looked at as the answer goes out', async () => {
     const { nodes, cloud } = await cluster(1);
     const { at, controller } = nodes[0]!;
-    type Inside = { authority(): Authority; carryOut(effect: { kind: string; orders?: unknown[] }): void };
+    type Inside = {
+      authority(): Authority;
+      carryOut(effect: { kind: string; orders?: unknown[] }): void;
+    };
     const { leading } = controller as unknown as { leading: Inside };
     let frozen = false;
     let decided = 0;
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -36,7 +36,8 @@
         { Piece: 'job-2/1', Try: 2, Status: 'running' },
       ],
     });
-    for (let tick = 1; tick <= 20; tick += 1) for (const name of names) reader.read(body(name, tick));
+    for (let tick = 1; tick <= 20; tick += 1)
+      for (const name of names) reader.read(body(name, tick));
     expect(reader.checked).toBe(2 * FLEET);
     expect(reader.remembered).toBe(FLEET);
   });
@@ -81,7 +82,11 @@
     s.pass(2000);
     expect(counting.visited / (4 * FLEET)).toBeLessThan(24);
     counting.visited = 0;
-    s.send({ kind: 'report', report: { ...s.lastReport('n-000001'), seq: 1_000_000 }, ticket: null });
+    s.send({
+      kind: 'report',
+      report: { ...s.lastReport('n-000001'), seq: 1_000_000 },
+      ticket: null,
+    });
     expect(counting.visited).toBe(0);
   }, 60_000);
 
@@ -118,7 +123,10 @@
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     cleanups.push(() => server.close());
     const rps = 30;
-    const cloud = new CloudClient(parseEndpoint(`127.0.0.1:${(server.address() as AddressInfo).port}`), rps);
+    const cloud = new CloudClient(
+      parseEndpoint(`127.0.0.1:${(server.address() as AddressInfo).port}`),
+      rps,
+    );
     cleanups.push(() => cloud.close());
     const listed = await cloud.list();
     expect(listed?.map((m) => m.id)).toEqual(names as MachineId[]);
--- a/test/ledger.test.ts
+++ b/test/ledger.test.ts
@@ -31,7 +31,11 @@
       [2, 7],
     ] as const) {
       for (const [i, id] of ids.entries()) {
-        s.send({ kind: 'report', report: report(id, seq, term), ticket: (seq * 100 + i) as Ticket });
+        s.send({
+          kind: 'report',
+          report: report(id, seq, term),
+          ticket: (seq * 100 + i) as Ticket,
+        });
       }
       s.pass(2000);
     }
@@ -41,14 +45,16 @@
     const records = saves(s.effects).filter((op) => op.kind === 'segment');
     expect(records.flatMap((r) => r.machines.flatMap((m) => m.entries)).length).toBe(480);
     expect(records.length).toBeLessThan(16);
-    for (const r of records) expect(JSON.stringify(writeSegment(r)).length).toBeLessThanOrEqual(2048);
+    for (const r of records)
+      expect(JSON.stringify(writeSegment(r)).length).toBeLessThanOrEqual(2048);
   });
 
   it('enters replicas first where one batch cannot hold all that starts', () => {
     // Four changes a batch, small values, and far more starts than fit.
     const limits = { valueBytes: 700, txnOps: 4, writeRps: 4 };
     const state = core({ ...limits, teams: new Map([['blue' as TeamName, team('blue', 800)]]) });
-    const run = (now: number, ...commands: Command[]) => step(state, commands, now as Instant, 'lead');
+    const run = (now: number, ...commands: Command[]) =>
+      step(state, commands, now as Instant, 'lead');
     run(0, { kind: 'types', types: [type('c8')] }, { kind: 'loaded' });
     for (let seq = 1; seq < 3; seq += 1) {
       for (let i = 0; i < 60; i += 1) {
@@ -57,8 +63,17 @@
       }
     }
     run(3000, { kind: 'tick' });
-    const array = { kind: 'job', spec: job('job-1', { tasks: 400 }), submittedAt: 3000 as Instant } as const;
-    const replicas = job('job-2', { shape: 'service', tasks: 6, estimateS: 0, priority: 'standard' });
+    const array = {
+      kind: 'job',
+      spec: job('job-1', { tasks: 400 }),
+      submittedAt: 3000 as Instant,
+    } as const;
+    const replicas = job('job-2', {
+      shape: 'service',
+      tasks: 6,
+      estimateS: 0,
+      priority: 'standard',
+    });
     const effects = run(3500, array, { kind: 'job', spec: replicas, submittedAt: 3500 as Instant });
     const first = saves(effects).flatMap((op) =>
       op.kind === 'segment' ? op.machines.flatMap((m) => m.entries.map((e) => e.job)) : [],
@@ -74,7 +89,8 @@
     s.submit('job-2', { tasks: 4 });
     const starts = s.starts(s.up('n-1'));
     s.checkIn('n-1', starts.map(running));
-    const progress = () => saves(s.effects).flatMap((op) => (op.kind === 'segment' ? op.progress : []));
+    const progress = () =>
+      saves(s.effects).flatMap((op) => (op.kind === 'segment' ? op.progress : []));
     s.effects = [];
     const told = starts.map((o, i) => (i === 0 ? ended(o, 'done') : running(o)));
     const seen = report('n-1', 50, 7, told);
@@ -97,21 +113,29 @@
   it('is read back as it was written, and a record that was not is refused whole', () => {
     const given = {
       machines: [
-        { machine: 'n-1' as MachineId, at: recordedAt, entries: [entry(0, 5), entry(3, 6, 'job-2')] },
+        {
+          machine: 'n-1' as MachineId,
+          at: recordedAt,
+          entries: [entry(0, 5), entry(3, 6, 'job-2')],
+        },
       ],
       progress: [{ job: 'job-1' as JobId, from: 0, bits: Uint8Array.of(5, 1) }],
     };
     const text = JSON.stringify(writeSegment(given));
     expect(readSegment(JSON.parse(text))).toEqual(given);
     const odd = [null, 7, [], {}, { j: [], m: [], d: [['job-1', -1, '']] }];
-    odd.push({ ...JSON.parse(text), j: [] } as never, { ...JSON.parse(text), m: [['n-1']] } as never);
+    odd.push(
+      { ...JSON.parse(text), j: [] } as never,
+      { ...JSON.parse(text), m: [['n-1']] } as never,
+    );
     for (const value of odd) expect(readSegment(value)).toBeNull();
   });
 
   it('starts nothing before every lease is surely over when a record cannot be read', () => {
     const s = new CoreDriver();
     const state = core();
-    const send = (now: number, ...commands: Command[]) => step(state, commands, now as Instant, 'lead');
+    const send = (now: number, ...commands: Command[]) =>
+      step(state, commands, now as Instant, 'lead');
     send(
       0,
       { kind: 'types', types: [type('c8')] },
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -62,7 +62,12 @@
 });
 
 /** Runs a leader, whose batches go to `store`; what it asks for nothing answers. */
-const drive = (state: CoreState, store: Map<SegmentKey, string>, commands: Command[], now: number): void => {
+const drive = (
+  state: CoreState,
+  store: Map<SegmentKey, string>,
+  commands: Command[],
+  now: number,
+): void => {
   for (const e of step(state, commands, now as Instant, 'lead')) {
     if (e.kind !== 'save') continue;
     for (const op of e.ops) {
@@ -78,35 +83,48 @@
     [2048, 3],
     [1024, 3],
     [500, 1],
-  ])('fits values of %i bytes, %i changes at a time, and a new leader reads all of it', (bytes, txnOps) => {
-    const small = { valueBytes: bytes, txnOps, teams: new Map([['blue' as TeamName, team('blue', 1e6)]]) };
-    const spec = job('job-1', { tasks: 100_000 });
-    const add: Command = { kind: 'job', spec, submittedAt: 0 as Instant };
-    const state = core(small);
-    const store = new Map<SegmentKey, string>();
-    drive(state, store, [{ kind: 'types', types: [type('c8')] }, add, { kind: 'loaded' }], 0);
-    const done = Array.from({ length: 300 }, (_, i) => (i * 331) % 100_000);
-    let now = 0;
-    for (const [i, index] of done.entries()) {
-      const ended = [task('job-1', index, i + 1, 'ended', 'done')];
-      now += 200;
-      drive(state, store, [{ kind: 'report', report: report(`n-${i}`, 1, 7, ended), ticket: null }], now);
-    }
-    for (const end = now + 50_000; now < end; now += 250) drive(state, store, [{ kind: 'tick' }], now);
-    for (const text of store.values()) expect(text.length).toBeLessThanOrEqual(bytes);
-    // By turns leaders of the same limits, of larger ones and of the same again: what each moved, the next reads.
-    for (const [i, limits] of [{}, { valueBytes: 8192, txnOps: 16 }, {}].entries()) {
-      const next = core({ ...small, ...limits, term: (8 + i) as Term });
-      const read: Command[] = [add];
-      for (const [segment, text] of store) {
-        const record = readSegment(JSON.parse(text))!;
-        for (const row of record.progress) read.push({ kind: 'progress', segment, ...row });
+  ])(
+    'fits values of %i bytes, %i changes at a time, and a new leader reads all of it',
+    (bytes, txnOps) => {
+      const small = {
+        valueBytes: bytes,
+        txnOps,
+        teams: new Map([['blue' as TeamName, team('blue', 1e6)]]),
+      };
+      const spec = job('job-1', { tasks: 100_000 });
+      const add: Command = { kind: 'job', spec, submittedAt: 0 as Instant };
+      const state = core(small);
+      const store = new Map<SegmentKey, string>();
+      drive(state, store, [{ kind: 'types', types: [type('c8')] }, add, { kind: 'loaded' }], 0);
+      const done = Array.from({ length: 300 }, (_, i) => (i * 331) % 100_000);
+      let now = 0;
+      for (const [i, index] of done.entries()) {
+        const ended = [task('job-1', index, i + 1, 'ended', 'done')];
+        now += 200;
+        drive(
+          state,
+          store,
+          [{ kind: 'report', report: report(`n-${i}`, 1, 7, ended), ticket: null }],
+          now,
+        );
       }
-      drive(next, store, [...read, { kind: 'loaded' }], 0);
-      expect(next.jobs.get(spec.id)?.doneCount).toBe(done.length);
-      for (let now = 250; now < 10_000; now += 250) drive(next, store, [{ kind: 'tick' }], now);
-    }
-  });
+      for (const end = now + 50_000; now < end; now += 250)
+        drive(state, store, [{ kind: 'tick' }], now);
+      for (const text of store.values()) expect(text.length).toBeLessThanOrEqual(bytes);
+      // By turns leaders of the same limits, of larger ones and of the same again: what each moved, the next reads.
+      for (const [i, limits] of [{}, { valueBytes: 8192, txnOps: 16 }, {}].entries()) {
+        const next = core({ ...small, ...limits, term: (8 + i) as Term });
+        const read: Command[] = [add];
+        for (const [segment, text] of store) {
+          const record = readSegment(JSON.parse(text))!;
+          for (const row of record.progress) read.push({ kind: 'progress', segment, ...row });
+        }
+        drive(next, store, [...read, { kind: 'loaded' }], 0);
+        expect(next.jobs.get(spec.id)?.doneCount).toBe(done.length);
+        for (let now = 250; now < 10_000; now += 250) drive(next, store, [{ kind: 'tick' }], now);
+      }
+    },
+  );
 });
 
 describe('a batch', () => {
@@ -141,7 +159,10 @@
     cleanups.push(() => state.close());
     const [host, port] = (await state.listen()).split(':');
     const rates = { rps: 1000, writeRps: 1000 };
-    const client = new StateClient({ host: host!, port: Number(port) }, { ...rates, lowered: rates });
+    const client = new StateClient(
+      { host: host!, port: Number(port) },
+      { ...rates, lowered: rates },
+    );
     cleanups.push(() => client.close());
     state.multi({ Apply: [{ Write: 'leader', Data: {} }] });
     const persister = new Persister(client, state.epoch as Term, log, new Jitter(3));
@@ -215,7 +236,8 @@
     let refusals = 0;
     const send = (now: number, ...commands: Command[]): void => {
       for (const e of step(state, commands, now as Instant, 'lead')) {
-        if (e.kind === 'answer') for (const o of e.orders ?? []) if (o.op === 'start') sent.push(now);
+        if (e.kind === 'answer')
+          for (const o of e.orders ?? []) if (o.op === 'start') sent.push(now);
         if (e.kind !== 'save') continue;
         const refused = now < 20_000 ? e.ops : [];
         refusals += refused.length;
--- a/test/model/build.ts
+++ b/test/model/build.ts
@@ -47,7 +47,10 @@
     ...change,
   }) as JobSpec;
 
-export const type = (name: string, change: Partial<Record<keyof MachineType, unknown>> = {}): MachineType =>
+export const type = (
+  name: string,
+  change: Partial<Record<keyof MachineType, unknown>> = {},
+): MachineType =>
   ({
     name: name as TypeName,
     cpus: 8,
@@ -124,6 +127,14 @@
 
 /** A row of a ledger record. */
 export const entry = (index: number, attempt: number, id = 'job-1') =>
-  ({ job: id, index, attempt, team: 'blue', cpus: 1, gpus: 0, memoryGb: 1 }) as unknown as LedgerEntry;
+  ({
+    job: id,
+    index,
+    attempt,
+    team: 'blue',
+    cpus: 1,
+    gpus: 0,
+    memoryGb: 1,
+  }) as unknown as LedgerEntry;
 /** What a ledger record says of a machine. */
 export const recordedAt = { type: 'c8', zone: 'a', spot: false } as unknown as LedgerMachine;
--- a/test/model/core-driver.ts
+++ b/test/model/core-driver.ts
@@ -112,7 +112,9 @@
   /** What a machine would report if it were asked now. */
   lastReport(id: string): Report {
     const m = this.state.machines.get(id as Report['machine'])!;
-    const tasks = [...m.placements.values()].map((p) => task(p.entry.job, p.entry.index, p.entry.attempt));
+    const tasks = [...m.placements.values()].map((p) =>
+      task(p.entry.job, p.entry.index, p.entry.attempt),
+    );
     return report(id, (this.seqs.get(id) ?? 0) + 1, this.state.config.term, tasks);
   }
 
--- a/test/model/overloaded-day.ts
+++ b/test/model/overloaded-day.ts
@@ -29,7 +29,10 @@
 
   constructor(policy: Partial<Policy> = {}, limit = 60) {
     const teams = [team('blue', limit), team('green', limit)];
-    this.state = core({ teams: new Map(teams.map((t) => [t.name, t])), valueBytes: 16_384 }, policy);
+    this.state = core(
+      { teams: new Map(teams.map((t) => [t.name, t])), valueBytes: 16_384 },
+      policy,
+    );
   }
 
   private arrive(now: number): void {
@@ -76,9 +79,14 @@
           );
         });
         const ticket = (seq * 100 + i) as Ticket;
-        const effects = this.send(now, { kind: 'report', report: report(`n-${i}`, seq, 7, told), ticket });
+        const effects = this.send(now, {
+          kind: 'report',
+          report: report(`n-${i}`, seq, 7, told),
+          ticket,
+        });
         const answer = effects.find((e) => e.kind === 'answer' && e.ticket === ticket);
-        for (const order of (answer?.kind === 'answer' && answer.orders) || []) this.obey(i, order, now);
+        for (const order of (answer?.kind === 'answer' && answer.orders) || [])
+          this.obey(i, order, now);
       }
       this.send(now, { kind: 'tick' });
     }
--- a/test/model/plain-backfill.ts
+++ b/test/model/plain-backfill.ts
@@ -91,14 +91,19 @@
   const asks = (j: PlainJob, kind: string) =>
     j.gpus > 0 && gpusOf(kind) >= j.gpus && (j.types === null || j.types.includes(kind));
   const ratio = (kind: string) => {
-    const wanted = waiting.filter((j) => asks(j, kind)).reduce((sum, j) => sum + j.gpus * left(j), 0);
+    const wanted = waiting
+      .filter((j) => asks(j, kind))
+      .reduce((sum, j) => sum + j.gpus * left(j), 0);
     const total = world.machines.filter((m) => m.type === kind).reduce((sum, m) => sum + m.gpus, 0);
     return wanted / Math.max(total, 1);
   };
-  const ample = kinds.filter((kind) => waiting.some((j) => asks(j, kind)) && ratio(kind) <= 1).length;
+  const ample = kinds.filter(
+    (kind) => waiting.some((j) => asks(j, kind)) && ratio(kind) <= 1,
+  ).length;
   let scarcity = 0;
   for (const kind of kinds) {
-    if (asks(job, kind)) scarcity += ratio(kind) > 1 ? Math.max(ample, 1) * ratio(kind) : ratio(kind);
+    if (asks(job, kind))
+      scarcity += ratio(kind) > 1 ? Math.max(ample, 1) * ratio(kind) : ratio(kind);
   }
   // An array's estimate, for shortness, is that of its waiting tasks one after the other.
   const work = (j: PlainJob) => j.estimateS * left(j);
@@ -120,7 +125,9 @@
   const scores = new Map(waiting.map((j) => [j.id, plainScore(world, j, waiting, left)]));
   waiting.sort(
     (a, b) =>
-      scores.get(b.id)! - scores.get(a.id)! || a.submittedAt - b.submittedAt || (a.id < b.id ? -1 : 1),
+      scores.get(b.id)! - scores.get(a.id)! ||
+      a.submittedAt - b.submittedAt ||
+      (a.id < b.id ? -1 : 1),
   );
   const arrays = waiting.filter((j) => j.shape === 'array');
   const head = arrays.find((j) => j.id === world.head) ?? arrays[0];
@@ -131,7 +138,11 @@
   const sum = (list: PlainRun[], what: 'cpus' | 'gpus' | 'memoryGb') =>
     list.reduce((total, r) => total + job(r.job)[what], 0);
   const on = (m: PlainMachine) => runs.filter((r) => r.machine === m.id);
-  const fits = (j: PlainJob, m: PlainMachine, taken: { cpus: number; gpus: number; memoryGb: number }) =>
+  const fits = (
+    j: PlainJob,
+    m: PlainMachine,
+    taken: { cpus: number; gpus: number; memoryGb: number },
+  ) =>
     m.cpus - taken.cpus + near >= j.cpus &&
     m.gpus - taken.gpus + near >= j.gpus &&
     m.memoryGb - taken.memoryGb + near >= j.memoryGb;
@@ -143,12 +154,16 @@
   const teamSlots = (j: PlainJob) => {
     const mine = runs.filter((r) => job(r.job).team === j.team);
     const limit = world.limits[j.team]!;
-    const byCpu = j.cpus > 0 ? Math.floor((limit.cpus - sum(mine, 'cpus') + near) / j.cpus) : Infinity;
-    const byGpu = j.gpus > 0 ? Math.floor((limit.gpus - sum(mine, 'gpus') + near) / j.gpus) : Infinity;
+    const byCpu =
+      j.cpus > 0 ? Math.floor((limit.cpus - sum(mine, 'cpus') + near) / j.cpus) : Infinity;
+    const byGpu =
+      j.gpus > 0 ? Math.floor((limit.gpus - sum(mine, 'gpus') + near) / j.gpus) : Infinity;
     return Math.max(0, Math.min(byCpu, byGpu));
   };
   const zonesOf = (j: PlainJob) =>
-    runs.filter((r) => r.job === j.id).map((r) => world.machines.find((m) => m.id === r.machine)!.zone);
+    runs
+      .filter((r) => r.job === j.id)
+      .map((r) => world.machines.find((m) => m.id === r.machine)!.zone);
 
   // Ordinary machines are kept for the services that may use no others: what these take and half as much again, and twice the
   // largest; of each zone in turn, those with replicas first, then those kept before.
@@ -189,7 +204,8 @@
     (!j.oneZone || zonesOf(j).every((z) => z === m.zone)) &&
     (!j.scatter || zonesOf(j).filter((z) => z === m.zone).length < Math.ceil(j.tasks / 2));
   const strongest = [...world.machines].sort(
-    (a, b) => b.gpus - a.gpus || b.cpus - a.cpus || b.memoryGb - a.memoryGb || (a.id < b.id ? -1 : 1),
+    (a, b) =>
+      b.gpus - a.gpus || b.cpus - a.cpus || b.memoryGb - a.memoryGb || (a.id < b.id ? -1 : 1),
   );
 
   const sameStrength = (a: PlainMachine, b: PlainMachine) =>
@@ -212,7 +228,8 @@
   };
   const fill = (j: PlainJob, most = Infinity) => {
     let begun = 0;
-    const count = (m: PlainMachine) => runs.filter((r) => r.job === j.id && r.machine === m.id).length;
+    const count = (m: PlainMachine) =>
+      runs.filter((r) => r.job === j.id && r.machine === m.id).length;
     // A replica would run there in so many seconds.
     const startsIn = new Map(
       world.machines.map((m) => [m.id, m.checkInMs + (gbToFetch(j, m) / m.fetchGbPerS) * 1000]),
@@ -235,7 +252,8 @@
     while (left(j) > 0 && teamSlots(j) >= 1 && begun < most) {
       const end = j.shape === 'service' ? Infinity : world.now + j.estimateS * 1000;
       const able = strongest.filter((x) => {
-        if (!suits(j, x) || (zone !== null && x.zone !== zone) || !fits(j, x, used(x))) return false;
+        if (!suits(j, x) || (zone !== null && x.zone !== zone) || !fits(j, x, used(x)))
+          return false;
         if (shadow === 0 || end <= shadow) return true;
         const before = runs
           .slice(0, world.runs.length)
@@ -295,7 +313,11 @@
       if (!suits(j, m)) continue;
       const without = (gone: PlainRun[]) => {
         const rest = on(m).filter((r) => !gone.includes(r));
-        return { cpus: sum(rest, 'cpus'), gpus: sum(rest, 'gpus'), memoryGb: sum(rest, 'memoryGb') };
+        return {
+          cpus: sum(rest, 'cpus'),
+          gpus: sum(rest, 'gpus'),
+          memoryGb: sum(rest, 'memoryGb'),
+        };
       };
       const going = on(m).filter((r) => killed.includes(r));
       if (going.length > 0 && fits(j, m, without(going))) {
--- a/test/model/simulated-world.ts
+++ b/test/model/simulated-world.ts
@@ -30,7 +30,13 @@
 } from '../../src/core/types.js';
 import { readSegment, writeSegment } from '../../src/service/records.js';
 import { core, job, report, task, team, type } from './build.js';
-import { type Leader, type Message, type Running, type Store, Worker } from './simulated-parties.js';
+import {
+  type Leader,
+  type Message,
+  type Running,
+  type Store,
+  Worker,
+} from './simulated-parties.js';
 
 const REPORT_MS = 2000;
 const LEASE_MS = 16_000;
@@ -244,9 +250,11 @@
     const unasked = [...this.workers.values()].some(
       (w) =>
         w.tasks.some((t) => t.state !== 'ended') &&
-        Math.max(w.hungUntil, w.cutOffUntil, w.heldUntil, w.deafUntil, w.muteUntil) > this.now + 2000,
+        Math.max(w.hungUntil, w.cutOffUntil, w.heldUntil, w.deafUntil, w.muteUntil) >
+          this.now + 2000,
     );
-    if (unasked && TEAMS.some((t) => this.usage(t.name) >= t.cpusMax - 1)) this.meetings.atLimitUnasked += 1;
+    if (unasked && TEAMS.some((t) => this.usage(t.name) >= t.cpusMax - 1))
+      this.meetings.atLimitUnasked += 1;
     // Old reports reach the new leader just as it begins.
     for (const give of this.kept.splice(0)) this.soon(this.int(0, 500), give);
     leader.queue.push({ kind: 'types', types: [TYPE] });
@@ -273,7 +281,10 @@
     const prefix = `${name}/`;
     const records = [...this.store.records]
       .filter(([key]) => key.startsWith(prefix))
-      .map(([key, text]) => ({ key: key.slice(prefix.length), value: JSON.parse(text) as unknown }));
+      .map(([key, text]) => ({
+        key: key.slice(prefix.length),
+        value: JSON.parse(text) as unknown,
+      }));
     leader.queue.push({ kind: 'extension-records', extension: name, records });
   }
 
@@ -336,10 +347,12 @@
         const spec = SPECS.get(effect.job)!;
         if (effect.outcome === 'done' && spec.shape === 'service')
           this.problems.push(`not_done ${effect.job}`);
-        if (effect.outcome === 'cancelled' && spec.shape === 'service') this.services.cancelled += 1;
+        if (effect.outcome === 'cancelled' && spec.shape === 'service')
+          this.services.cancelled += 1;
         if (effect.outcome === 'done') {
           for (let i = 0; i < spec.tasks; i += 1) {
-            if (!this.doneReally.has(`${effect.job}/${i}`)) this.problems.push(`not_done ${effect.job}/${i}`);
+            if (!this.doneReally.has(`${effect.job}/${i}`))
+              this.problems.push(`not_done ${effect.job}/${i}`);
           }
         }
         return;
@@ -358,10 +371,18 @@
           // A repeated request rents nothing new.
           const known = this.hires.get(effect.request);
           if (known !== undefined) {
-            reply({ kind: 'rented', request: effect.request, result: 'ok', machines: [known as MachineId] });
+            reply({
+              kind: 'rented',
+              request: effect.request,
+              result: 'ok',
+              machines: [known as MachineId],
+            });
             return;
           }
-          if (this.workers.size >= (this.options.mostMachines ?? 7) || this.now < this.noCapacityUntil) {
+          if (
+            this.workers.size >= (this.options.mostMachines ?? 7) ||
+            this.now < this.noCapacityUntil
+          ) {
             reply({ kind: 'rented', request: effect.request, result: 'refused', machines: [] });
             return;
           }
@@ -372,7 +393,12 @@
           this.hires.set(effect.request, w.id);
           const told = !this.chance(10);
           const machines = told ? [w.id as MachineId] : [];
-          reply({ kind: 'rented', request: effect.request, result: told ? 'ok' : 'unknown', machines });
+          reply({
+            kind: 'rented',
+            request: effect.request,
+            result: told ? 'ok' : 'unknown',
+            machines,
+          });
         });
         return;
       case 'delete':
@@ -461,7 +487,8 @@
       if (op.outcome === 'cancelled') {
         this.cancelTold.set(op.job, this.now);
         if (this.now < this.gapUntil) this.meetings.cancelledInGap += 1;
-        if (![...this.aborts.values()].includes(op.job)) this.problems.push(`cancelled by nobody ${op.job}`);
+        if (![...this.aborts.values()].includes(op.job))
+          this.problems.push(`cancelled by nobody ${op.job}`);
       }
     }
   }
@@ -541,11 +568,24 @@
         // Some run for longer than a cancellation may take.
         const runs = this.chance(6) ? this.int(20_000, 120_000) : this.int(500, 20_000);
         const left = lasts ? Number.POSITIVE_INFINITY : runs;
-        w.tasks.push({ job: o.job, index: o.index, attempt: o.attempt, state: 'running', cause: null, left });
+        w.tasks.push({
+          job: o.job,
+          index: o.index,
+          attempt: o.attempt,
+          state: 'running',
+          cause: null,
+          left,
+        });
       } else if (o.op === 'kill') {
-        const t = w.tasks.find((x) => x.job === o.job && x.index === o.index && x.attempt === o.attempt);
+        const t = w.tasks.find(
+          (x) => x.job === o.job && x.index === o.index && x.attempt === o.attempt,
+        );
         if (t && t.state !== 'ended') {
-          if (w.noticeAt !== null && this.store.jobs.has(t.job) && SPECS.get(t.job)!.shape === 'service')
+          if (
+            w.noticeAt !== null &&
+            this.store.jobs.has(t.job) &&
+            SPECS.get(t.job)!.shape === 'service'
+          )
             this.services.moves += 1;
           this.noteStop(w, t, byOld);
           t.state = 'ended';
@@ -553,7 +593,13 @@
         }
       } else {
         w.tasks = w.tasks.filter(
-          (t) => !(t.state === 'ended' && t.job === o.job && t.index === o.index && t.attempt === o.attempt),
+          (t) =>
+            !(
+              t.state === 'ended' &&
+              t.job === o.job &&
+              t.index === o.index &&
+              t.attempt === o.attempt
+            ),
         );
       }
     }
@@ -571,12 +617,14 @@
         this.problems.push(`ran_twice ${name} on ${w.id} and ${other.id} at ${this.now}`);
       }
     }
-    if (this.attempts.has(`${name}#${attempt}`)) this.problems.push(`attempt given twice ${name}#${attempt}`);
+    if (this.attempts.has(`${name}#${attempt}`))
+      this.problems.push(`attempt given twice ${name}#${attempt}`);
     this.attempts.add(`${name}#${attempt}`);
     if (spec.zone !== null && spec.zone !== w.zone) this.problems.push(`wrong_place zone ${name}`);
     if (w.spot && !spec.spotOk) this.problems.push(`wrong_place spot ${name}`);
     const zones = this.where(id);
-    if (spec.oneZone && zones.some((z) => z !== w.zone)) this.problems.push(`wrong_place one zone ${name}`);
+    if (spec.oneZone && zones.some((z) => z !== w.zone))
+      this.problems.push(`wrong_place one zone ${name}`);
     if (spec.scatter && zones.filter((z) => z === w.zone).length >= Math.ceil(spec.tasks / 2)) {
       this.problems.push(`wrong_place scatter ${name}`);
     }
@@ -609,7 +657,8 @@
       if (cpus > t.cpusMax) this.problems.push(`quota ${t.name} ${cpus} at ${this.now}`);
     }
     for (const [id, at] of this.cancelTold) {
-      if (this.now > at + CANCEL_MS && this.where(id).length > 0) this.problems.push(`ran_cancelled ${id}`);
+      if (this.now > at + CANCEL_MS && this.where(id).length > 0)
+        this.problems.push(`ran_cancelled ${id}`);
     }
   }
 
@@ -662,7 +711,8 @@
     // Mostly the leader; now and then one that has been replaced and does not know it yet.
     const stale = this.leaders.filter((l) => !l.alive);
     const cut = w.cutOffWith && this.now < w.cutOffUntil ? w.cutOffWith : null;
-    const wrong = stale.length > 0 && this.chance(15) ? stale[this.int(0, stale.length - 1)]! : null;
+    const wrong =
+      stale.length > 0 && this.chance(15) ? stale[this.int(0, stale.length - 1)]! : null;
     const first = cut ?? wrong ?? this.leader();
     const deliver = (to: Leader | null) => {
       if (!to || this.authority(to) === 'none' || told.term > to.term) return;
@@ -820,7 +870,9 @@
         // A crashed process may be back within a fraction of a second, and takes over its own key at once.
         const quick = crashed && this.chance(40);
         if (quick) this.quickReturns += 1;
-        const from = quick ? this.int(10, 900) : Math.max(0, old.validUntil - this.now) + this.int(10, 4000);
+        const from = quick
+          ? this.int(10, 900)
+          : Math.max(0, old.validUntil - this.now) + this.int(10, 4000);
         this.soon(from, () => {
           if (!this.leader()) this.elect();
         });
@@ -1005,7 +1057,8 @@
       for (const l of [...this.leaders]) {
         if (this.now % 250 === 0) l.queue.push({ kind: 'tick' });
         this.runLeader(l);
-        if (!l.alive && this.now > l.validUntil + KEEP_MS) this.leaders = this.leaders.filter((x) => x !== l);
+        if (!l.alive && this.now > l.validUntil + KEEP_MS)
+          this.leaders = this.leaders.filter((x) => x !== l);
       }
       for (const w of [...this.workers.values()]) this.runWorker(w, STEP);
       this.checkWorld();
@@ -1028,7 +1081,8 @@
       if (this.mistakes.has(id) || spec.oneZone || spec.scatter) return false;
       let there = 0;
       for (const w of this.workers.values()) {
-        for (const t of w.tasks) if (t.job === id && (t.state !== 'ended' || t.cause === 'done')) there += 1;
+        for (const t of w.tasks)
+          if (t.job === id && (t.state !== 'ended' || t.cause === 'done')) there += 1;
       }
       const team = this.usage(spec.team);
       let done = 0;
--- a/test/monotonic-reads.test.ts
+++ b/test/monotonic-reads.test.ts
@@ -69,7 +69,9 @@
           nodes[i] = start(i);
         } else {
           fronts[i]!.refuse = true;
-          await until(() => over || nodes.some((n, j) => j !== i && n.controller.authority() === 'lead'));
+          await until(
+            () => over || nodes.some((n, j) => j !== i && n.controller.authority() === 'lead'),
+          );
           await new Promise((resolve) => setTimeout(resolve, 150));
           fronts[i]!.refuse = false;
         }
--- a/test/one-task-jobs.test.ts
+++ b/test/one-task-jobs.test.ts
@@ -1,7 +1,15 @@
 /** One-task jobs, four a second for minutes, a quarter of them cancelled: what they cost the state service and what is kept of them. */
 import { describe, expect, it } from 'vitest';
 import { step } from '../src/core/step.js';
-import type { Command, Effect, Instant, JobId, Order, TeamName, Ticket } from '../src/core/types.js';
+import type {
+  Command,
+  Effect,
+  Instant,
+  JobId,
+  Order,
+  TeamName,
+  Ticket,
+} from '../src/core/types.js';
 import { core, job, report, task, team, type } from './model/build.js';
 
 const MACHINES = 12;
--- a/test/one-way-partitions.test.ts
+++ b/test/one-way-partitions.test.ts
@@ -92,7 +92,9 @@
       for (const id of ids) s.checkIn(id);
       effects.push(...s.pass(250));
     }
-    expect(new Set(effects.flatMap((e) => (e.kind === 'delete' ? e.machines : []))).size).toBeLessThan(4);
+    expect(
+      new Set(effects.flatMap((e) => (e.kind === 'delete' ? e.machines : []))).size,
+    ).toBeLessThan(4);
   });
 });
 
@@ -107,7 +109,11 @@
         [2, 7],
       ] as const) {
         for (const [i, id] of ids.entries())
-          s.send({ kind: 'report', report: report(id, seq, term), ticket: (seq * 100 + i) as Ticket });
+          s.send({
+            kind: 'report',
+            report: report(id, seq, term),
+            ticket: (seq * 100 + i) as Ticket,
+          });
         s.pass(1500);
       }
       s.submit('job-1', { tasks: 50, cpus: 8, estimateS: 500 });
@@ -118,7 +124,9 @@
       for (const [i, id] of ids.entries()) {
         if (names.includes(id) || !s.state.machines.has(id as MachineId)) continue;
         const held = [...s.state.machines.get(id as MachineId)!.placements.values()];
-        const told = held.filter((p) => p.phase !== 'entering').map((p) => running(p.entry as never));
+        const told = held
+          .filter((p) => p.phase !== 'entering')
+          .map((p) => running(p.entry as never));
         seq += 1;
         const ticket = (seq * 100 + i) as Ticket;
         effects.push(...s.send({ kind: 'report', report: report(id, seq, 7, told), ticket }));
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -20,13 +20,16 @@
           .sort((a, b) => b.spec.tasks - a.spec.tasks)
           .slice(0, Math.ceil(ofClass.length / 5));
         expect(share(largest), `largest of ${lane}`).toBeGreaterThanOrEqual(0.5);
-        for (const j of largest) expect(j.begunAt! - j.submittedAt, j.spec.id).toBeLessThan(240_000);
+        for (const j of largest)
+          expect(j.begunAt! - j.submittedAt, j.spec.id).toBeLessThan(240_000);
       }
       for (const name of ['blue', 'green']) {
         expect(share(jobs.filter((j) => j.spec.team === name)), name).toBeGreaterThanOrEqual(0.5);
       }
       // The day must have been one of more work than could be done at once.
-      expect(Math.max(...jobs.map((j) => (j.begunAt ?? 0) - j.submittedAt))).toBeGreaterThan(60_000);
+      expect(Math.max(...jobs.map((j) => (j.begunAt ?? 0) - j.submittedAt))).toBeGreaterThan(
+        60_000,
+      );
     },
   );
 
--- a/test/peer-link.test.ts
+++ b/test/peer-link.test.ts
@@ -1,13 +1,22 @@
 import { connect } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
-import { encodeFrame, FrameReader, MAX_FRAME, Peer, servePeers } from '../src/adapters/peer-link.js';
+import {
+  encodeFrame,
+  FrameReader,
+  MAX_FRAME,
+  Peer,
+  servePeers,
+} from '../src/adapters/peer-link.js';
 import { cleanUp, cleanups, freePort, until } from './stand-ins/cluster.js';
 
 afterEach(cleanUp);
 
 describe('the peer link', () => {
   it('puts frames together again however the stream is cut', () => {
-    const frames = Buffer.concat([encodeFrame({ n: 1 }), encodeFrame({ n: 2, is: 'x'.repeat(500) })]);
+    const frames = Buffer.concat([
+      encodeFrame({ n: 1 }),
+      encodeFrame({ n: 2, is: 'x'.repeat(500) }),
+    ]);
     const reader = new FrameReader();
     const got: unknown[] = [];
     for (const byte of frames) got.push(...reader.push(Buffer.of(byte)));
--- a/test/persister.test.ts
+++ b/test/persister.test.ts
@@ -16,7 +16,10 @@
     cleanups.push(() => state.close());
     const at = await state.listen();
     const [host, port] = at.split(':');
-    const client = new StateClient({ host: host!, port: Number(port) }, { ...RATES, lowered: RATES });
+    const client = new StateClient(
+      { host: host!, port: Number(port) },
+      { ...RATES, lowered: RATES },
+    );
     cleanups.push(() => client.close());
     state.multi({ Apply: [{ Write: 'leader', Data: {} }] });
     const persister = new Persister(client, state.epoch as Term, log, new Jitter(3));
--- a/test/refusal-then-outage.test.ts
+++ b/test/refusal-then-outage.test.ts
@@ -27,7 +27,13 @@
 afterEach(cleanUp);
 
 const abort: Command = { kind: 'abort', job: 'job-1' as JobId, ticket: 77 as Ticket };
-const killOf = (index: number, attempt: number) => ({ op: 'kill', job: 'job-1', index, attempt, graceS: 0 });
+const killOf = (index: number, attempt: number) => ({
+  op: 'kill',
+  job: 'job-1',
+  index,
+  attempt,
+  graceS: 0,
+});
 
 /** A leader of term 8 that has read what the one of term 7 left: attempt 7000001 of job-1 on n-1, which it has not heard of. */
 const successor = (jobKnown: boolean, change: object = {}) => {
@@ -96,7 +102,9 @@
     s.submit('job-2', { tasks: 3 });
     const starts = s.starts(s.up('n-1'));
     const told = starts.map((o) =>
-      o.job === 'job-2' && o.index === 0 ? task('job-2', 0, o.attempt, 'ended', 'done') : running(o),
+      o.job === 'job-2' && o.index === 0
+        ? task('job-2', 0, o.attempt, 'ended', 'done')
+        : running(o),
     );
     s.send(abort);
     const orders = s.checkIn('n-1', told, {}, 'keep-alive') ?? [];
@@ -117,14 +125,18 @@
     const { nodes, state, fronts, cloud } = await cluster(3, 3, 2000, -1, 4);
     cloud.taskMs = 10_000_000;
     const of = (id: string) =>
-      [...cloud.workers.values()].flatMap((w) => w.running()).filter((piece) => piece.startsWith(`${id}/`));
+      [...cloud.workers.values()]
+        .flatMap((w) => w.running())
+        .filter((piece) => piece.startsWith(`${id}/`));
     for (const id of ['job-1', 'job-2']) await post(nodes[0]!.at, '/api/jobs', body(id));
     await until(() => of('job-1').length === 3 && of('job-2').length === 3);
     const old = nodes.find((n) => n.controller.authority() === 'lead')!;
     // The workers know only the old leader for now.
     cloud.nodes = [old.at];
     fronts[nodes.indexOf(old)]!.refuse = true;
-    const next = await until(() => nodes.find((n) => n !== old && n.controller.authority() === 'lead'));
+    const next = await until(() =>
+      nodes.find((n) => n !== old && n.controller.authority() === 'lead'),
+    );
     await until(async () => {
       const answer = await post(next.at, '/api/jobs/job-1/abort', {});
       return (answer?.body as { Status?: string } | null)?.Status === 'withdrawn';
@@ -180,15 +192,20 @@
   it('and a lease after it leave a cancellation its time, whatever the settings, clocks and reports under way', () => {
     const lengths = fc.double({ min: 0.1, max: 3600, noNaN: true });
     fc.assert(
-      fc.property(lengths, lengths, fc.double({ min: 0, max: 1, noNaN: true }), (cancelS, leaseS, late) => {
-        const keep = keepAliveFor((cancelS * 1000) as Millis, (leaseS * 1000) as Millis);
-        // Where nothing is kept alive, the last answer was given while the lease was valid: as for any leader.
-        if (keep === 0) return cancelS * 1000 < leaseS * 1000 * (1 + DRIFT) + 3100 + cancelS;
-        // A slow clock here, the answered report sent `late` of 4 s before its answer, and a slow clock there.
-        const lastAnswer = keep * (1 + DRIFT);
-        const gone = lastAnswer - late * 4000 + leaseS * 1000 * (1 + DRIFT);
-        return gone <= cancelS * 1000 - 2900;
-      }),
+      fc.property(
+        lengths,
+        lengths,
+        fc.double({ min: 0, max: 1, noNaN: true }),
+        (cancelS, leaseS, late) => {
+          const keep = keepAliveFor((cancelS * 1000) as Millis, (leaseS * 1000) as Millis);
+          // Where nothing is kept alive, the last answer was given while the lease was valid: as for any leader.
+          if (keep === 0) return cancelS * 1000 < leaseS * 1000 * (1 + DRIFT) + 3100 + cancelS;
+          // A slow clock here, the answered report sent `late` of 4 s before its answer, and a slow clock there.
+          const lastAnswer = keep * (1 + DRIFT);
+          const gone = lastAnswer - late * 4000 + leaseS * 1000 * (1 + DRIFT);
+          return gone <= cancelS * 1000 - 2900;
+        },
+      ),
       { numRuns: 2000 },
     );
   });
@@ -212,7 +229,8 @@
     s.pass(3000);
     expect(s.state.jobs.size).toBe(0);
     const ended = starts.map((o) => task('job-1', o.index, o.attempt, 'ended', 'stopped'));
-    for (let i = 0; i < 4; i += 1) expect(s.starts(s.checkIn('n-1', i === 0 ? ended : []))).toEqual([]);
+    for (let i = 0; i < 4; i += 1)
+      expect(s.starts(s.checkIn('n-1', i === 0 ? ended : []))).toEqual([]);
     // Names come back in no other way, so that they need not be kept for good.
     for (let i = 2; i < 60; i += 1) {
       s.submit(`job-${i}`);
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -28,9 +28,11 @@
       quick += world.quickReturns;
       changes += world.changes;
       splits += world.splits;
-      for (const [kind, n] of Object.entries(world.services)) services[kind] = (services[kind] ?? 0) + n;
+      for (const [kind, n] of Object.entries(world.services))
+        services[kind] = (services[kind] ?? 0) + n;
       for (const [kind, n] of Object.entries(world.crowds)) crowds[kind] = (crowds[kind] ?? 0) + n;
-      for (const [kind, n] of Object.entries(world.meetings)) meetings[kind] = (meetings[kind] ?? 0) + n;
+      for (const [kind, n] of Object.entries(world.meetings))
+        meetings[kind] = (meetings[kind] ?? 0) + n;
       for (const kind of Object.keys(controllers) as (keyof typeof controllers)[])
         controllers[kind] += world[kind];
     }
@@ -74,7 +76,9 @@
             const from = since.get(id) ?? t;
             since.set(id, from);
             longest = Math.max(longest, t - from);
-            expect(t - from, `seed ${seed}: ${id} waits beside room at ${world.now}`).toBeLessThan(90_000);
+            expect(t - from, `seed ${seed}: ${id} waits beside room at ${world.now}`).toBeLessThan(
+              90_000,
+            );
           }
         }
         expect(world.problems, `seed ${seed}`).toEqual([]);
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -64,7 +64,9 @@
     }
     expect(Object.keys(needed)).toHaveLength(16);
     for (const [text, expected] of bad) {
-      expect((await post(at, '/api/jobs', text))?.status, JSON.stringify(text).slice(0, 200)).toBe(expected);
+      expect((await post(at, '/api/jobs', text))?.status, JSON.stringify(text).slice(0, 200)).toBe(
+        expected,
+      );
     }
     const worker = {
       Berth: 'n-1',
@@ -80,7 +82,10 @@
     }
     expect((await post(at, '/checkin', worker))?.status).not.toBe(400);
     const client = new HttpClient({ host: '127.0.0.1', port: 99_999 }, 1);
-    expect(await client.call('GET', '/', undefined, 1000)).toMatchObject({ kind: 'none', sent: false });
+    expect(await client.call('GET', '/', undefined, 1000)).toMatchObject({
+      kind: 'none',
+      sent: false,
+    });
     for (const text of ['{', '{}', '{"Berth":7}', '[1]'])
       expect((await post(at, '/checkin', text))?.status).toBe(400);
     expect((await status(at, 'job-1'))?.status).toBe(404);
@@ -90,9 +95,11 @@
     const { nodes, state, cloud } = await cluster(3);
     cloud.taskMs = 10_000_000;
     const ids = Array.from({ length: 12 }, (_, i) => `job-0001${String(i).padStart(2, '0')}`);
-    for (const [i, id] of ids.entries()) await post(nodes[i % 3]!.at, '/api/jobs', body(id, { Pieces: 1 }));
+    for (const [i, id] of ids.entries())
+      await post(nodes[i % 3]!.at, '/api/jobs', body(id, { Pieces: 1 }));
     const leader = nodes.find((n) => n.controller.authority() === 'lead')!;
-    for (const id of ids) await until(async () => (await status(leader.at, id))?.body.running === 1);
+    for (const id of ids)
+      await until(async () => (await status(leader.at, id))?.body.running === 1);
     state.limited = true;
     for (const node of nodes) {
       for (const id of ids) expect((await status(node.at, id))?.body.Status, id).toBe('running');
@@ -102,7 +109,8 @@
     const others = nodes.filter((n) => n !== leader);
     await until(() => others.some((n) => n.controller.authority() === 'lead'));
     for (const node of others) {
-      for (const id of ids) await until(async () => (await status(node.at, id))?.body.running === 1);
+      for (const id of ids)
+        await until(async () => (await status(node.at, id))?.body.running === 1);
     }
     expect(cloud.starts).toHaveLength(12);
   });
@@ -137,7 +145,8 @@
         await post(node.at, '/api/jobs/job-5/abort', {}),
         await post(node.at, '/api/jobs', body('job-5')),
       ];
-      for (const r of again) expect(r).toMatchObject({ status: 200, body: { Status: 'withdrawn' } });
+      for (const r of again)
+        expect(r).toMatchObject({ status: 200, body: { Status: 'withdrawn' } });
       expect((await status(node.at, 'job-5'))?.body.Status).toBe('withdrawn');
     }
     expect(state.keys.has('j/job-5')).toBe(false);
@@ -212,7 +221,13 @@
       /no machine with room/.test(String((await status(a.at, 'job-21'))?.body.waiting)),
     );
     const told = (await status(b.at, 'job-21/explain'))?.body;
-    expect(told).toMatchObject({ team: 'green', rank: 1, ofJobs: 1, head: 'job-21', waitingTasks: 2 });
+    expect(told).toMatchObject({
+      team: 'green',
+      rank: 1,
+      ofJobs: 1,
+      head: 'job-21',
+      waitingTasks: 2,
+    });
     const own = await until(async () => {
       const r = await post(b.at, '/api/jobs/job-20/abort?team=blue', {});
       return r?.status === 200 ? r : null;
@@ -234,6 +249,8 @@
     expect(cloud.unanswered).toBeGreaterThan(0);
     expect(cloud.givenUp).toBe(0);
     expect((await post(again.at, '/api/jobs', body('job-1')))?.status).toBe(201);
-    expect((await post(again.at, '/api/jobs', body('job-2', { Crew: 'nobody' })))?.status).toBe(422);
+    expect((await post(again.at, '/api/jobs', body('job-2', { Crew: 'nobody' })))?.status).toBe(
+      422,
+    );
   });
 });
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -54,7 +54,9 @@
   }
 
   /** One check-in of each machine, all at a time; `end` says which of its tasks have ended, and why. */
-  round(end: (o: Order, machine: string) => 'done' | 'error' | 'stopped' | null = () => null): void {
+  round(
+    end: (o: Order, machine: string) => 'done' | 'error' | 'stopped' | null = () => null,
+  ): void {
     const told = new Map<string, ReportedTask[]>();
     for (const [id, held] of this.holds) {
       const say = (o: Order) => {
@@ -190,7 +192,9 @@
     for (let i = 0; i < 3; i += 1) fleet.round();
     const told = fleet.holds.get('n-1')!.map(running);
     const answer = (effects: readonly Effect[]) =>
-      effects.find((e) => e.kind === 'answer' && e.ticket === 990) as { orders: Order[] } | undefined;
+      effects.find((e) => e.kind === 'answer' && e.ticket === 990) as
+        | { orders: Order[] }
+        | undefined;
     const sent = report('n-1', 900, s.state.config.term, told);
     s.effects = [];
     s.send({ kind: 'report', report: sent, ticket: 990 as Ticket });
@@ -228,7 +232,12 @@
   });
 
   it('spreads its replicas over machines, and over zones as it must, counting those not yet proven gone', () => {
-    const zones = { 'n-1': { zone: 'a' }, 'n-2': { zone: 'a' }, 'n-3': { zone: 'b' }, 'n-4': { zone: 'b' } };
+    const zones = {
+      'n-1': { zone: 'a' },
+      'n-2': { zone: 'a' },
+      'n-3': { zone: 'b' },
+      'n-4': { zone: 'b' },
+    };
     const s = new CoreDriver();
     const fleet = new Fleet(s, Object.keys(zones), zones);
     s.submit('job-1', service({ tasks: 4, scatter: true }));
@@ -401,9 +410,14 @@
     const s = new CoreDriver();
     const fleet = new Fleet(s, ['n-1', 'n-2']);
     // They begin together, so that their entries come in one batch.
-    const specs = [job('job-900', service({ tasks: 4 })), job('job-901', { tasks: 12, spotOk: false })];
+    const specs = [
+      job('job-900', service({ tasks: 4 })),
+      job('job-901', { tasks: 12, spotOk: false }),
+    ];
     const now = s.now as Instant;
-    const effects = s.send(...specs.map((spec) => ({ kind: 'job', spec, submittedAt: now }) as const));
+    const effects = s.send(
+      ...specs.map((spec) => ({ kind: 'job', spec, submittedAt: now }) as const),
+    );
     const batch = effects.find((e) => e.kind === 'save');
     expect(batch?.ops.map((op) => op.kind)).toEqual(['segment', 'segment']);
     fleet.round();
@@ -415,7 +429,9 @@
     }
     const ops: SaveOp[] = s.effects.flatMap((e) => (e.kind === 'save' ? [...e.ops] : []));
     const moved = ops.flatMap((op) =>
-      op.kind === 'segment' ? op.machines.flatMap((m) => m.entries.filter((x) => x.job === 'job-900')) : [],
+      op.kind === 'segment'
+        ? op.machines.flatMap((m) => m.entries.filter((x) => x.job === 'job-900'))
+        : [],
     );
     expect(ops.filter((op) => op.kind === 'segment').length).toBeGreaterThan(30);
     expect(moved).toEqual([]);
@@ -460,7 +476,11 @@
   it('of a former leader stay where they are until their machine answers for them', () => {
     const state = core({ term: 8 as Term });
     const spec = job('job-1', service({ tasks: 2 }));
-    const at = { machine: 'n-1' as MachineId, at: recordedAt, entries: [entry(0, 70), entry(1, 71)] };
+    const at = {
+      machine: 'n-1' as MachineId,
+      at: recordedAt,
+      entries: [entry(0, 70), entry(1, 71)],
+    };
     step(
       state,
       [
@@ -483,7 +503,12 @@
     const placed: number[] = [];
     for (let now = 500, seq = 1; now < 10_000; now += 500, seq += 1) {
       const told = report('n-2', seq, seq < 3 ? 7 : 8);
-      step(state, [{ kind: 'report', report: told, ticket: seq as Ticket }], now as Instant, 'lead');
+      step(
+        state,
+        [{ kind: 'report', report: told, ticket: seq as Ticket }],
+        now as Instant,
+        'lead',
+      );
       placed.push(runRound(state, now as Instant).placed.length);
     }
     expect(placed.every((n) => n === 0)).toBe(true);
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,5 +1,10 @@
 import { describe, expect, it } from 'vitest';
-import { DEFAULT_POLICY, parsePolicy, parseSettings, SettingsError } from '../src/adapters/settings.js';
+import {
+  DEFAULT_POLICY,
+  parsePolicy,
+  parseSettings,
+  SettingsError,
+} from '../src/adapters/settings.js';
 import { settingsText } from './stand-ins/settings.js';
 
 describe('settings', () => {
--- a/test/stand-ins/cloud.ts
+++ b/test/stand-ins/cloud.ts
@@ -1,5 +1,11 @@
 /** Our own stand-in for the cloud and its workers, written to the protocol; tasks run as long as `taskMs`. */
-import { createServer, type IncomingMessage, request, type Server, type ServerResponse } from 'node:http';
+import {
+  createServer,
+  type IncomingMessage,
+  request,
+  type Server,
+  type ServerResponse,
+} from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { readJson, sendJson } from './state-service.js';
 
@@ -145,18 +151,24 @@
   new Promise((resolve) => {
     const [host, port] = at.split(':');
     const text = typeof body === 'string' ? body : body === undefined ? '' : JSON.stringify(body);
-    const headers = { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) };
-    const req = request({ host, port: Number(port), path, method, headers, agent: false }, async (res) => {
-      let answer = '';
-      for await (const part of res) answer += part;
-      let json: unknown = null;
-      try {
-        json = JSON.parse(answer);
-      } catch {
-        json = answer;
-      }
-      resolve({ status: res.statusCode ?? 0, body: json, headers: res.headers });
-    });
+    const headers = {
+      'content-type': 'application/json',
+      'content-length': Buffer.byteLength(text),
+    };
+    const req = request(
+      { host, port: Number(port), path, method, headers, agent: false },
+      async (res) => {
+        let answer = '';
+        for await (const part of res) answer += part;
+        let json: unknown = null;
+        try {
+          json = JSON.parse(answer);
+        } catch {
+          json = answer;
+        }
+        resolve({ status: res.statusCode ?? 0, body: json, headers: res.headers });
+      },
+    );
     req.on('error', () => resolve(null));
     req.end(text);
   });
@@ -254,7 +266,13 @@
       return sendJson(res, 200, {});
     }
     if (req.method === 'POST') {
-      const b = body as { Hire: string; Hull: string; Yard: string; Loaners: boolean; HowMany: number };
+      const b = body as {
+        Hire: string;
+        Hull: string;
+        Yard: string;
+        Loaners: boolean;
+        HowMany: number;
+      };
       const before = this.hires.get(b.Hire);
       if (before) return sendJson(res, 200, { Berths: before });
       const free = Math.min(b.HowMany, this.capacity - this.workers.size);
--- a/test/stand-ins/cluster.ts
+++ b/test/stand-ins/cluster.ts
@@ -65,7 +65,8 @@
   cloud.nodes = ports.map((p) => `127.0.0.1:${p.api}`);
   cloud.names = ports.map((_, i) => `node-${i}`);
   const nowhere = await freePort();
-  const backOf = (i: number, j: number) => (i === lonely || j === lonely ? nowhere : ports[j]!.back);
+  const backOf = (i: number, j: number) =>
+    i === lonely || j === lonely ? nowhere : ports[j]!.back;
   const told = change.log ?? log;
   const start = (i: number): Node => {
     const base = JSON.parse(settingsText()) as { params: { workers: unknown; state: object } };
--- a/test/stand-ins/processes.ts
+++ b/test/stand-ins/processes.ts
@@ -12,7 +12,10 @@
 const execute = promisify(execFile);
 
 /** Writes the bundle to a directory of its own; the caller removes it. */
-export const buildProgram = async (): Promise<{ directory: string; remove: () => Promise<void> }> => {
+export const buildProgram = async (): Promise<{
+  directory: string;
+  remove: () => Promise<void>;
+}> => {
   const directory = await mkdtemp(join(tmpdir(), 'robinspread-'));
   const script = `import('./scripts/bundle.mjs').then(({ bundle }) => bundle(${JSON.stringify(directory)}))`;
   await execute(process.execPath, ['-e', script]);
@@ -27,7 +30,10 @@
 }
 
 /** Runs a command of the program to its end. */
-export const runCommand = async (directory: string, args: readonly string[]): Promise<CommandResult> => {
+export const runCommand = async (
+  directory: string,
+  args: readonly string[],
+): Promise<CommandResult> => {
   const child = spawn(process.execPath, [join(directory, 'main.cjs'), ...args]);
   let out = '';
   let error = '';
@@ -37,7 +43,9 @@
   child.stderr.on('data', (bytes: Buffer) => {
     error += bytes.toString();
   });
-  const code = await new Promise<number>((resolve) => child.on('close', (status) => resolve(status ?? -1)));
+  const code = await new Promise<number>((resolve) =>
+    child.on('close', (status) => resolve(status ?? -1)),
+  );
   return { code, out, error };
 };
 
@@ -85,9 +93,13 @@
       params: { ...base.params, ...params },
     };
     await writeFile(file, JSON.stringify(settings));
-    const child = spawn(process.execPath, [join(directory, 'main.cjs'), 'serve', '--config', file, ...args], {
-      stdio: 'ignore',
-    });
+    const child = spawn(
+      process.execPath,
+      [join(directory, 'main.cjs'), 'serve', '--config', file, ...args],
+      {
+        stdio: 'ignore',
+      },
+    );
     cleanups.push(() => child.kill('SIGKILL'));
     return child;
   };
--- a/test/stand-ins/recorder.ts
+++ b/test/stand-ins/recorder.ts
@@ -14,14 +14,21 @@
 
   constructor(private readonly nodes: () => readonly string[]) {}
 
-  private note(id: string, at: string, before: string | undefined, told: string, asked: string): void {
+  private note(
+    id: string,
+    at: string,
+    before: string | undefined,
+    told: string,
+    asked: string,
+  ): void {
     this.answers += 1;
     this.said[told] = (this.said[told] ?? 0) + 1;
     const rank = RANK[told] ?? 0;
     if (before !== undefined) {
       const older = rank < (RANK[before] ?? 0);
       const other = RANK[before] === 2 && told !== before;
-      if (older || other) this.problems.push(`${id} at ${at}: ${asked} got ${told} after ${before}`);
+      if (older || other)
+        this.problems.push(`${id} at ${at}: ${asked} got ${told} after ${before}`);
     }
     const known = this.newest.get(id);
     if (known === undefined || rank > (RANK[known] ?? 0)) this.newest.set(id, told);
@@ -47,7 +54,8 @@
         this.problems.push(`${id} at ${at}: ${reply.status} after ${before}`);
       return null;
     }
-    const told = reply.status === 404 ? 'absent' : String((reply.body as { Status?: unknown }).Status);
+    const told =
+      reply.status === 404 ? 'absent' : String((reply.body as { Status?: unknown }).Status);
     this.note(id, at, before, told, path.endsWith('abort') ? 'cancel' : method);
     return told;
   }
--- a/test/stand-ins/state-service.ts
+++ b/test/stand-ins/state-service.ts
@@ -29,7 +29,10 @@
 export const sendJson = (res: ServerResponse, status: number, body: unknown): void => {
   const text = JSON.stringify(body);
   res
-    .writeHead(status, { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) })
+    .writeHead(status, {
+      'content-type': 'application/json',
+      'content-length': Buffer.byteLength(text),
+    })
     .end(text);
 };
 
@@ -146,7 +149,10 @@
   private withinRate(changes: number): boolean {
     const { writeRps } = this.limits;
     const now = Date.now();
-    this.tokens.left = Math.min(writeRps, this.tokens.left + ((now - this.tokens.at) / 1000) * writeRps);
+    this.tokens.left = Math.min(
+      writeRps,
+      this.tokens.left + ((now - this.tokens.at) / 1000) * writeRps,
+    );
     this.tokens.at = now;
     if (this.tokens.left < changes) return false;
     this.tokens.left -= changes;
@@ -154,7 +160,9 @@
   }
 
   multi(body: Multi): { status: number; body: unknown } {
-    const failed = (body.Guards ?? []).filter((g) => (this.keys.get(g.Path)?.stamp ?? 0) !== g.Stamp);
+    const failed = (body.Guards ?? []).filter(
+      (g) => (this.keys.get(g.Path)?.stamp ?? 0) !== g.Stamp,
+    );
     if (failed.length > 0)
       return { status: 409, body: { failed: failed.map((g) => g.Path), Epoch: this.epoch } };
     const apply = body.Apply ?? [];
@@ -224,7 +232,9 @@
       const all = [...this.keys]
         .filter(([k]) => k.startsWith(under) && k > since)
         .sort((a, b) => (a[0] < b[0] ? -1 : 1));
-      const Items = all.slice(0, limit).map(([Path, e]) => ({ Path, Data: e.data, Stamp: e.stamp }));
+      const Items = all
+        .slice(0, limit)
+        .map(([Path, e]) => ({ Path, Data: e.data, Stamp: e.stamp }));
       return sendJson(res, 200, { Items, More: all.length > limit, Epoch: this.epoch });
     }
     if (parts[1] === 'kv') {
@@ -253,7 +263,9 @@
         const news = this.changes.filter((c) => c.stamp > since && c.key.startsWith(under));
         if (news.length > 0 || Date.now() >= until || this.down) {
           const News = news.map((c) =>
-            c.deleted ? { Delete: c.key, Stamp: c.stamp } : { Write: c.key, Data: c.data, Stamp: c.stamp },
+            c.deleted
+              ? { Delete: c.key, Stamp: c.stamp }
+              : { Write: c.key, Data: c.data, Stamp: c.stamp },
           );
           return sendJson(res, 200, { Epoch: this.epoch, News });
         }
--- a/test/standing.test.ts
+++ b/test/standing.test.ts
@@ -32,9 +32,12 @@
     leader.stop();
     const others = nodes.filter((n) => n !== leader);
     await until(() => others.some((n) => n.controller.authority() === 'lead'));
-    for (const node of others) await until(async () => (await status(node.at, 'job-1'))?.body.running === 2);
+    for (const node of others)
+      await until(async () => (await status(node.at, 'job-1'))?.body.running === 2);
     expect(new Set(cloud.starts).size).toBe(cloud.starts.length);
-    await until(async () => (await post(others[0]!.at, '/api/jobs/job-1/abort', undefined))?.status === 200);
+    await until(
+      async () => (await post(others[0]!.at, '/api/jobs/job-1/abort', undefined))?.status === 200,
+    );
     await until(() => [...cloud.workers.values()].every((w) => w.running().length === 0));
     for (const node of others)
       expect((await status(node.at, 'job-1'))?.body).toMatchObject({ Status: 'withdrawn' });
@@ -69,9 +72,12 @@
       const answer = await post(at, '/api/jobs', service(id, { ...spread, ...change }));
       expect(answer?.status).toBe(422);
       expect(answer?.body).toMatchObject({ error: expect.stringMatching(/spread/) });
-      expect((await post(at, '/api/jobs', body(`${id}1`, { ...spread, ...change })))?.status).toBe(201);
+      expect((await post(at, '/api/jobs', body(`${id}1`, { ...spread, ...change })))?.status).toBe(
+        201,
+      );
       expect(
-        (await post(at, '/api/jobs', service(`${id}2`, { ...change, Scatter: true, Pieces: 1 })))?.status,
+        (await post(at, '/api/jobs', service(`${id}2`, { ...change, Scatter: true, Pieces: 1 })))
+          ?.status,
       ).toBe(201);
     }
     expect((await post(at, '/api/jobs', service('job-3', spread)))?.status).toBe(201);
@@ -93,7 +99,8 @@
     state.limits = { valueBytes: 1024, txnOps: 3, writeRps: 200 };
     for (let i = 0; i < 10; i += 1)
       await until(
-        async () => (await post(at, '/api/jobs', body(`job-3${i}`, { Pieces: 12 })))?.status === 201,
+        async () =>
+          (await post(at, '/api/jobs', body(`job-3${i}`, { Pieces: 12 })))?.status === 201,
       );
     for (let i = 0; i < 10; i += 1)
       await until(async () => (await status(at, `job-3${i}`))?.body.Status === 'done');
@@ -110,7 +117,8 @@
   it('refuse a description that no longer fits with a true reason, and answer 200 for one that was accepted', async () => {
     const { nodes, state } = await cluster(2);
     const { at } = nodes[0]!;
-    const large = (id: string) => body(id, { Hulls: ['c8', ...Array(40).fill('x'.repeat(30))], Pieces: 500 });
+    const large = (id: string) =>
+      body(id, { Hulls: ['c8', ...Array(40).fill('x'.repeat(30))], Pieces: 500 });
     expect((await post(at, '/api/jobs', large('job-1')))?.status).toBe(201);
     state.limits.valueBytes = 600;
     expect((await post(at, '/api/jobs', large('job-1')))?.status).toBe(200);
@@ -131,7 +139,11 @@
     const state = new StateService();
     cleanups.push(() => state.close());
     const at = parseEndpoint(await state.listen());
-    const client = new StateClient(at, { rps: 1000, writeRps: 8, lowered: { rps: 1000, writeRps: 4 } });
+    const client = new StateClient(at, {
+      rps: 1000,
+      writeRps: 8,
+      lowered: { rps: 1000, writeRps: 4 },
+    });
     cleanups.push(() => client.close());
     let n = 0;
     const write = () => {
--- a/test/start-up.test.ts
+++ b/test/start-up.test.ts
@@ -17,7 +17,8 @@
 beforeAll(async () => {
   ({ directory, remove } = await buildProgram());
   // Writes what has been loaded when it is told to: Node's own modules, and files.
-  const loaded = 'JSON.stringify({ builtIns: process.moduleLoadList, files: Object.keys(require.cache) })';
+  const loaded =
+    'JSON.stringify({ builtIns: process.moduleLoadList, files: Object.keys(require.cache) })';
   const spy = `process.on('SIGUSR2', () => process.stdout.write(${loaded} + '\\n'));`;
   await writeFile(join(directory, 'spy.cjs'), spy);
 });
@@ -25,7 +26,9 @@
 afterEach(cleanUp);
 
 const builtIns = (list: readonly string[]): string[] =>
-  list.filter((name) => name.startsWith('NativeModule ')).map((name) => name.slice('NativeModule '.length));
+  list
+    .filter((name) => name.startsWith('NativeModule '))
+    .map((name) => name.slice('NativeModule '.length));
 
 /** One controller as a process of its own, beside a state service and a cloud. */
 const startProcess = async (...more: string[]) => {
@@ -64,7 +67,8 @@
     return JSON.parse(told) as { builtIns: string[]; files: string[] };
   };
   const loaded = async (): Promise<string[]> => builtIns((await ask()).builtIns);
-  const files = async (): Promise<string[]> => (await ask()).files.map((file) => basename(file)).sort();
+  const files = async (): Promise<string[]> =>
+    (await ask()).files.map((file) => basename(file)).sort();
   return { api, state, loaded, files };
 };
 
@@ -91,7 +95,9 @@
     expect(first.length).toBeLessThanOrEqual(60);
     expect((await post(api, '/api/jobs', body('job-1')))?.status).toBe(201);
     await until(async () => {
-      const view = (await post(api, '/api/jobs/job-1', undefined, 'GET'))?.body as { Status?: string } | null;
+      const view = (await post(api, '/api/jobs/job-1', undefined, 'GET'))?.body as {
+        Status?: string;
+      } | null;
       return view?.Status === 'done';
     });
     expect((await post(api, '/nowhere', undefined, 'GET'))?.status).toBe(404);
--- a/test/takeover.test.ts
+++ b/test/takeover.test.ts
@@ -18,7 +18,8 @@
     expect(s.checkIn('n-1', told, {}, 'none')).toBeNull();
     // The successor hears nothing of n-1, and the cloud does not answer its deletion.
     const next = core({ term: 8 as Term });
-    const send = (now: number, ...commands: Command[]) => step(next, commands, now as Instant, 'lead');
+    const send = (now: number, ...commands: Command[]) =>
+      step(next, commands, now as Instant, 'lead');
     const entries = starts.map((o) => entry(o.index, o.attempt));
     send(
       0,
@@ -48,7 +49,8 @@
         if (e.kind === 'delete')
           effects.push(...send(now, { kind: 'deleted', machines: e.machines, ok: false }));
         if (e.kind !== 'answer') continue;
-        for (const o of s.starts(e.orders)) if (!firstSent.has(o.attempt)) firstSent.set(o.attempt, now);
+        for (const o of s.starts(e.orders))
+          if (!firstSent.has(o.attempt)) firstSent.set(o.attempt, now);
       }
     }
     const placed = [...firstSent.values()];
@@ -62,7 +64,8 @@
 describe('a new leader', () => {
   it('does not replace at once the machines it knows from the ledger alone when none of them reports', () => {
     const state = core();
-    const send = (now: number, ...commands: Command[]) => step(state, commands, now as Instant, 'lead');
+    const send = (now: number, ...commands: Command[]) =>
+      step(state, commands, now as Instant, 'lead');
     const machines = Array.from({ length: 6 }, (_, i) => `n-${i}` as MachineId);
     const segment = segmentKey(6 as Term, 1);
     send(0, { kind: 'types', types: [type('c8')] });
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -21,9 +21,9 @@
     );
     expect(s.state.machines.get('n-1' as MachineId)?.draining).toBe(true);
     s.checkIn('n-1');
-    expect(s.pass(1000).some((e) => e.kind === 'delete' && e.machines.includes('n-1' as MachineId))).toBe(
-      true,
-    );
+    expect(
+      s.pass(1000).some((e) => e.kind === 'delete' && e.machines.includes('n-1' as MachineId)),
+    ).toBe(true);
   });
 
   it('does not blame machines for a job that fails on all of them, and tries it with pauses until cancelled', () => {
@@ -169,7 +169,12 @@
     const tick = (at: number) => step(state, [{ kind: 'tick' }], at as Instant, 'lead');
     step(state, [{ kind: 'types', types: [type('c8')] }, { kind: 'loaded' }], 0 as Instant, 'lead');
     expect([1000, 2000, 3000].flatMap(tick).filter((e) => e.kind === 'rent')).toEqual([]);
-    step(state, [{ kind: 'listed', askedAt: 3000 as Instant, machines: [] }], 3000 as Instant, 'lead');
+    step(
+      state,
+      [{ kind: 'listed', askedAt: 3000 as Instant, machines: [] }],
+      3000 as Instant,
+      'lead',
+    );
     const names: string[] = [];
     for (let at = 4000; at < 90_000; at += 500) {
       for (const e of tick(at)) {
@@ -213,7 +218,12 @@
     } as never;
     const at = { type: 'c8', zone: 'a', spot: false } as never;
     state.config.teams.get('blue' as never);
-    step(state, [{ kind: 'job', spec: job('job-1'), submittedAt: 0 as Instant }], 0 as Instant, 'lead');
+    step(
+      state,
+      [{ kind: 'job', spec: job('job-1'), submittedAt: 0 as Instant }],
+      0 as Instant,
+      'lead',
+    );
     step(
       state,
       [{ kind: 'ledger', segment: SEGMENT, machine: 'n-1' as MachineId, at, entries: [entry] }],
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -54,7 +54,9 @@
 /** A new leader that reads what a leader of the production version left behind. */
 const takeOver = (valueBytes: number) => {
   const state = core({ term: 50 as Term, valueBytes, txnOps: 3 });
-  const commands: Command[] = [{ kind: 'types', types: readTypes(old.types.value) as MachineType[] }];
+  const commands: Command[] = [
+    { kind: 'types', types: readTypes(old.types.value) as MachineType[] },
+  ];
   const { spec } = readJob(old.job.value)!;
   for (const id of [spec.id, 'job-000413' as JobId])
     commands.push({ kind: 'job', spec: { ...spec, id }, submittedAt: 0 as Instant });
@@ -63,7 +65,8 @@
     const record = readSegment(value)!;
     for (const row of record.progress)
       commands.push({ kind: 'progress', segment: key as SegmentKey, ...row });
-    for (const row of record.machines) entered.push({ kind: 'ledger', segment: key as SegmentKey, ...row });
+    for (const row of record.machines)
+      entered.push({ kind: 'ledger', segment: key as SegmentKey, ...row });
   }
   step(state, [...commands, ...entered, { kind: 'loaded' }], 0 as Instant, 'lead');
   return state;
@@ -72,7 +75,10 @@
 describe('what the version in production has stored', () => {
   it('is read whole: jobs, final states, the leader, machine types', () => {
     const record = readJob(old.job.value);
-    expect(record).toMatchObject({ at: 1790000000123, spec: { shape: 'array', tasks: 9000, scatter: true } });
+    expect(record).toMatchObject({
+      at: 1790000000123,
+      spec: { shape: 'array', tasks: 9000, scatter: true },
+    });
     expect(old.finals.map(({ value }) => readFinal(value)?.outcome)).toEqual(['done', 'cancelled']);
     expect(readLeader(old.leader.value)?.node).toBe('node-1');
     expect(old.leader.key).toBe(LEADER_KEY);
@@ -155,7 +161,9 @@
   it('of the ledger is read by it: attempts of services are counted there like those of a job it does not know', () => {
     const bits = Uint8Array.of(255, 7);
     const written = writeSegment({
-      machines: [{ machine: 'n-1' as never, at: recordedAt, entries: [entry(0, 41_000_001, 'job-9')] }],
+      machines: [
+        { machine: 'n-1' as never, at: recordedAt, entries: [entry(0, 41_000_001, 'job-9')] },
+      ],
       progress: [
         { job: 'job-8' as JobId, from: BLOCK_TASKS, bits },
         { job: 'job-8' as JobId, from: 1024, bits },
@@ -193,7 +201,12 @@
     const state = core();
     step(state, [{ kind: 'job', spec: service, submittedAt: 0 as Instant }], 0 as Instant, 'lead');
     const view = viewJob(state, service.id, 0 as Instant);
-    expect(v.parse(oldView, view)).toMatchObject({ id: 'job-9', status: 'queued', done: 0, running: 0 });
+    expect(v.parse(oldView, view)).toMatchObject({
+      id: 'job-9',
+      status: 'queued',
+      done: 0,
+      running: 0,
+    });
     expect(v.is(oldHealth, { leader: null, term: 7, workers: 0, state: true })).toBe(true);
   });
 });
