--- a/packages/drain/test/drain-fleet.ts
+++ b/packages/drain/test/drain-fleet.ts
@@ -2,9 +2,10 @@
  * A fleet under one leader after the other, for scripted cases: what is stored, rented, started, stopped and returned happens at
  * once unless a test says otherwise, and is remembered by the fleet itself.
  */
-import { ExtensionHost } from '../../../src/core/extension-host.js';
+
+import { step } from '../../../src/core/apply-commands.js';
+import { ExtensionHost } from '../../../src/core/extensions/extension-host.js';
 import type { CoreState } from '../../../src/core/state.js';
-import { step } from '../../../src/core/step.js';
 import type {
   Authority,
   Command,
--- a/packages/extension-api/src/index.ts
+++ b/packages/extension-api/src/index.ts
@@ -15,8 +15,11 @@
   OperatorCall,
   RecordWrite,
   RentalKind,
-} from '../../../src/core/extension.js';
-export type { CommandTools, ExtensionPackage } from '../../../src/core/extension-package.js';
+} from '../../../src/core/extensions/extension.js';
+export type {
+  CommandTools,
+  ExtensionPackage,
+} from '../../../src/core/extensions/extension-package.js';
 export type {
   Attempt,
   ImageName,
--- a/src/adapters/cloud-client.ts
+++ b/src/adapters/cloud/cloud-client.ts
@@ -6,11 +6,11 @@
   RequestName,
   TypeName,
   ZoneName,
-} from '../core/types.js';
-import { HttpClient, NOT_JSON, type Reply } from './http-client.js';
-import { RateLimiter } from './rate-limiter.js';
-import type { Endpoint } from './settings.js';
-import { parseMachines, parseNames, parseTypes } from './wire.js';
+} from '../../core/types.js';
+import type { Endpoint } from '../configuration/settings.js';
+import { HttpClient, NOT_JSON, type Reply } from '../outbound/http-client.js';
+import { RateLimiter } from '../outbound/rate-limiter.js';
+import { parseMachines, parseNames, parseTypes } from '../wire.js';
 
 const REQUEST_MS = 6000;
 const QUEUE_MS = 3000;
--- a/src/adapters/settings.ts
+++ b/src/adapters/configuration/settings.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs';
 import parseExpression from 's-expression';
 import * as v from 'valibot';
-import type { NodeId, Policy, Team, TeamName, ZoneName } from '../core/types.js';
+import type { NodeId, Policy, Team, TeamName, ZoneName } from '../../core/types.js';
 
 /** A fault of the files handed over: one clear line, no stack. */
 export class SettingsError extends Error {}
--- a/src/adapters/api.ts
+++ b/src/adapters/http/api-server.ts
@@ -2,22 +2,22 @@
 import { type IncomingMessage, type RequestListener, Server } from 'node:http';
 import type { Socket } from 'node:net';
 import { type Context, Hono } from 'hono';
-import type { ExtensionModule, ExtensionRoute } from '../core/extension.js';
-import type { JobId, TeamName } from '../core/types.js';
-import type { Controller } from '../service/controller.js';
-import type { Lookup } from '../service/users.js';
-import { makeCheckIn } from './check-in.js';
+import type { ExtensionModule, ExtensionRoute } from '../../core/extensions/extension.js';
+import type { JobId, TeamName } from '../../core/types.js';
+import type { Controller } from '../../service/controller.js';
+import type { Lookup } from '../../service/user-requests.js';
+import type { Settings } from '../configuration/settings.js';
+import type { Log } from '../logging/log.js';
+import { steadyNow } from '../runtime/clock.js';
+import { jobAnswer, parseJob, parseJobId } from '../wire.js';
 import {
   acceptCheckIns,
   type CheckInHandler,
   type CheckInLimits,
   RETRY_AFTER_S,
-} from './check-in-connections.js';
-import { steadyNow } from './clock.js';
+} from './heartbeat-connections.js';
+import { makeCheckIn } from './heartbeat-handler.js';
 import { listenerOf, type NodeApplication, type NodeEnv, sendJson } from './hono-listener.js';
-import type { Log } from './log.js';
-import type { Settings } from './settings.js';
-import { jobAnswer, parseJob, parseJobId } from './wire.js';
 
 const MAX_BODY = 64 * 1024;
 /** Reports of a machine full of small tasks are longer than what users may send. */
--- a/src/adapters/check-in-connections.ts
+++ b/src/adapters/http/heartbeat-connections.ts
@@ -5,7 +5,7 @@
  * have been read, and stays there.
  */
 import type { Socket } from 'node:net';
-import { steadyNow } from './clock.js';
+import { steadyNow } from '../runtime/clock.js';
 import { frameCheckIn } from './plain-request.js';
 
 /** What a worker is answered. */
--- a/src/adapters/check-in.ts
+++ b/src/adapters/http/heartbeat-handler.ts
@@ -1,9 +1,9 @@
 /** Workers' check-ins: from the body of a request to what the worker is answered. */
-import type { Controller } from '../service/controller.js';
-import type { CheckInHandler, CheckInReply } from './check-in-connections.js';
-import { type Log, Once } from './log.js';
-import { ReportReader } from './report-reader.js';
-import { ordersOut } from './wire.js';
+import type { Controller } from '../../service/controller.js';
+import { type Log, Once } from '../logging/log.js';
+import { ordersOut } from '../wire.js';
+import { ReportReader } from '../workers/heartbeat-parser.js';
+import type { CheckInHandler, CheckInReply } from './heartbeat-connections.js';
 
 /** As much as is logged of a machine's name that cannot be read. */
 const MAX_LOGGED_NAME = 120;
--- a/src/adapters/state-client.ts
+++ b/src/adapters/key-value-store/key-value-store-client.ts
@@ -1,10 +1,10 @@
 /** The state service: wire names in, plain results out, within this node's share of its limits. */
 import * as v from 'valibot';
-import type { Revision } from '../core/types.js';
-import { steadyNow } from './clock.js';
-import { HttpClient, NOT_JSON, type Reply, TOO_LARGE } from './http-client.js';
-import { RateLimiter } from './rate-limiter.js';
-import type { Endpoint } from './settings.js';
+import type { Revision } from '../../core/types.js';
+import type { Endpoint } from '../configuration/settings.js';
+import { HttpClient, NOT_JSON, type Reply, TOO_LARGE } from '../outbound/http-client.js';
+import { RateLimiter } from '../outbound/rate-limiter.js';
+import { steadyNow } from '../runtime/clock.js';
 
 export type LeaseId = number & { readonly __lease: unique symbol };
 
--- a/src/adapters/http-client.ts
+++ b/src/adapters/outbound/http-client.ts
@@ -1,6 +1,6 @@
 /** JSON over Node's own HTTP client, with keep-alive, a deadline for the whole exchange and bounded answers. */
 import { Agent, type ClientRequest, request } from 'node:http';
-import type { Endpoint } from './settings.js';
+import type { Endpoint } from '../configuration/settings.js';
 
 export type Reply =
   | { readonly kind: 'answer'; readonly status: number; readonly body: unknown }
--- a/src/adapters/rate-limiter.ts
+++ b/src/adapters/outbound/rate-limiter.ts
@@ -1,5 +1,5 @@
 /** A token bucket whose waiting line is bounded, so that overload turns into a refusal and not into a heap. */
-import { steadyNow } from './clock.js';
+import { steadyNow } from '../runtime/clock.js';
 
 export class RateLimiter {
   private tokens: number;
--- a/src/adapters/peer-link.ts
+++ b/src/adapters/peers/peer-link.ts
@@ -2,9 +2,9 @@
 import { createServer, type Server, Socket } from 'node:net';
 import { Packr } from 'msgpackr/pack';
 import * as v from 'valibot';
-import type { NodeId } from '../core/types.js';
-import { steadyNow } from './clock.js';
-import type { Endpoint } from './settings.js';
+import type { NodeId } from '../../core/types.js';
+import type { Endpoint } from '../configuration/settings.js';
+import { steadyNow } from '../runtime/clock.js';
 
 /** No frame between peers comes near this; a larger one is refused and its connection closed. */
 export const MAX_FRAME = 64 * 1024;
--- a/src/adapters/report-reader.ts
+++ b/src/adapters/workers/heartbeat-parser.ts
@@ -12,8 +12,8 @@
   Term,
   TypeName,
   ZoneName,
-} from '../core/types.js';
-import { count, keyLabel, label } from './wire.js';
+} from '../../core/types.js';
+import { count, keyLabel, label } from '../wire.js';
 
 const MAX_TASKS = 20_000;
 
--- a/src/adapters/worker-client.ts
+++ b/src/adapters/workers/worker-client.ts
@@ -1,10 +1,10 @@
 /** Direct commands to workers: kills, which must not wait for the next check-in. */
 import { Agent } from 'node:http';
-import type { Order, Report, Term } from '../core/types.js';
-import { exchange } from './http-client.js';
-import { parseReport } from './report-reader.js';
-import { parseEndpoint } from './settings.js';
-import { ordersOut } from './wire.js';
+import type { Order, Report, Term } from '../../core/types.js';
+import { parseEndpoint } from '../configuration/settings.js';
+import { exchange } from '../outbound/http-client.js';
+import { ordersOut } from '../wire.js';
+import { parseReport } from './heartbeat-parser.js';
 
 const REQUEST_MS = 3000;
 
--- a/src/cli/ask.ts
+++ b/src/cli/ask.ts
@@ -1,5 +1,5 @@
-import { HttpClient } from '../adapters/http-client.js';
-import { parseEndpoint } from '../adapters/settings.js';
+import { parseEndpoint } from '../adapters/configuration/settings.js';
+import { HttpClient } from '../adapters/outbound/http-client.js';
 
 const ask = async (at: string, path: string): Promise<void> => {
   const client = new HttpClient(parseEndpoint(at), 1);
--- a/src/cli/command-tools.ts
+++ b/src/cli/command-tools.ts
@@ -1,7 +1,8 @@
 /** What commands of optional packages use: questions to a daemon, and output. */
-import { HttpClient } from '../adapters/http-client.js';
-import { parseEndpoint } from '../adapters/settings.js';
-import type { CommandTools } from '../core/extension-package.js';
+
+import { parseEndpoint } from '../adapters/configuration/settings.js';
+import { HttpClient } from '../adapters/outbound/http-client.js';
+import type { CommandTools } from '../core/extensions/extension-package.js';
 
 const ANSWER_MS = 8000;
 
--- a/src/cli/extensions.ts
+++ b/src/cli/extensions.ts
@@ -4,9 +4,9 @@
  */
 import { readFileSync } from 'node:fs';
 import parseExpression from 's-expression';
-import { type Settings, SettingsError } from '../adapters/settings.js';
-import type { ExtensionModule } from '../core/extension.js';
-import type { ExtensionPackage } from '../core/extension-package.js';
+import { type Settings, SettingsError } from '../adapters/configuration/settings.js';
+import type { ExtensionModule } from '../core/extensions/extension.js';
+import type { ExtensionPackage } from '../core/extensions/extension-package.js';
 
 type Loader = () => Promise<{ readonly extensionPackage: ExtensionPackage }>;
 
--- a/src/cli/load.ts
+++ b/src/cli/load.ts
@@ -4,8 +4,8 @@
   loadSettings,
   type Settings,
   SettingsError,
-} from '../adapters/settings.js';
-import type { ExtensionModule } from '../core/extension.js';
+} from '../adapters/configuration/settings.js';
+import type { ExtensionModule } from '../core/extensions/extension.js';
 import type { Policy } from '../core/types.js';
 import { loadExtension } from './extensions.js';
 
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -1,7 +1,7 @@
-import { startApi } from '../adapters/api.js';
-import { makeLog, Once } from '../adapters/log.js';
-import { servePeers } from '../adapters/peer-link.js';
-import { Jitter } from '../adapters/random.js';
+import { startApi } from '../adapters/http/api-server.js';
+import { makeLog, Once } from '../adapters/logging/log.js';
+import { servePeers } from '../adapters/peers/peer-link.js';
+import { Jitter } from '../adapters/runtime/random.js';
 import { Controller } from '../service/controller.js';
 import { type Files, loadFiles } from './load.js';
 
--- a/src/core/step.ts
+++ b/src/core/apply-commands.ts
@@ -1,14 +1,15 @@
 /** The core's one entry: commands in, effects out. No input or output, no clock, no randomness. */
-import { placeWaitingReplicas, type Round, runRound } from './backfill.js';
-import { deleted, listed, manageFleet, setTypes } from './fleet.js';
-import { abortJob, addJob } from './jobs.js';
-import { everyLeaseOver } from './leases.js';
-import { nextBatch, onLedger, onProgress, onSaved } from './ledger.js';
+
+import { deleted, listed, manageFleet, setTypes } from './fleet/fleet-management.js';
+import { rented } from './fleet/scale-out.js';
+import { nextBatch, onLedger, onProgress, onSaved } from './ledger/batch-builder.js';
+import { settleSegment } from './ledger/segments.js';
+import { onReport } from './lifecycle/heartbeat-reconciliation.js';
+import { abortJob, addJob } from './lifecycle/jobs.js';
+import { answerTickets, ofEndedJob, sendKills } from './lifecycle/worker-commands.js';
+import { everyLeaseOver } from './lifecycle/worker-leases.js';
 import { logEvent } from './log-event.js';
-import { answerTickets, ofEndedJob, sendKills } from './orders.js';
-import { rented } from './rentals.js';
-import { onReport } from './reports.js';
-import { settleSegment } from './segments.js';
+import { placeWaitingReplicas, type Round, runRound } from './scheduling/backfill.js';
 import type { CoreState } from './state.js';
 import {
   type Authority,
--- a/src/core/extension-host.ts
+++ b/src/core/extensions/extension-host.ts
@@ -2,6 +2,19 @@
  * Runs extensions inside the core's steps. One that throws is logged and left out for the rest of that step; scheduling
  * goes on. While it is left out, disruptions that need its consent wait.
  */
+
+import { isDone } from '../lifecycle/job-tasks.js';
+import { logEvent } from '../log-event.js';
+import type { CoreState } from '../state.js';
+import type {
+  Effect,
+  Instant,
+  JobId,
+  MachineId,
+  RequestName,
+  TaskIndex,
+  Ticket,
+} from '../types.js';
 import type {
   AttemptView,
   Extension,
@@ -14,10 +27,6 @@
   OperatorCall,
   RecordWrite,
 } from './extension.js';
-import { isDone } from './job-state.js';
-import { logEvent } from './log-event.js';
-import type { CoreState } from './state.js';
-import type { Effect, Instant, JobId, MachineId, RequestName, TaskIndex, Ticket } from './types.js';
 
 /** Where extensions keep their records in the state service. */
 export const EXTENSIONS = 'x/';
--- a/src/core/extension.ts
+++ b/src/core/extensions/extension.ts
@@ -21,7 +21,7 @@
   Ticket,
   TypeName,
   ZoneName,
-} from './types.js';
+} from '../types.js';
 
 /** What is known of an attempt; phases as in the core's placements. */
 export interface AttemptView {
--- a/src/core/demand.ts
+++ b/src/core/fleet/demand.ts
@@ -1,6 +1,6 @@
 /** What the fleet has, is about to have, and needs. */
-import type { CoreState, Machine, RentOption } from './state.js';
-import { type Instant, isService } from './types.js';
+import type { CoreState, Machine, RentOption } from '../state.js';
+import { type Instant, isService } from '../types.js';
 
 /** A machine that counts as supply: it is there to stay. */
 export const counted = (m: Machine): boolean =>
--- a/src/core/fleet.ts
+++ b/src/core/fleet/fleet-management.ts
@@ -1,11 +1,8 @@
 /** The machines there are: what the cloud lists, which fall silent, and which are given up. */
-import { release } from './attempts.js';
-import { leaseSurelyOver } from './leases.js';
-import { newMachine } from './machine-state.js';
-import { rentals } from './rentals.js';
-import { drainNoticed, returnIdle } from './returns.js';
-import { isReplica } from './services.js';
-import type { CoreState, Machine } from './state.js';
+import { release } from '../lifecycle/attempts.js';
+import { leaseSurelyOver } from '../lifecycle/worker-leases.js';
+import { isReplica } from '../scheduling/services.js';
+import type { CoreState, Machine } from '../state.js';
 import {
   type Effect,
   type Instant,
@@ -14,7 +11,10 @@
   type MachineId,
   type MachineType,
   type Millis,
-} from './types.js';
+} from '../types.js';
+import { newMachine } from './machine-health.js';
+import { drainNoticed, returnIdle } from './scale-in.js';
+import { rentals } from './scale-out.js';
 
 const DELETE_MAX = 100;
 /** More silent machines than this share of the fleet, its usual spare room, are not replaced at once. */
--- a/src/core/machine-state.ts
+++ b/src/core/fleet/machine-health.ts
@@ -1,6 +1,6 @@
 /** The state of machines, and whether they may take work. */
-import type { CoreState, Machine } from './state.js';
-import type { Instant, MachineId, TypeName, ZoneName } from './types.js';
+import type { CoreState, Machine } from '../state.js';
+import type { Instant, MachineId, TypeName, ZoneName } from '../types.js';
 
 export const newMachine = (
   id: MachineId,
--- a/src/core/returns.ts
+++ b/src/core/fleet/scale-in.ts
@@ -1,9 +1,9 @@
 /** Machines that leave by decision: idle ones, faulty ones, and those that the cloud is about to take. */
-import { occupies } from './attempts.js';
+import { occupies } from '../lifecycle/attempts.js';
+import { ordinaryNeed } from '../scheduling/services.js';
+import type { CoreState, Machine } from '../state.js';
+import { type Instant, isService } from '../types.js';
 import { counted, measure } from './demand.js';
-import { ordinaryNeed } from './services.js';
-import type { CoreState, Machine } from './state.js';
-import { type Instant, isService } from './types.js';
 
 /** Marks machines that have been idle for long and are not needed. */
 export const returnIdle = (state: CoreState, now: Instant): void => {
--- a/src/core/rentals.ts
+++ b/src/core/fleet/scale-out.ts
@@ -1,11 +1,10 @@
 /** Which machines to rent, and what the cloud answers. */
-import { mayUseMachine, tasksWithinLimit, zoneAllows } from './capacity.js';
-import { asked, counted, measure } from './demand.js';
-import { SUSPECT_MACHINES } from './job-state.js';
-import { newMachine } from './machine-state.js';
-import { NO_MACHINE } from './placement.js';
-import { isReplica, ordinaryNeed } from './services.js';
-import type { CoreState, Job, Machine, RentOption } from './state.js';
+
+import { SUSPECT_MACHINES } from '../lifecycle/job-tasks.js';
+import { mayUseMachine, tasksWithinLimit, zoneAllows } from '../scheduling/capacity.js';
+import { NO_MACHINE } from '../scheduling/placement.js';
+import { isReplica, ordinaryNeed } from '../scheduling/services.js';
+import type { CoreState, Job, Machine, RentOption } from '../state.js';
 import {
   type Effect,
   type Instant,
@@ -16,7 +15,9 @@
   type Millis,
   type RequestName,
   seconds,
-} from './types.js';
+} from '../types.js';
+import { asked, counted, measure } from './demand.js';
+import { newMachine } from './machine-health.js';
 
 const RENT_MAX = 50;
 /** Requests under way at once; the cloud's rate is shared with lists and deletions. */
--- a/src/core/ledger.ts
+++ b/src/core/ledger/batch-builder.ts
@@ -1,18 +1,11 @@
 /** The placement ledger and all else that the leader stores, in batches; and its reading by a new leader. */
 
-import { release } from './attempts.js';
-import { MOST_WRITES_TOGETHER } from './extension.js';
-import { chunkOf, isDone, recountPending } from './job-state.js';
-import { finishSaved } from './jobs.js';
-import { adopt, ensureMachine } from './reports.js';
-import {
-  leaveChunkSegment,
-  leaveSegment,
-  openSegment,
-  recordBytes,
-  segmentKey,
-} from './segments.js';
-import type { Batch, CoreState, Job, Placement, Segment } from './state.js';
+import { MOST_WRITES_TOGETHER } from '../extensions/extension.js';
+import { release } from '../lifecycle/attempts.js';
+import { adopt, ensureMachine } from '../lifecycle/heartbeat-reconciliation.js';
+import { chunkOf, isDone, recountPending } from '../lifecycle/job-tasks.js';
+import { finishSaved } from '../lifecycle/jobs.js';
+import type { Batch, CoreState, Job, Placement, Segment } from '../state.js';
 import {
   type Attempt,
   type Command,
@@ -30,7 +23,14 @@
   type SaveOp,
   type SegmentKey,
   type TaskIndex,
-} from './types.js';
+} from '../types.js';
+import {
+  leaveChunkSegment,
+  leaveSegment,
+  openSegment,
+  recordBytes,
+  segmentKey,
+} from './segments.js';
 
 /** A job of which something could not be stored waits this long before it is tried again, otherwise put. */
 const REFUSED_PAUSE_MS = 30_000 as Millis;
--- a/src/core/segments.ts
+++ b/src/core/ledger/segments.ts
@@ -1,6 +1,6 @@
 /** Records of the placement ledger: what stays in each, and when it may go. */
-import type { Chunk, CoreConfig, CoreState, Placement, Segment } from './state.js';
-import type { SegmentKey, Term } from './types.js';
+import type { Chunk, CoreConfig, CoreState, Placement, Segment } from '../state.js';
+import type { SegmentKey, Term } from '../types.js';
 
 const RECORD_BYTES = 14_000;
 
--- a/src/core/attempts.ts
+++ b/src/core/lifecycle/attempts.ts
@@ -1,8 +1,9 @@
 /** Attempts: their numbers, and what they take of machines and teams. */
-import { isDone } from './job-state.js';
-import { leaveSegment } from './segments.js';
-import type { CoreState, Phase, Placement } from './state.js';
-import type { Instant } from './types.js';
+
+import { leaveSegment } from '../ledger/segments.js';
+import type { CoreState, Phase, Placement } from '../state.js';
+import type { Instant } from '../types.js';
+import { isDone } from './job-tasks.js';
 
 /**
  * Attempt numbers that belong to one revision of the state service, so that none is ever given twice: a leader begins at
--- a/src/core/reports.ts
+++ b/src/core/lifecycle/heartbeat-reconciliation.ts
@@ -1,11 +1,8 @@
 /** What workers report, and what it proves. */
 
-import { addPlacement, occupies, release } from './attempts.js';
-import { isDone } from './job-state.js';
-import { markDone, noteFailure, noteReplicaEnd } from './jobs.js';
-import { logEvent } from './log-event.js';
-import { isQuiet, newMachine, UNHEARD_STOPS } from './machine-state.js';
-import type { CoreState, Machine, Placement, Segment } from './state.js';
+import { isQuiet, newMachine, UNHEARD_STOPS } from '../fleet/machine-health.js';
+import { logEvent } from '../log-event.js';
+import type { CoreState, Machine, Placement, Segment } from '../state.js';
 import {
   type Effect,
   type Instant,
@@ -21,7 +18,10 @@
   type Ticket,
   type TypeName,
   type ZoneName,
-} from './types.js';
+} from '../types.js';
+import { addPlacement, occupies, release } from './attempts.js';
+import { isDone } from './job-tasks.js';
+import { markDone, noteFailure, noteReplicaEnd } from './jobs.js';
 
 /** Unheard answers after which a machine is replaced, unless more than this share of the fleet seems deaf. */
 const UNHEARD_REPLACES = 4;
--- a/src/core/job-state.ts
+++ b/src/core/lifecycle/job-tasks.ts
@@ -1,7 +1,7 @@
 /** The state of jobs: their tasks that wait, are done, or are held. */
-import { recordBytes } from './segments.js';
-import type { Chunk, CoreConfig, Job } from './state.js';
-import { type Instant, isService, type JobSpec, type TaskIndex } from './types.js';
+import { recordBytes } from '../ledger/segments.js';
+import type { Chunk, CoreConfig, Job } from '../state.js';
+import { type Instant, isService, type JobSpec, type TaskIndex } from '../types.js';
 
 /** Ledger records tell progress by blocks of this many tasks, and smaller parts by their first task. */
 export const BLOCK_TASKS = 8192;
--- a/src/core/view.ts
+++ b/src/core/lifecycle/job-view.ts
@@ -1,9 +1,9 @@
 /** What users and teams are told of a job: its state, and why it waits. */
-import { rankWaiting } from './backfill.js';
-import { tasksWithinLimit } from './capacity.js';
-import { failsEverywhere } from './job-state.js';
-import type { CoreState, Job } from './state.js';
-import type { Instant, JobId, Outcome, Shape, TeamName } from './types.js';
+import { rankWaiting } from '../scheduling/backfill.js';
+import { tasksWithinLimit } from '../scheduling/capacity.js';
+import type { CoreState, Job } from '../state.js';
+import type { Instant, JobId, Outcome, Shape, TeamName } from '../types.js';
+import { failsEverywhere } from './job-tasks.js';
 
 export interface CoreJobView {
   readonly id: JobId;
--- a/src/core/jobs.ts
+++ b/src/core/lifecycle/jobs.ts
@@ -1,11 +1,9 @@
 /** Jobs: their arrival, their end, and what happens to their tasks. */
 
-import { chunkOf, failsEverywhere, isDone, newJob, SUSPECT_MACHINES } from './job-state.js';
-import { logEvent } from './log-event.js';
-import { sendKills } from './orders.js';
-import { quarantine } from './returns.js';
-import { leaveChunkSegment } from './segments.js';
-import type { CoreState, Job, Machine, Placement } from './state.js';
+import { quarantine } from '../fleet/scale-in.js';
+import { leaveChunkSegment } from '../ledger/segments.js';
+import { logEvent } from '../log-event.js';
+import type { CoreState, Job, Machine, Placement } from '../state.js';
 import {
   type Effect,
   type Instant,
@@ -14,7 +12,9 @@
   type Millis,
   seconds,
   type Ticket,
-} from './types.js';
+} from '../types.js';
+import { chunkOf, failsEverywhere, isDone, newJob, SUSPECT_MACHINES } from './job-tasks.js';
+import { sendKills } from './worker-commands.js';
 
 /** Longer than a read, a watch or an unanswered write can be under way. */
 const ENDED_KEPT_MS = 120_000;
--- a/src/core/orders.ts
+++ b/src/core/lifecycle/worker-commands.ts
@@ -1,9 +1,9 @@
 /** What workers are told: in answers to check-ins, and directly where it must not wait. */
 
-import { usable } from './machine-state.js';
-import { isReplica } from './services.js';
-import type { CoreState, Machine, Placement } from './state.js';
-import type { Authority, Effect, Instant, Order } from './types.js';
+import { usable } from '../fleet/machine-health.js';
+import { isReplica } from '../scheduling/services.js';
+import type { CoreState, Machine, Placement } from '../state.js';
+import type { Authority, Effect, Instant, Order } from '../types.js';
 
 /** A check-in waits at most this long for the ledger entries of its starts. */
 const ANSWER_WAIT_MS = 900;
--- a/src/core/leases.ts
+++ b/src/core/lifecycle/worker-leases.ts
@@ -1,6 +1,6 @@
 /** How long a worker may hold its tasks after the last answer that a controller can have given it. */
-import type { CoreState, Machine } from './state.js';
-import type { Instant, Millis } from './types.js';
+import type { CoreState, Machine } from '../state.js';
+import type { Instant, Millis } from '../types.js';
 
 /** Clocks drift apart by half of this at most. */
 const DRIFT = 0.001;
--- a/src/core/backfill.ts
+++ b/src/core/scheduling/backfill.ts
@@ -4,6 +4,9 @@
  * they leave that room alone or end before the shadow time.
  */
 
+import { failsEverywhere, SUSPECT_MACHINES } from '../lifecycle/job-tasks.js';
+import type { CoreState, Job, Placement } from '../state.js';
+import { type Instant, isService, PRIORITY_LEVEL, type TypeName } from '../types.js';
 import {
   type FreeCapacity,
   fitsNow,
@@ -15,14 +18,11 @@
   tasksWithinLimit,
   zoneAllows,
 } from './capacity.js';
-import { failsEverywhere, SUSPECT_MACHINES } from './job-state.js';
 import { NO_MACHINE, placeJob, TEAM_LIMIT } from './placement.js';
 import { preemptForHead, preemptForReplicas } from './preemption.js';
-import { type Ranked, rankJobs } from './rank.js';
 import { reserveForHead } from './reservation.js';
+import { type Ranked, rankJobs } from './scoring.js';
 import { goesFirst, keepMachines, moveAway, replicasToMove } from './services.js';
-import type { CoreState, Job, Placement } from './state.js';
-import { type Instant, isService, PRIORITY_LEVEL, type TypeName } from './types.js';
 
 export interface Round {
   readonly placed: Placement[];
--- a/src/core/capacity.ts
+++ b/src/core/scheduling/capacity.ts
@@ -2,11 +2,11 @@
  * What machines have free in one scheduling round, which jobs may use it, and what a team's limit still allows.
  */
 
-import { SUSPECT_MACHINES } from './job-state.js';
-import { usable } from './machine-state.js';
-import type { Ranked } from './rank.js';
-import type { CoreState, Job, Machine, Placement } from './state.js';
-import { type Instant, isService, type MachineType } from './types.js';
+import { usable } from '../fleet/machine-health.js';
+import { SUSPECT_MACHINES } from '../lifecycle/job-tasks.js';
+import type { CoreState, Job, Machine, Placement } from '../state.js';
+import { type Instant, isService, type MachineType } from '../types.js';
+import type { Ranked } from './scoring.js';
 
 /** A machine's free capacity: what is free now, and what the head's reservation leaves free at the shadow time. */
 export interface FreeCapacity {
--- a/src/core/estimates.ts
+++ b/src/core/scheduling/estimates.ts
@@ -1,6 +1,6 @@
 /** How long attempts should run, and when those that run should end. */
-import type { Job, Placement } from './state.js';
-import { type Instant, isService } from './types.js';
+import type { Job, Placement } from '../state.js';
+import { type Instant, isService } from '../types.js';
 
 /** How long a task of the job should run; a replica runs until its service is cancelled. */
 export const runMs = (job: Job): number =>
--- a/src/core/placement.ts
+++ b/src/core/scheduling/placement.ts
@@ -1,6 +1,9 @@
 /** Placing the waiting tasks of one job: on which machines, in which order, and within which bounds. */
 
-import { ATTEMPTS_PER_REVISION, addPlacement, hasAttemptLeft } from './attempts.js';
+import { ATTEMPTS_PER_REVISION, addPlacement, hasAttemptLeft } from '../lifecycle/attempts.js';
+import { failsEverywhere, takePending } from '../lifecycle/job-tasks.js';
+import type { CoreState, Job, Placement } from '../state.js';
+import { type Attempt, type Instant, isService, type LedgerEntry } from '../types.js';
 import {
   EPSILON,
   type FreeCapacity,
@@ -14,10 +17,7 @@
   zoneAllows,
 } from './capacity.js';
 import { runMs } from './estimates.js';
-import { failsEverywhere, takePending } from './job-state.js';
 import { capacitiesForReplicas } from './services.js';
-import type { CoreState, Job, Placement } from './state.js';
-import { type Attempt, type Instant, isService, type LedgerEntry } from './types.js';
 
 export const TEAM_LIMIT = 'team limit';
 export const NO_MACHINE = 'no machine with room';
--- a/src/core/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -1,6 +1,8 @@
 /** The two exceptions to running tasks to their end: for an urgent head, and for replicas of critical services. */
 
-import { occupies } from './attempts.js';
+import { occupies } from '../lifecycle/attempts.js';
+import type { Job, Placement } from '../state.js';
+import { type Instant, isService, PRIORITY_LEVEL } from '../types.js';
 import {
   type FreeCapacity,
   fitsIn,
@@ -8,8 +10,6 @@
   resourcesWithout,
   zoneAllows,
 } from './capacity.js';
-import type { Job, Placement } from './state.js';
-import { type Instant, isService, PRIORITY_LEVEL } from './types.js';
 
 /** Shorter runs are not cut: a start that is stopped so soon is of no use. */
 const LEAST_RUN_MS = 31_000;
--- a/src/core/reservation.ts
+++ b/src/core/scheduling/reservation.ts
@@ -1,6 +1,8 @@
 /** The head's reservation: what it misses is set aside up to the shadow time. */
 
-import { occupies } from './attempts.js';
+import { occupies } from '../lifecycle/attempts.js';
+import type { Job, Placement } from '../state.js';
+import type { Instant } from '../types.js';
 import {
   type FreeCapacity,
   fitsShadow,
@@ -9,8 +11,6 @@
   zoneAllows,
 } from './capacity.js';
 import { estimatedEnd } from './estimates.js';
-import type { Job, Placement } from './state.js';
-import type { Instant } from './types.js';
 
 /** Lets the running attempts end in the order of their estimates until the head's missing tasks fit. */
 export const reserveForHead = (
--- a/src/core/rank.ts
+++ b/src/core/scheduling/scoring.ts
@@ -10,7 +10,7 @@
   type Policy,
   PRIORITY_LEVEL,
   type TypeName,
-} from './types.js';
+} from '../types.js';
 
 export interface Waiting {
   readonly spec: JobSpec;
--- a/src/core/services.ts
+++ b/src/core/scheduling/services.ts
@@ -4,10 +4,10 @@
  * docs/design.md, "Services".
  */
 
-import { occupies } from './attempts.js';
-import { failsEverywhere } from './job-state.js';
-import type { CoreState, Job, Machine, Placement } from './state.js';
-import { type ImageName, type Instant, isService, PRIORITY_LEVEL, seconds } from './types.js';
+import { occupies } from '../lifecycle/attempts.js';
+import { failsEverywhere } from '../lifecycle/job-tasks.js';
+import type { CoreState, Job, Machine, Placement } from '../state.js';
+import { type ImageName, type Instant, isService, PRIORITY_LEVEL, seconds } from '../types.js';
 
 /** Replicas of critical services go ahead of the queue; those of others wait in it. */
 export const goesFirst = (job: Job): boolean =>
--- a/src/core/state.ts
+++ b/src/core/state.ts
@@ -1,5 +1,5 @@
 /** What the leader knows: jobs, machines and the attempts that may be on them. */
-import type { ExtensionHost, ExtensionWrites } from './extension-host.js';
+import type { ExtensionHost, ExtensionWrites } from './extensions/extension-host.js';
 import type {
   Attempt,
   ImageName,
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -1,6 +1,11 @@
 /** Small types of their own for ids, versions and times, and the records the core works on. */
 
-import type { ExtensionRecord, OperatorAnswer, OperatorCall, RecordWrite } from './extension.js';
+import type {
+  ExtensionRecord,
+  OperatorAnswer,
+  OperatorCall,
+  RecordWrite,
+} from './extensions/extension.js';
 
 declare const brand: unique symbol;
 type Branded<T, B extends string> = T & { readonly [brand]: B };
--- a/src/service/persister.ts
+++ b/src/service/batch-writer.ts
@@ -1,11 +1,23 @@
 /** Stores the leader's batches, one after the other, each guarded by the leader key and by its keys' versions. */
-import { sleep } from '../adapters/clock.js';
-import type { Log } from '../adapters/log.js';
-import type { Jitter } from '../adapters/random.js';
-import type { Guard, StateClient, Write } from '../adapters/state-client.js';
-import type { RecordWrite } from '../core/extension.js';
+
+import type {
+  Guard,
+  StateClient,
+  Write,
+} from '../adapters/key-value-store/key-value-store-client.js';
+import type { Log } from '../adapters/logging/log.js';
+import { sleep } from '../adapters/runtime/clock.js';
+import type { Jitter } from '../adapters/runtime/random.js';
+import type { RecordWrite } from '../core/extensions/extension.js';
 import type { Revision, SaveOp, SegmentKey, Term } from '../core/types.js';
-import { extensionKey, finalKey, jobKey, LEADER_KEY, writeFinal, writeSegment } from './records.js';
+import {
+  extensionKey,
+  finalKey,
+  jobKey,
+  LEADER_KEY,
+  writeFinal,
+  writeSegment,
+} from './stored-records.js';
 
 const NONE = 0 as Revision;
 
--- a/src/service/owner.ts
+++ b/src/service/command-loop.ts
@@ -4,9 +4,9 @@
  * used beyond the share is paid for later by standing still: the pause counts that in, so that decisions take about a
  * third of the share and answers have the rest.
  */
-import { steadyNow } from '../adapters/clock.js';
+import { steadyNow } from '../adapters/runtime/clock.js';
+import { step } from '../core/apply-commands.js';
 import type { CoreState } from '../core/state.js';
-import { step } from '../core/step.js';
 import type { Authority, Command, Effect, Instant } from '../core/types.js';
 
 const MAX_PAUSE_MS = 250;
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -1,13 +1,18 @@
 /** One controller: leads or follows, and answers users, workers and its peers. */
-import { sleep } from '../adapters/clock.js';
-import { CloudClient } from '../adapters/cloud-client.js';
-import { type Log, Once } from '../adapters/log.js';
-import { Peer, type Question } from '../adapters/peer-link.js';
-import type { Jitter } from '../adapters/random.js';
-import type { Settings } from '../adapters/settings.js';
-import { StateClient } from '../adapters/state-client.js';
-import { WorkerClient } from '../adapters/worker-client.js';
-import type { ExtensionModule, OperatorAnswer, OperatorCall } from '../core/extension.js';
+
+import { CloudClient } from '../adapters/cloud/cloud-client.js';
+import type { Settings } from '../adapters/configuration/settings.js';
+import { StateClient } from '../adapters/key-value-store/key-value-store-client.js';
+import { type Log, Once } from '../adapters/logging/log.js';
+import { Peer, type Question } from '../adapters/peers/peer-link.js';
+import { sleep } from '../adapters/runtime/clock.js';
+import type { Jitter } from '../adapters/runtime/random.js';
+import { WorkerClient } from '../adapters/workers/worker-client.js';
+import type {
+  ExtensionModule,
+  OperatorAnswer,
+  OperatorCall,
+} from '../core/extensions/extension.js';
 import type {
   Authority,
   Instant,
@@ -22,12 +27,12 @@
   Term,
 } from '../core/types.js';
 import type { Dependencies } from './dependencies.js';
-import { Election } from './election.js';
-import { Gossip } from './gossip.js';
-import { BATCH_WRITES, Leadership } from './leadership.js';
-import { readOperatorAnswer } from './operators.js';
-import { readJob, readTypes, TYPES_KEY } from './records.js';
-import { Users } from './users.js';
+import { Election } from './leader-election.js';
+import { BATCH_WRITES, Leadership } from './leader-term.js';
+import { readOperatorAnswer } from './operator-answer.js';
+import { Gossip } from './peer-monitor.js';
+import { readJob, readTypes, TYPES_KEY } from './stored-records.js';
+import { Users } from './user-requests.js';
 
 /**
  * How the state service's limits are shared. Admissions may go beyond what the leader's batches leave: users come
--- a/src/service/dependencies.ts
+++ b/src/service/dependencies.ts
@@ -1,12 +1,12 @@
 /** What the parts of a controller share. */
-import type { CloudClient } from '../adapters/cloud-client.js';
-import type { Log } from '../adapters/log.js';
-import type { Peer } from '../adapters/peer-link.js';
-import type { Jitter } from '../adapters/random.js';
-import type { Settings } from '../adapters/settings.js';
-import type { StateClient } from '../adapters/state-client.js';
-import type { WorkerClient } from '../adapters/worker-client.js';
-import type { ExtensionModule } from '../core/extension.js';
+import type { CloudClient } from '../adapters/cloud/cloud-client.js';
+import type { Settings } from '../adapters/configuration/settings.js';
+import type { StateClient } from '../adapters/key-value-store/key-value-store-client.js';
+import type { Log } from '../adapters/logging/log.js';
+import type { Peer } from '../adapters/peers/peer-link.js';
+import type { Jitter } from '../adapters/runtime/random.js';
+import type { WorkerClient } from '../adapters/workers/worker-client.js';
+import type { ExtensionModule } from '../core/extensions/extension.js';
 import type { MachineType, NodeId, Policy } from '../core/types.js';
 
 export interface Dependencies {
--- a/src/service/election.ts
+++ b/src/service/leader-election.ts
@@ -1,10 +1,15 @@
 /** Who leads: the holder of the leader key, which hangs on a lease of the state service. */
-import { sleep, steadyNow } from '../adapters/clock.js';
-import type { Log } from '../adapters/log.js';
-import type { Jitter } from '../adapters/random.js';
-import type { LeaseId, StateClient, Write } from '../adapters/state-client.js';
+
+import type {
+  LeaseId,
+  StateClient,
+  Write,
+} from '../adapters/key-value-store/key-value-store-client.js';
+import type { Log } from '../adapters/logging/log.js';
+import { sleep, steadyNow } from '../adapters/runtime/clock.js';
+import type { Jitter } from '../adapters/runtime/random.js';
 import type { Instant, NodeId, Revision, Term } from '../core/types.js';
-import { LEADER_KEY, readLeader } from './records.js';
+import { LEADER_KEY, readLeader } from './stored-records.js';
 
 const FOLLOW_MS = 10_000;
 const DRIFT = 0.001;
--- a/src/service/leadership.ts
+++ b/src/service/leader-term.ts
@@ -1,8 +1,12 @@
 /** One term of leadership: the takeover, what the leader watches, and what its decisions set in motion. */
-import { fromTimeOfDay, sleep, steadyNow } from '../adapters/clock.js';
-import type { ExtensionRecord, OperatorAnswer, OperatorCall } from '../core/extension.js';
-import { ExtensionHost } from '../core/extension-host.js';
-import { keepAliveFor } from '../core/leases.js';
+import { fromTimeOfDay, sleep, steadyNow } from '../adapters/runtime/clock.js';
+import type {
+  ExtensionRecord,
+  OperatorAnswer,
+  OperatorCall,
+} from '../core/extensions/extension.js';
+import { ExtensionHost } from '../core/extensions/extension-host.js';
+import { keepAliveFor } from '../core/lifecycle/worker-leases.js';
 import { createCore } from '../core/state.js';
 import {
   type Authority,
@@ -20,11 +24,11 @@
   seconds,
   type Term,
 } from '../core/types.js';
+import { Persister } from './batch-writer.js';
+import { Owner } from './command-loop.js';
 import type { Dependencies } from './dependencies.js';
-import type { Election } from './election.js';
-import { Owner } from './owner.js';
-import { PendingAnswers, TicketCounter } from './pending-answers.js';
-import { Persister } from './persister.js';
+import type { Election } from './leader-election.js';
+import { PendingAnswers, TicketCounter } from './pending-replies.js';
 import {
   extensionPrefix,
   type FinalRecord,
@@ -35,7 +39,7 @@
   OLD_LEDGER,
   readJob,
   readSegment,
-} from './records.js';
+} from './stored-records.js';
 
 /** Attempts on one machine: its report must fit a request of 64 KiB. */
 const MAX_PER_MACHINE = 400;
--- a/src/service/operators.ts
+++ b/src/service/operator-answer.ts
@@ -1,6 +1,6 @@
 /** Answers to operators' calls, as peers pass them on. */
 import * as v from 'valibot';
-import type { OperatorAnswer } from '../core/extension.js';
+import type { OperatorAnswer } from '../core/extensions/extension.js';
 
 const answerSchema = v.object({
   status: v.pipe(v.number(), v.integer(), v.minValue(200), v.maxValue(599)),
--- a/src/service/gossip.ts
+++ b/src/service/peer-monitor.ts
@@ -3,12 +3,12 @@
  * reaches the state service.
  */
 import * as v from 'valibot';
-import { sleep, steadyNow } from '../adapters/clock.js';
-import type { Peer } from '../adapters/peer-link.js';
+import type { Peer } from '../adapters/peers/peer-link.js';
+import { sleep, steadyNow } from '../adapters/runtime/clock.js';
 import type { Instant, MachineId, NodeId, Term } from '../core/types.js';
 import type { Dependencies } from './dependencies.js';
-import type { Election } from './election.js';
-import type { Leadership } from './leadership.js';
+import type { Election } from './leader-election.js';
+import type { Leadership } from './leader-term.js';
 
 const GOSSIP_MS = 800;
 /** After stepping aside for a peer, how long before campaigning again. */
--- a/src/service/records.ts
+++ b/src/service/stored-records.ts
@@ -1,8 +1,8 @@
 /** What the state service holds, and under which keys. Every record read back is checked. */
 import * as v from 'valibot';
-import { EXTENSIONS } from '../core/extension-host.js';
-import { BLOCK_TASKS } from '../core/job-state.js';
-import { SEGMENTS } from '../core/segments.js';
+import { EXTENSIONS } from '../core/extensions/extension-host.js';
+import { SEGMENTS } from '../core/ledger/segments.js';
+import { BLOCK_TASKS } from '../core/lifecycle/job-tasks.js';
 import type {
   Attempt,
   JobId,
--- a/src/service/users.ts
+++ b/src/service/user-requests.ts
@@ -1,9 +1,10 @@
 /** What users ask of a controller: submissions, questions and cancellations; and what it may say by itself. */
 import * as v from 'valibot';
-import { sleep, steadyNow } from '../adapters/clock.js';
-import type { Peer } from '../adapters/peer-link.js';
-import type { Guard, Write } from '../adapters/state-client.js';
+import type { Guard, Write } from '../adapters/key-value-store/key-value-store-client.js';
+import type { Peer } from '../adapters/peers/peer-link.js';
+import { sleep, steadyNow } from '../adapters/runtime/clock.js';
 import type { JobView } from '../adapters/wire.js';
+import { explainJob, viewJob } from '../core/lifecycle/job-view.js';
 import {
   isService,
   type JobId,
@@ -12,11 +13,10 @@
   type TeamName,
   type ZoneName,
 } from '../core/types.js';
-import { explainJob, viewJob } from '../core/view.js';
 import type { Dependencies } from './dependencies.js';
-import type { Election } from './election.js';
-import type { Gossip } from './gossip.js';
-import type { Leadership } from './leadership.js';
+import type { Election } from './leader-election.js';
+import type { Leadership } from './leader-term.js';
+import type { Gossip } from './peer-monitor.js';
 import {
   type FinalRecord,
   finalKey,
@@ -25,7 +25,7 @@
   readFinal,
   readJob,
   writeJob,
-} from './records.js';
+} from './stored-records.js';
 
 /** Final states kept in memory; older ones are read from the state service again. */
 const MAX_FINALS = 20_000;
--- a/test/api-limits.test.ts
+++ b/test/api-limits.test.ts
@@ -1,11 +1,11 @@
 import { Hono } from 'hono';
 import pino from 'pino';
 import { afterEach, describe, expect, it, vi } from 'vitest';
-import { MAX_IN_FLIGHT, makeApi, serveApi } from '../src/adapters/api.js';
-import { parseSettings } from '../src/adapters/settings.js';
+import { parseSettings } from '../src/adapters/configuration/settings.js';
+import { MAX_IN_FLIGHT, makeApi, serveApi } from '../src/adapters/http/api-server.js';
 import type { Instant, JobId, Ticket } from '../src/core/types.js';
+import { Owner } from '../src/service/command-loop.js';
 import type { Controller } from '../src/service/controller.js';
-import { Owner } from '../src/service/owner.js';
 import { core } from './model/build.js';
 import { post } from './stand-ins/cloud.js';
 import { cleanUp, cleanups, freePort, log, until } from './stand-ins/cluster.js';
--- a/test/backfill.test.ts
+++ b/test/backfill.test.ts
@@ -1,11 +1,11 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { DEFAULT_POLICY } from '../src/adapters/settings.js';
-import { addPlacement, release } from '../src/core/attempts.js';
-import { runRound } from '../src/core/backfill.js';
-import { newJob, takePending } from '../src/core/job-state.js';
-import { newMachine } from '../src/core/machine-state.js';
-import { deadlineScore } from '../src/core/rank.js';
+import { DEFAULT_POLICY } from '../src/adapters/configuration/settings.js';
+import { newMachine } from '../src/core/fleet/machine-health.js';
+import { addPlacement, release } from '../src/core/lifecycle/attempts.js';
+import { newJob, takePending } from '../src/core/lifecycle/job-tasks.js';
+import { runRound } from '../src/core/scheduling/backfill.js';
+import { deadlineScore } from '../src/core/scheduling/scoring.js';
 import type { Placement } from '../src/core/state.js';
 import {
   type Attempt,
--- a/test/check-ins.test.ts
+++ b/test/check-ins.test.ts
@@ -1,12 +1,12 @@
 /** Check-ins: how plain requests are framed, what is left to the HTTP server, and what an unchanged report costs. */
 import { connect, type Socket } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
-import { makeApi, serveApi } from '../src/adapters/api.js';
-import { makeCheckIn } from '../src/adapters/check-in.js';
-import type { CheckInReply } from '../src/adapters/check-in-connections.js';
-import { type Framing, frameCheckIn } from '../src/adapters/plain-request.js';
-import { parseReport, ReportReader } from '../src/adapters/report-reader.js';
-import { parseSettings } from '../src/adapters/settings.js';
+import { parseSettings } from '../src/adapters/configuration/settings.js';
+import { makeApi, serveApi } from '../src/adapters/http/api-server.js';
+import type { CheckInReply } from '../src/adapters/http/heartbeat-connections.js';
+import { makeCheckIn } from '../src/adapters/http/heartbeat-handler.js';
+import { type Framing, frameCheckIn } from '../src/adapters/http/plain-request.js';
+import { parseReport, ReportReader } from '../src/adapters/workers/heartbeat-parser.js';
 import type { Report } from '../src/core/types.js';
 import type { Controller } from '../src/service/controller.js';
 import { post } from './stand-ins/cloud.js';
--- a/test/compound-failures.test.ts
+++ b/test/compound-failures.test.ts
@@ -1,7 +1,8 @@
 /** Two troubles that meet, told as stories to the core; docs/compound-failures.md lists which test brings about which. */
 import { describe, expect, it } from 'vitest';
-import { segmentKey } from '../src/core/segments.js';
-import { step } from '../src/core/step.js';
+import { step } from '../src/core/apply-commands.js';
+import { segmentKey } from '../src/core/ledger/segments.js';
+import { viewJob } from '../src/core/lifecycle/job-view.js';
 import type {
   Effect,
   Instant,
@@ -12,7 +13,6 @@
   Term,
   Ticket,
 } from '../src/core/types.js';
-import { viewJob } from '../src/core/view.js';
 import { core, entry, job, recordedAt, report, task, type } from './model/build.js';
 import { CoreDriver, ended, running } from './model/core-driver.js';
 
--- a/test/direct-orders.test.ts
+++ b/test/direct-orders.test.ts
@@ -2,7 +2,7 @@
 import { createServer as createHttpServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
-import { WorkerClient } from '../src/adapters/worker-client.js';
+import { WorkerClient } from '../src/adapters/workers/worker-client.js';
 import type { Term } from '../src/core/types.js';
 import { cleanUp, cleanups } from './stand-ins/cluster.js';
 
--- a/test/duplicated-reports.test.ts
+++ b/test/duplicated-reports.test.ts
@@ -1,7 +1,7 @@
 /** Late copies and repeats of messages. */
 import { describe, expect, it } from 'vitest';
-import { segmentKey } from '../src/core/segments.js';
-import { step } from '../src/core/step.js';
+import { step } from '../src/core/apply-commands.js';
+import { segmentKey } from '../src/core/ledger/segments.js';
 import type {
   Command,
   Effect,
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -1,11 +1,16 @@
 /** The election against a state service of our own that answers late, on a fake clock. */
 import pino from 'pino';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
-import { steadyNow } from '../src/adapters/clock.js';
-import { Jitter } from '../src/adapters/random.js';
-import type { Guard, LeaseId, StateClient, Write } from '../src/adapters/state-client.js';
+import type {
+  Guard,
+  LeaseId,
+  StateClient,
+  Write,
+} from '../src/adapters/key-value-store/key-value-store-client.js';
+import { steadyNow } from '../src/adapters/runtime/clock.js';
+import { Jitter } from '../src/adapters/runtime/random.js';
 import type { NodeId, Revision, Term } from '../src/core/types.js';
-import { Election } from '../src/service/election.js';
+import { Election } from '../src/service/leader-election.js';
 
 const LEASE_MS = 3000;
 
--- a/test/extensions.test.ts
+++ b/test/extensions.test.ts
@@ -2,10 +2,14 @@
 import { describe, expect, it } from 'vitest';
 import { drainModule } from '../packages/drain/src/index.js';
 import { settingsOf } from '../packages/drain/test/settings.js';
-import type { Extension, ExtensionRequest, OperatorAnswer } from '../src/core/extension.js';
-import { ExtensionHost } from '../src/core/extension-host.js';
+import type {
+  Extension,
+  ExtensionRequest,
+  OperatorAnswer,
+} from '../src/core/extensions/extension.js';
+import { ExtensionHost } from '../src/core/extensions/extension-host.js';
 import type { Effect, SaveOp, Ticket } from '../src/core/types.js';
-import { Persister } from '../src/service/persister.js';
+import { Persister } from '../src/service/batch-writer.js';
 import { core } from './model/build.js';
 import { CoreDriver, ended, running } from './model/core-driver.js';
 import { log } from './stand-ins/cluster.js';
--- a/test/isolated-leader.test.ts
+++ b/test/isolated-leader.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, describe, expect, it, vi } from 'vitest';
-import { CloudClient } from '../src/adapters/cloud-client.js';
-import { parseEndpoint } from '../src/adapters/settings.js';
+import { CloudClient } from '../src/adapters/cloud/cloud-client.js';
+import { parseEndpoint } from '../src/adapters/configuration/settings.js';
 import type { Authority, MachineId, RequestName, TypeName, ZoneName } from '../src/core/types.js';
 import { Cloud, post } from './stand-ins/cloud.js';
 import {
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -2,11 +2,11 @@
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
-import { CloudClient } from '../src/adapters/cloud-client.js';
-import { ReportReader } from '../src/adapters/report-reader.js';
-import { parseEndpoint } from '../src/adapters/settings.js';
-import { StateClient } from '../src/adapters/state-client.js';
-import { ATTEMPTS_PER_REVISION } from '../src/core/attempts.js';
+import { CloudClient } from '../src/adapters/cloud/cloud-client.js';
+import { parseEndpoint } from '../src/adapters/configuration/settings.js';
+import { StateClient } from '../src/adapters/key-value-store/key-value-store-client.js';
+import { ReportReader } from '../src/adapters/workers/heartbeat-parser.js';
+import { ATTEMPTS_PER_REVISION } from '../src/core/lifecycle/attempts.js';
 import type { MachineId, ReportedTask, Revision } from '../src/core/types.js';
 import { core, team } from './model/build.js';
 import { CoreDriver, running } from './model/core-driver.js';
--- a/test/ledger.test.ts
+++ b/test/ledger.test.ts
@@ -1,7 +1,7 @@
 /** The placement ledger: what it holds, and what becomes of it. */
 import { describe, expect, it } from 'vitest';
-import { segmentKey } from '../src/core/segments.js';
-import { step } from '../src/core/step.js';
+import { step } from '../src/core/apply-commands.js';
+import { segmentKey } from '../src/core/ledger/segments.js';
 import type {
   Command,
   Effect,
@@ -13,7 +13,7 @@
   Term,
   Ticket,
 } from '../src/core/types.js';
-import { readSegment, writeSegment } from '../src/service/records.js';
+import { readSegment, writeSegment } from '../src/service/stored-records.js';
 import { core, entry, job, recordedAt, report, task, team, type } from './model/build.js';
 import { CoreDriver, ended, running } from './model/core-driver.js';
 
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -1,12 +1,12 @@
 /** The state service's limits: known to fall, and fallen below what any setting said. */
 import pino from 'pino';
 import { afterEach, describe, expect, it } from 'vitest';
-import { Jitter } from '../src/adapters/random.js';
-import { parseSettings, SettingsError } from '../src/adapters/settings.js';
-import { StateClient } from '../src/adapters/state-client.js';
-import { segmentKey } from '../src/core/segments.js';
+import { parseSettings, SettingsError } from '../src/adapters/configuration/settings.js';
+import { StateClient } from '../src/adapters/key-value-store/key-value-store-client.js';
+import { Jitter } from '../src/adapters/runtime/random.js';
+import { step } from '../src/core/apply-commands.js';
+import { segmentKey } from '../src/core/ledger/segments.js';
 import type { CoreState } from '../src/core/state.js';
-import { step } from '../src/core/step.js';
 import type {
   Command,
   Instant,
@@ -18,8 +18,8 @@
   Term,
   Ticket,
 } from '../src/core/types.js';
-import { Persister } from '../src/service/persister.js';
-import { readSegment, writeSegment } from '../src/service/records.js';
+import { Persister } from '../src/service/batch-writer.js';
+import { readSegment, writeSegment } from '../src/service/stored-records.js';
 import { core, entry, job, recordedAt, report, task, team, type } from './model/build.js';
 import { settingsText } from './stand-ins/settings.js';
 import { StateService } from './stand-ins/state-service.js';
--- a/test/model/core-driver.ts
+++ b/test/model/core-driver.ts
@@ -1,6 +1,7 @@
 /** Drives a core step by step: what is sent to it, what time passes, what machines report. */
+
+import { step } from '../../src/core/apply-commands.js';
 import type { CoreState } from '../../src/core/state.js';
-import { step } from '../../src/core/step.js';
 import type {
   Authority,
   Command,
--- a/test/model/overloaded-day.ts
+++ b/test/model/overloaded-day.ts
@@ -1,6 +1,7 @@
 /** A day on which more is asked than can be done: steady arrivals, a fixed fleet, workers that do as they are told. */
+
+import { step } from '../../src/core/apply-commands.js';
 import type { CoreState } from '../../src/core/state.js';
-import { step } from '../../src/core/step.js';
 import type { Instant, JobSpec, Order, Policy, TeamName, Ticket } from '../../src/core/types.js';
 import { core, job, report, task, team, type } from './build.js';
 
--- a/test/model/simulated-world.ts
+++ b/test/model/simulated-world.ts
@@ -5,10 +5,14 @@
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import type { ExtensionModule, OperatorAnswer, OperatorCall } from '../../src/core/extension.js';
-import { ExtensionHost } from '../../src/core/extension-host.js';
-import { keepAliveFor } from '../../src/core/leases.js';
-import { step } from '../../src/core/step.js';
+import { step } from '../../src/core/apply-commands.js';
+import type {
+  ExtensionModule,
+  OperatorAnswer,
+  OperatorCall,
+} from '../../src/core/extensions/extension.js';
+import { ExtensionHost } from '../../src/core/extensions/extension-host.js';
+import { keepAliveFor } from '../../src/core/lifecycle/worker-leases.js';
 import type {
   Authority,
   Command,
@@ -28,7 +32,7 @@
   TypeName,
   ZoneName,
 } from '../../src/core/types.js';
-import { readSegment, writeSegment } from '../../src/service/records.js';
+import { readSegment, writeSegment } from '../../src/service/stored-records.js';
 import { core, job, report, task, team, type } from './build.js';
 import {
   type Leader,
--- a/test/one-task-jobs.test.ts
+++ b/test/one-task-jobs.test.ts
@@ -1,6 +1,6 @@
 /** One-task jobs, four a second for minutes, a quarter of them cancelled: what they cost the state service and what is kept of them. */
 import { describe, expect, it } from 'vitest';
-import { step } from '../src/core/step.js';
+import { step } from '../src/core/apply-commands.js';
 import type {
   Command,
   Effect,
--- a/test/peer-link.test.ts
+++ b/test/peer-link.test.ts
@@ -6,7 +6,7 @@
   MAX_FRAME,
   Peer,
   servePeers,
-} from '../src/adapters/peer-link.js';
+} from '../src/adapters/peers/peer-link.js';
 import { cleanUp, cleanups, freePort, until } from './stand-ins/cluster.js';
 
 afterEach(cleanUp);
--- a/test/persister.test.ts
+++ b/test/persister.test.ts
@@ -1,9 +1,9 @@
 import { afterEach, describe, expect, it } from 'vitest';
-import { Jitter } from '../src/adapters/random.js';
-import { StateClient } from '../src/adapters/state-client.js';
-import { segmentKey } from '../src/core/segments.js';
+import { StateClient } from '../src/adapters/key-value-store/key-value-store-client.js';
+import { Jitter } from '../src/adapters/runtime/random.js';
+import { segmentKey } from '../src/core/ledger/segments.js';
 import type { JobId, Revision, SaveOp, Term } from '../src/core/types.js';
-import { Persister } from '../src/service/persister.js';
+import { Persister } from '../src/service/batch-writer.js';
 import { cleanUp, cleanups, log } from './stand-ins/cluster.js';
 import { StateService } from './stand-ins/state-service.js';
 
--- a/test/refusal-then-outage.test.ts
+++ b/test/refusal-then-outage.test.ts
@@ -4,9 +4,9 @@
  */
 import fc from 'fast-check';
 import { afterEach, describe, expect, it } from 'vitest';
-import { keepAliveFor } from '../src/core/leases.js';
-import { segmentKey } from '../src/core/segments.js';
-import { step } from '../src/core/step.js';
+import { step } from '../src/core/apply-commands.js';
+import { segmentKey } from '../src/core/ledger/segments.js';
+import { keepAliveFor } from '../src/core/lifecycle/worker-leases.js';
 import {
   type Authority,
   type Command,
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, describe, expect, it } from 'vitest';
-import { HttpClient } from '../src/adapters/http-client.js';
+import { HttpClient } from '../src/adapters/outbound/http-client.js';
 import { post } from './stand-ins/cloud.js';
 import { body, cleanUp, cluster, type Node, status, until } from './stand-ins/cluster.js';
 
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -1,8 +1,9 @@
 /** Standing services: replicas that run until their job is cancelled. */
 import { describe, expect, it } from 'vitest';
-import { runRound } from '../src/core/backfill.js';
-import { segmentKey } from '../src/core/segments.js';
-import { step } from '../src/core/step.js';
+import { step } from '../src/core/apply-commands.js';
+import { segmentKey } from '../src/core/ledger/segments.js';
+import { viewJob } from '../src/core/lifecycle/job-view.js';
+import { runRound } from '../src/core/scheduling/backfill.js';
 import type {
   Command,
   Effect,
@@ -16,7 +17,6 @@
   Term,
   Ticket,
 } from '../src/core/types.js';
-import { viewJob } from '../src/core/view.js';
 import { core, entry, job, recordedAt, report, type } from './model/build.js';
 import { CoreDriver, ended, running } from './model/core-driver.js';
 
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -4,7 +4,7 @@
   parsePolicy,
   parseSettings,
   SettingsError,
-} from '../src/adapters/settings.js';
+} from '../src/adapters/configuration/settings.js';
 import { settingsText } from './stand-ins/settings.js';
 
 describe('settings', () => {
--- a/test/stand-ins/cluster.ts
+++ b/test/stand-ins/cluster.ts
@@ -1,11 +1,11 @@
 /** Controllers in this process, against our own stand-ins on loopback. */
 import { type AddressInfo, createServer, type Server } from 'node:net';
 import pino from 'pino';
-import { startApi } from '../../src/adapters/api.js';
-import type { Log } from '../../src/adapters/log.js';
-import { servePeers } from '../../src/adapters/peer-link.js';
-import { Jitter } from '../../src/adapters/random.js';
-import { DEFAULT_POLICY, parseSettings } from '../../src/adapters/settings.js';
+import { DEFAULT_POLICY, parseSettings } from '../../src/adapters/configuration/settings.js';
+import { startApi } from '../../src/adapters/http/api-server.js';
+import type { Log } from '../../src/adapters/logging/log.js';
+import { servePeers } from '../../src/adapters/peers/peer-link.js';
+import { Jitter } from '../../src/adapters/runtime/random.js';
 import { Controller } from '../../src/service/controller.js';
 import { Cloud, post } from './cloud.js';
 import { settingsText } from './settings.js';
--- a/test/standing.test.ts
+++ b/test/standing.test.ts
@@ -1,8 +1,8 @@
 /** Standing services, and limits of the state service that fall, against the stand-ins. */
 import pino from 'pino';
 import { afterEach, describe, expect, it, vi } from 'vitest';
-import { parseEndpoint } from '../src/adapters/settings.js';
-import { StateClient } from '../src/adapters/state-client.js';
+import { parseEndpoint } from '../src/adapters/configuration/settings.js';
+import { StateClient } from '../src/adapters/key-value-store/key-value-store-client.js';
 import { post } from './stand-ins/cloud.js';
 import { body, cleanUp, cleanups, cluster, status, until } from './stand-ins/cluster.js';
 import { StateService } from './stand-ins/state-service.js';
--- a/test/takeover.test.ts
+++ b/test/takeover.test.ts
@@ -1,7 +1,7 @@
 /** What a new leader may do, and what one that has lost all but its workers may still do. */
 import { describe, expect, it } from 'vitest';
-import { segmentKey } from '../src/core/segments.js';
-import { step } from '../src/core/step.js';
+import { step } from '../src/core/apply-commands.js';
+import { segmentKey } from '../src/core/ledger/segments.js';
 import type { Command, Instant, MachineId, Term, Ticket } from '../src/core/types.js';
 import { core, entry, job, recordedAt, report, type } from './model/build.js';
 import { CoreDriver, running } from './model/core-driver.js';
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest';
-import { segmentKey } from '../src/core/segments.js';
-import { step } from '../src/core/step.js';
+import { step } from '../src/core/apply-commands.js';
+import { segmentKey } from '../src/core/ledger/segments.js';
+import { explainJob, viewJob } from '../src/core/lifecycle/job-view.js';
 import type { Effect, Instant, JobId, MachineId, Term, Ticket } from '../src/core/types.js';
-import { explainJob, viewJob } from '../src/core/view.js';
 import { core, job, report, task, type } from './model/build.js';
 import { CoreDriver, ended, running } from './model/core-driver.js';
 
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -5,11 +5,11 @@
 import { readFileSync } from 'node:fs';
 import * as v from 'valibot';
 import { describe, expect, it } from 'vitest';
-import { encodeFrame, FrameReader } from '../src/adapters/peer-link.js';
-import { BLOCK_TASKS } from '../src/core/job-state.js';
-import { step } from '../src/core/step.js';
+import { encodeFrame, FrameReader } from '../src/adapters/peers/peer-link.js';
+import { step } from '../src/core/apply-commands.js';
+import { BLOCK_TASKS } from '../src/core/lifecycle/job-tasks.js';
+import { viewJob } from '../src/core/lifecycle/job-view.js';
 import type { Command, Instant, JobId, MachineType, SegmentKey, Term } from '../src/core/types.js';
-import { viewJob } from '../src/core/view.js';
 import {
   LEADER_KEY,
   readFinal,
@@ -20,7 +20,7 @@
   writeFinal,
   writeJob,
   writeSegment,
-} from '../src/service/records.js';
+} from '../src/service/stored-records.js';
 import {
   OLD_BLOCK_TASKS,
   oldFinal,
