--- a/packages/drain/src/adapters/settings-file.ts
+++ b/packages/drain/src/adapters/settings-file.ts
@@ -76,12 +76,12 @@
   const where = `budgets ${team}`;
   const limits = readLimits(form.slice(2), where, (inner, name) => {
     if (name !== 'class') unknown(where)(inner, name);
-    const lane = nameOf(inner[1]);
+    const jobClass = nameOf(inner[1]);
     if (inner.length < 3 || Array.isArray(inner[1]))
       throw new Fault(`field ${where} class: expected (class NAME ...)`);
-    if (classes.has(lane)) throw new Fault(`field ${where} class ${lane}: stated twice`);
-    const at = `${where} ${lane}`;
-    classes.set(lane, readLimits(inner.slice(2), at, unknown(at)));
+    if (classes.has(jobClass)) throw new Fault(`field ${where} class ${jobClass}: stated twice`);
+    const at = `${where} ${jobClass}`;
+    classes.set(jobClass, readLimits(inner.slice(2), at, unknown(at)));
   });
   return { limits, classes };
 };
--- a/packages/drain/src/core/budget.ts
+++ b/packages/drain/src/core/budget.ts
@@ -27,7 +27,7 @@
   readonly job: JobId;
   readonly index: TaskIndex;
   readonly team: TeamName;
-  readonly lane: string;
+  readonly jobClass: string;
   /** Time of day. */
   readonly at: number;
   voluntary: boolean;
@@ -44,7 +44,7 @@
 export interface Scope {
   readonly name: string;
   readonly team: TeamName;
-  readonly lane: string | null;
+  readonly jobClass: string | null;
   readonly limits: BudgetLimits;
 }
 
@@ -64,8 +64,8 @@
 /** Of an inherited one the stop may be under way for longer. */
 const INHERITED_GRANT_MS = 120_000;
 
-const covers = (scope: Scope, team: TeamName, lane: string): boolean =>
-  scope.team === team && (scope.lane === null || scope.lane === lane);
+const covers = (scope: Scope, team: TeamName, jobClass: string): boolean =>
+  scope.team === team && (scope.jobClass === null || scope.jobClass === jobClass);
 
 export class BudgetLedger {
   readonly disruptions = new Map<Attempt, Disruption>();
@@ -78,16 +78,18 @@
   constructor(private readonly settings: DrainSettings) {}
 
   /** The budgets that a task counts against. */
-  scopesOf(team: TeamName, lane: string): Scope[] {
+  scopesOf(team: TeamName, jobClass: string): Scope[] {
     const budget = this.settings.teams.get(team);
     if (!budget) {
       const limits = this.settings.defaultBudget;
-      return limits ? [{ name: `team ${team}`, team, lane: null, limits }] : [];
+      return limits ? [{ name: `team ${team}`, team, jobClass: null, limits }] : [];
     }
-    const whole: Scope = { name: `team ${team}`, team, lane: null, limits: budget.limits };
-    const limits = budget.classes.get(lane);
+    const whole: Scope = { name: `team ${team}`, team, jobClass: null, limits: budget.limits };
+    const limits = budget.classes.get(jobClass);
     // The narrower one first: it says more about what holds work up.
-    return limits ? [{ name: `team ${team} class ${lane}`, team, lane, limits }, whole] : [whole];
+    return limits
+      ? [{ name: `team ${team} class ${jobClass}`, team, jobClass, limits }, whole]
+      : [whole];
   }
 
   /** How much of a scope is in use. */
@@ -97,7 +99,7 @@
     const { window } = scope.limits;
     const from = window ? moment.timeOfDay - window.seconds * 1000 : 0;
     for (const disruption of this.disruptions.values()) {
-      if (!covers(scope, disruption.team, disruption.lane)) continue;
+      if (!covers(scope, disruption.team, disruption.jobClass)) continue;
       if (disruption.phase !== 'settled') open += 1;
       if (disruption.phase !== 'settled' || disruption.at >= from) recent += 1;
     }
@@ -110,26 +112,26 @@
   }
 
   private limitOf(scope: Scope, fleet: FleetView): number | null {
-    const { team, lane, limits } = scope;
+    const { team, jobClass, limits } = scope;
     const { count, share } = limits;
     if (share === null) return count;
     let tasks = 0;
     for (const job of fleet.jobs.values()) {
-      if (job.spec.team === team && (lane === null || job.spec.lane === lane))
-        tasks += job.held.size;
+      if (job.spec.team === team && (jobClass === null || job.spec.jobClass === jobClass))
+        tasks += job.attemptsByTask.size;
     }
     for (const disruption of this.disruptions.values()) {
-      if (disruption.phase === 'settled' || !covers(scope, disruption.team, disruption.lane))
+      if (disruption.phase === 'settled' || !covers(scope, disruption.team, disruption.jobClass))
         continue;
-      if (!fleet.jobs.get(disruption.job)?.held.has(disruption.index)) tasks += 1;
+      if (!fleet.jobs.get(disruption.job)?.attemptsByTask.has(disruption.index)) tasks += 1;
     }
     const byShare = Math.floor(share * tasks);
     return count === null ? byShare : Math.min(count, byShare);
   }
 
   /** What keeps one more task of this kind from being disrupted; null: nothing. */
-  blocker(team: TeamName, lane: string, fleet: FleetView, moment: Moment): Blocker | null {
-    for (const scope of this.scopesOf(team, lane)) {
+  blocker(team: TeamName, jobClass: string, fleet: FleetView, moment: Moment): Blocker | null {
+    for (const scope of this.scopesOf(team, jobClass)) {
       const use = this.use(scope, fleet, moment);
       if (use.limit !== null && use.open >= use.limit)
         return { kind: 'budget', scope: scope.name, used: use.open, limit: use.limit };
@@ -147,9 +149,9 @@
     const known = this.disruptions.get(attempt.entry.attempt);
     if (known) return known;
     if (!attempt.job || (this.lapsed.get(attempt.entry.attempt) ?? 0) > moment.now) return null;
-    const { team, lane } = attempt.job.spec;
-    const kind = JSON.stringify([team, lane]);
-    const blocker = this.blocked.get(kind) ?? this.blocker(team, lane, fleet, moment);
+    const { team, jobClass } = attempt.job.spec;
+    const kind = JSON.stringify([team, jobClass]);
+    const blocker = this.blocked.get(kind) ?? this.blocker(team, jobClass, fleet, moment);
     if (!blocker) return this.open(attempt, true, moment);
     this.blocked.set(kind, blocker);
     return blocker;
@@ -163,8 +165,8 @@
       return;
     }
     if (!attempt.job) return;
-    const { team, lane } = attempt.job.spec;
-    if (this.scopesOf(team, lane).length > 0) this.open(attempt, false, moment);
+    const { team, jobClass } = attempt.job.spec;
+    if (this.scopesOf(team, jobClass).length > 0) this.open(attempt, false, moment);
   }
 
   private open(attempt: AttemptView, voluntary: boolean, { timeOfDay }: Moment): Disruption {
@@ -174,7 +176,7 @@
       job: entry.job,
       index: entry.index,
       team: job!.spec.team,
-      lane: job!.spec.lane,
+      jobClass: job!.spec.jobClass,
       at: timeOfDay,
       voluntary,
       phase: voluntary ? 'asked' : 'stopped',
@@ -228,20 +230,20 @@
   private follow(disruption: Disruption, fleet: FleetView, { now }: Moment): void {
     if (disruption.phase === 'settled') return;
     const job = fleet.jobs.get(disruption.job);
-    if (job?.final !== 'none' || fleet.isDone(disruption.job, disruption.index)) {
+    if (job?.terminalState !== 'none' || fleet.isTaskDone(disruption.job, disruption.index)) {
       this.settle(disruption);
       return;
     }
-    const held = job.held.get(disruption.index) ?? [];
+    const held = job.attemptsByTask.get(disruption.index) ?? [];
     const stopping = held.find((other) => other.entry.attempt === disruption.attempt);
     if (disruption.phase === 'stopped') {
       const runs = held.some(
-        (other) => other !== stopping && other.phase === 'running' && !other.kill,
+        (other) => other !== stopping && other.phase === 'running' && !other.stopRequest,
       );
       if (runs && !stopping) disruption.phase = 'settled';
       return;
     }
-    if (stopping?.kill || !stopping) {
+    if (stopping?.stopRequest || !stopping) {
       disruption.phase = 'stopped';
       return;
     }
@@ -266,7 +268,7 @@
     const kept = new Map<string, number>();
     for (const disruption of settled) {
       let needed = false;
-      for (const { name, limits } of this.scopesOf(disruption.team, disruption.lane)) {
+      for (const { name, limits } of this.scopesOf(disruption.team, disruption.jobClass)) {
         const { window } = limits;
         const count = kept.get(name) ?? 0;
         if (!window || disruption.at < timeOfDay - window.seconds * 1000 || count >= window.count)
@@ -286,8 +288,8 @@
     };
     for (const team of fleet.teams.keys()) {
       add(this.scopesOf(team, ''));
-      for (const lane of this.settings.teams.get(team)?.classes.keys() ?? [])
-        add(this.scopesOf(team, lane));
+      for (const jobClass of this.settings.teams.get(team)?.classes.keys() ?? [])
+        add(this.scopesOf(team, jobClass));
     }
     return [...scopes.values()].map((scope) => this.use(scope, fleet, moment));
   }
--- a/packages/drain/src/core/disruption-records.ts
+++ b/packages/drain/src/core/disruption-records.ts
@@ -52,7 +52,7 @@
   private writeNew(turn: Turn): void {
     let rows: Disruption[] = [];
     let bytes = EMPTY_BYTES;
-    const most = turn.fleet.valueBytes * RECORD_SHARE;
+    const most = turn.fleet.maxValueBytes * RECORD_SHARE;
     for (const disruption of this.budget.disruptions.values()) {
       if (disruption.record !== null) continue;
       const size = Buffer.byteLength(JSON.stringify(writeDisruptions([disruption])));
@@ -69,7 +69,7 @@
 
   private write(rows: readonly Disruption[], turn: Turn): void {
     if (rows.length === 0) return;
-    const key = disruptionsKey(turn.fleet.term, this.nextRecord);
+    const key = disruptionsKey(turn.fleet.fencingToken, this.nextRecord);
     this.nextRecord += 1;
     for (const row of rows) row.record = key;
     this.keys.add(key);
--- a/packages/drain/src/core/drains.ts
+++ b/packages/drain/src/core/drains.ts
@@ -89,7 +89,7 @@
       case 'released':
         this.onReleased(event.attempt, event.how, moment);
         return [];
-      case 'rented':
+      case 'provision-result':
         return this.onRented(event, moment);
       case 'stored':
         this.store.settled(event.writes);
@@ -104,7 +104,7 @@
 
   /** Tells each machine of the request which one replaces it. */
   private onRented(
-    event: Extract<ExtensionEvent, { kind: 'rented' }>,
+    event: Extract<ExtensionEvent, { kind: 'provision-result' }>,
     moment: Moment,
   ): RecordWrite[] {
     const { request, result, machines } = event;
@@ -124,11 +124,11 @@
   }
 
   private onReleased(attempt: AttemptView, how: 'reported' | 'gone', moment: Moment): void {
-    const { job, phase, machine, kill, superseded } = attempt;
+    const { job, phase, machine, stopRequest: kill, isSuperseded: superseded } = attempt;
     const begun =
       phase === 'fetching' || phase === 'running' || phase === 'saving' || phase === 'recorded';
-    if (!begun || !job || job.final !== 'none' || superseded) return;
-    const taken = machine.noticeUntil !== null || machine.lostAt !== null || machine.deleting;
+    if (!begun || !job || job.terminalState !== 'none' || superseded) return;
+    const taken = machine.reclaimAt !== null || machine.lostAt !== null || machine.isDeleting;
     if (kill && !taken) {
       // A stop of this package is known already; one for priority, or of a rival attempt, does not count.
       if (this.budget.disruptions.has(attempt.entry.attempt)) this.budget.suffer(attempt, moment);
@@ -185,7 +185,7 @@
   mayMove(attempt: AttemptView): boolean {
     const drain = this.drainOf(attempt.machine.id);
     // A machine that fails jobs leaves whatever becomes of its drain.
-    const { draining } = attempt.machine;
+    const { isDraining: draining } = attempt.machine;
     if (drain && drain.phase !== 'running' && !draining) return false;
     if (this.budget.isGranted(attempt.entry.attempt)) return true;
     if (!drain || draining) this.wishes.set(attempt.entry.attempt, attempt);
@@ -196,7 +196,7 @@
 
   decide(turn: Turn): void {
     this.reportLost(turn);
-    if (!turn.fleet.settled) {
+    if (!turn.fleet.isSettled) {
       for (const drain of this.all.values()) this.keepCordons(drain, turn);
       return;
     }
@@ -235,11 +235,13 @@
     if (moment.now < this.noticesAt) return;
     this.noticesAt = moment.now + SCAN_MS;
     for (const machine of fleet.machines.values()) {
-      if (machine.noticeUntil === null) continue;
+      if (machine.reclaimAt === null) continue;
       for (const attempt of machine.placements.values()) {
         const open =
-          attempt.job?.final === 'none' && !attempt.superseded && attempt.phase !== 'ended';
-        if (open && attempt.kill) this.budget.suffer(attempt, moment);
+          attempt.job?.terminalState === 'none' &&
+          !attempt.isSuperseded &&
+          attempt.phase !== 'ended';
+        if (open && attempt.stopRequest) this.budget.suffer(attempt, moment);
       }
     }
   }
@@ -301,7 +303,7 @@
     if (!machine) return this.close(drain, machineDrain, turn);
     if (machineDrain.phase !== 'waiting') requests.push({ kind: 'cordon', machine: machine.id });
     if (machineDrain.phase === 'returning') {
-      requests.push({ kind: 'return', machine: machine.id });
+      requests.push({ kind: 'return-machine', machine: machine.id });
       this.progress.block(drain, { kind: 'return-unconfirmed' }, machine.id);
       return;
     }
@@ -389,7 +391,7 @@
     for (const attempt of work.stoppable) {
       if (!this.mayDisrupt(drain, attempt, turn)) continue;
       stops += 1;
-      const graceS = (attempt.job?.spec.saveS ?? 0) + GRACE_MARGIN_S;
+      const graceS = (attempt.job?.spec.checkpointWriteS ?? 0) + GRACE_MARGIN_S;
       const { attempt: number } = attempt.entry;
       turn.requests.push({ kind: 'stop', machine: machine.id, attempt: number, graceS });
     }
@@ -414,7 +416,7 @@
     return {
       letEndS: this.settings.letEndS,
       inUse: (machine) => this.drainOf(machine) !== null || this.isReplacement(machine),
-      budgetBlocker: (team, lane) => this.budget.blocker(team, lane, fleet, moment),
+      budgetBlocker: (team, jobClass) => this.budget.blocker(team, jobClass, fleet, moment),
     };
   }
 
--- a/packages/drain/src/core/head-check.ts
+++ b/packages/drain/src/core/head-check.ts
@@ -10,9 +10,9 @@
 }
 
 const suits = (spec: JobSpec, { type, zone, spot }: Place): boolean => {
-  if (spec.types && !spec.types.includes(type.name)) return false;
+  if (spec.machineTypes && !spec.machineTypes.includes(type.name)) return false;
   if (spec.zone !== null && spec.zone !== zone) return false;
-  if (spot && !spec.spotOk) return false;
+  if (spot && !spec.allowsSpot) return false;
   return spec.cpus <= type.cpus && spec.gpus <= type.gpus && spec.memoryGb <= type.memoryGb;
 };
 
@@ -27,12 +27,13 @@
   private readonly rentable: boolean;
 
   constructor(fleet: FleetView) {
-    this.head = (fleet.head === null ? undefined : fleet.jobs.get(fleet.head))?.spec ?? null;
+    this.head =
+      (fleet.queueHead === null ? undefined : fleet.jobs.get(fleet.queueHead))?.spec ?? null;
     this.rentable = this.isRentable(fleet);
     if (this.head === null || this.rentable) return;
     for (const machine of fleet.machines.values()) {
       const type = fleet.types.get(machine.type);
-      if (!type || machine.cordoned || isGoing(machine)) continue;
+      if (!type || machine.isCordoned || isGoing(machine)) continue;
       if (suits(this.head, { type, zone: machine.zone, spot: machine.spot }))
         this.suitable.add(machine.id);
     }
@@ -40,7 +41,7 @@
 
   private isRentable(fleet: FleetView): boolean {
     if (this.head === null) return true;
-    for (const kind of fleet.rentalKinds.values()) {
+    for (const kind of fleet.instancePools.values()) {
       if (kind.refusals === 0 && suits(this.head, kind)) return true;
     }
     return false;
--- a/packages/drain/src/core/plan.ts
+++ b/packages/drain/src/core/plan.ts
@@ -11,7 +11,7 @@
   const blockers = new Map<string, Blocker>();
   for (const { job } of [...work.stoppable, ...work.replicas]) {
     const blocker =
-      job && drains.budget.blocker(job.spec.team, job.spec.lane, turn.fleet, turn.moment);
+      job && drains.budget.blocker(job.spec.team, job.spec.jobClass, turn.fleet, turn.moment);
     if (blocker) blockers.set(describeBlocker(blocker), blocker);
   }
   return [...blockers.values()];
@@ -25,7 +25,7 @@
 ): Blocker[] => {
   const blockers = budgetBlockers(drains, item, turn);
   const { machine, work } = item;
-  if (isGoing(machine) || machine.cordoned || drains.drainOf(machine.id))
+  if (isGoing(machine) || machine.isCordoned || drains.drainOf(machine.id))
     blockers.push({ kind: 'busy-elsewhere', machines: 1 });
   if (work.ending.length > 0) {
     const inS = Math.ceil(work.endsInMs / 1000);
--- a/packages/drain/src/core/records.ts
+++ b/packages/drain/src/core/records.ts
@@ -141,17 +141,17 @@
 export const writeDisruptions = (
   rows: readonly Disruption[],
 ): v.InferOutput<typeof disruptionsSchema> =>
-  rows.map((d) => [d.job, d.index, d.attempt, d.team, d.lane, d.at, d.voluntary]);
+  rows.map((d) => [d.job, d.index, d.attempt, d.team, d.jobClass, d.at, d.voluntary]);
 
 const readDisruptions = (key: string, value: unknown): Disruption[] | null => {
   const result = v.safeParse(disruptionsSchema, value);
   if (!result.success) return null;
-  return result.output.map(([job, index, attempt, team, lane, at, voluntary]) => ({
+  return result.output.map(([job, index, attempt, team, jobClass, at, voluntary]) => ({
     job: job as JobId,
     index: index as TaskIndex,
     attempt: attempt as Attempt,
     team: team as Disruption['team'],
-    lane,
+    jobClass,
     at,
     voluntary,
     phase: voluntary ? 'granted' : 'stopped',
--- a/packages/drain/src/core/replacements.ts
+++ b/packages/drain/src/core/replacements.ts
@@ -52,11 +52,11 @@
 
 /** It obeys this leader's term, reports, and may take work. */
 const isReady = (machine: MachineView, fleet: FleetView, { now }: Moment): boolean =>
-  machine.everSeen &&
-  machine.ready &&
-  !machine.cordoned &&
+  machine.hasReported &&
+  machine.isReady &&
+  !machine.isCordoned &&
   !isGoing(machine) &&
-  now - machine.lastSeen <= QUIET_REPORTS * fleet.reportMs;
+  now - machine.lastHeartbeatAt <= QUIET_REPORTS * fleet.heartbeatIntervalMs;
 
 const kindOf = ({ type, zone, spot }: MachineView): string => `${type}/${zone}/${spot}`;
 
@@ -72,7 +72,7 @@
 
   /** A name that no leader has used or ever will: it holds the term. */
   private newName({ fleet }: Turn): RequestName {
-    const name = `drain-${fleet.term}-${this.nextRequest}` as RequestName;
+    const name = `drain-${fleet.fencingToken}-${this.nextRequest}` as RequestName;
     this.nextRequest += 1;
     return name;
   }
@@ -139,7 +139,7 @@
     if (!rental.underWay && now >= rental.retryAt) {
       rental.underWay = true;
       const { type, zone, spot } = machine;
-      turn.requests.push({ kind: 'rent', request, type, zone, spot, count: rental.of });
+      turn.requests.push({ kind: 'provision', request, type, zone, spot, count: rental.of });
     }
     if (rental.refusals > 0)
       return { kind: 'blocked', blocker: { kind: 'no-capacity', of: describeKind(machine) } };
--- a/packages/drain/src/core/selection.ts
+++ b/packages/drain/src/core/selection.ts
@@ -19,7 +19,7 @@
   const members: MachineView[] = [];
   for (const machine of fleet.machines.values()) {
     if (machine.id > drain.lastMachine) continue;
-    const ageS = (moment.now - machine.rentedAt) / 1000 - sinceStartS;
+    const ageS = (moment.now - machine.provisionedAt) / 1000 - sinceStartS;
     if (meets(drain.request.selector, machine, ageS)) members.push(machine);
   }
   return members;
@@ -56,12 +56,12 @@
   let ended = 0;
   let endsInMs = 0;
   for (const attempt of machine.placements.values()) {
-    const { job, kill, phase } = attempt;
+    const { job, stopRequest: kill, phase } = attempt;
     if (phase === 'ended') {
       ended += 1;
       continue;
     }
-    if (kill || !job || job.final !== 'none' || attempt.superseded) {
+    if (kill || !job || job.terminalState !== 'none' || attempt.isSuperseded) {
       stopping += 1;
       continue;
     }
@@ -70,7 +70,7 @@
       continue;
     }
     const leftMs = remainingMs(attempt, moment);
-    if (job.spec.checkpointS > 0 && leftMs > letEndS * 1000) stoppable.push(attempt);
+    if (job.spec.checkpointIntervalS > 0 && leftMs > letEndS * 1000) stoppable.push(attempt);
     else {
       ending.push(attempt);
       endsInMs = Math.max(endsInMs, leftMs);
@@ -113,7 +113,8 @@
 
 /** The cloud takes it, or it is lost: what is on it is left to the ordinary path. */
 export const isBeingLost = (machine: MachineView): boolean =>
-  machine.deleting || machine.lostAt !== null || machine.noticeUntil !== null;
+  machine.isDeleting || machine.lostAt !== null || machine.reclaimAt !== null;
 
 /** A machine that is about to leave the fleet anyway. */
-export const isGoing = (machine: MachineView): boolean => machine.draining || isBeingLost(machine);
+export const isGoing = (machine: MachineView): boolean =>
+  machine.isDraining || isBeingLost(machine);
--- a/packages/drain/src/core/step-choice.ts
+++ b/packages/drain/src/core/step-choice.ts
@@ -32,7 +32,7 @@
   /** Part of a step under way, or a replacement in one. */
   readonly inUse: (machine: MachineId) => boolean;
   /** What keeps one more task of this kind from being disrupted. */
-  readonly budgetBlocker: (team: TeamName, lane: string) => Blocker | null;
+  readonly budgetBlocker: (team: TeamName, jobClass: string) => Blocker | null;
 }
 
 /** Machines in the order in which they are taken: first those that the budgets let go of now, as far as they reach. */
@@ -44,9 +44,9 @@
   const blocked = new Map<string, boolean>();
   const isBlocked = ({ job }: AttemptView): boolean => {
     if (!job) return false;
-    const { team, lane } = job.spec;
-    const kind = JSON.stringify([team, lane]);
-    const known = blocked.get(kind) ?? budgetBlocker(team, lane) !== null;
+    const { team, jobClass } = job.spec;
+    const kind = JSON.stringify([team, jobClass]);
+    const known = blocked.get(kind) ?? budgetBlocker(team, jobClass) !== null;
     blocked.set(kind, known);
     return known;
   };
@@ -65,7 +65,7 @@
   const members = membersOf(drain, fleet, moment);
   // Of a machine that has not reported to this leader only a former leader's ledger, or a list that lags, may tell.
   const free = members.filter(
-    (m) => m.everSeen && !isGoing(m) && !m.cordoned && !context.inUse(m.id),
+    (m) => m.hasReported && !isGoing(m) && !m.isCordoned && !context.inUse(m.id),
   );
   const left = members.length;
   if (free.length === 0)
--- a/packages/drain/src/drain-extension.ts
+++ b/packages/drain/src/drain-extension.ts
@@ -57,11 +57,11 @@
     return this.operators.call(call, ticket, { fleet, moment, requests: this.requests });
   }
 
-  mayReturn(machine: MachineView): boolean {
+  mayScaleIn(machine: MachineView): boolean {
     return this.drains.mayReturn(machine);
   }
 
-  mayMove(attempt: AttemptView): boolean {
+  mayEvictReplica(attempt: AttemptView): boolean {
     return this.drains.mayMove(attempt);
   }
 }
--- a/packages/drain/src/operators.ts
+++ b/packages/drain/src/operators.ts
@@ -85,7 +85,7 @@
       return fault(409, 'a drain of this name cannot be read');
     const known = this.drains.all.get(request.name);
     if (known) return this.repeat(known, request, ticket, turn);
-    if (!turn.fleet.settled) return UNSETTLED;
+    if (!turn.fleet.isSettled) return UNSETTLED;
     const drain = newDrain(request, turn.fleet, turn.moment);
     const refusal = this.refusal(drain, turn);
     if (refusal !== null) return fault(422, refusal);
@@ -116,7 +116,7 @@
     if (missing !== undefined) return `field select.machines: unknown machine ${missing}`;
     if (drain.total === 0) return 'field select: no machine meets it';
     const bytes = Buffer.byteLength(JSON.stringify(writeDrain(drain)));
-    if (bytes > fleet.valueBytes * RECORD_SHARE)
+    if (bytes > fleet.maxValueBytes * RECORD_SHARE)
       return 'field select.machines: more names than a record of the state service holds';
     if (drain.request.replace) return null;
     const guard = new HeadGuard(fleet);
@@ -132,7 +132,7 @@
     const named = typeof body === 'object' && body !== null ? { name: 'dry-run', ...body } : body;
     const read = readRequest(named);
     if ('fault' in read) return fault(400, read.fault);
-    if (!turn.fleet.settled) return UNSETTLED;
+    if (!turn.fleet.isSettled) return UNSETTLED;
     const drain = newDrain(read.request, turn.fleet, turn.moment);
     const refusal = this.refusal(drain, turn);
     const plan = planOf(this.drains, drain, turn);
--- a/packages/drain/test/drain-fleet.ts
+++ b/packages/drain/test/drain-fleet.ts
@@ -3,25 +3,24 @@
  * once unless a test says otherwise, and is remembered by the fleet itself.
  */
 
-import { step } from '../../../src/core/apply-commands.js';
+import { applyCommands } from '../../../src/core/apply-commands.js';
+import type { CoreState } from '../../../src/core/core-state.js';
 import { ExtensionHost } from '../../../src/core/extensions/extension-host.js';
-import type { CoreState } from '../../../src/core/state.js';
+import type { Command } from '../../../src/core/model/command.js';
+import type { Authority, Effect } from '../../../src/core/model/effect.js';
+import type { TaskStatus } from '../../../src/core/model/heartbeat.js';
 import type {
-  Authority,
-  Command,
-  Effect,
-  Instant,
+  FencingToken,
   JobId,
-  JobSpec,
   MachineId,
-  Order,
-  ReportedTask,
-  SaveOp,
+  ReplyTicket,
   SegmentKey,
-  Term,
-  Ticket,
   ZoneName,
-} from '../../../src/core/types.js';
+} from '../../../src/core/model/ids.js';
+import type { JobSpec } from '../../../src/core/model/job.js';
+import type { StoreOperation } from '../../../src/core/model/ledger-record.js';
+import type { Instant } from '../../../src/core/model/time.js';
+import type { WorkerCommand } from '../../../src/core/model/worker-command.js';
 import { core, job, report, task, team, type } from '../../../test/model/build.js';
 import { drainModule } from '../src/index.js';
 import { settingsOf } from './settings.js';
@@ -37,7 +36,7 @@
   readonly zone: string;
   readonly spot: boolean;
   readonly upAt: number;
-  readonly tasks: Map<string, ReportedTask & { readonly startedAt: number }>;
+  readonly tasks: Map<string, TaskStatus & { readonly startedAt: number }>;
   seq: number;
   term: number;
   session: number;
@@ -67,7 +66,7 @@
   readonly machines = new Map<string, Machine>();
   readonly jobs = new Map<string, JobSpec>();
   readonly finals = new Map<string, string>();
-  readonly ledger = new Map<SegmentKey, Extract<SaveOp, { kind: 'segment' }>>();
+  readonly ledger = new Map<SegmentKey, Extract<StoreOperation, { kind: 'write-segment' }>>();
   readonly records = new Map<string, unknown>();
   /** What has happened, as the machines and the cloud know it. */
   readonly stops: Stop[] = [];
@@ -101,7 +100,7 @@
   private old = false;
   private queue: Command[] = [];
   private held: { at: number; command: Command }[] = [];
-  private unsaved: { batch: number; ops: readonly SaveOp[] } | null = null;
+  private unsaved: { batch: number; ops: readonly StoreOperation[] } | null = null;
   private nextMachine = 0;
   private nextTicket = 1;
   private readonly tickets = new Map<number, string>();
@@ -150,31 +149,36 @@
     this.state = core(
       {
         teams: new Map([team('blue', 20_000), team('green', 20_000)].map((t) => [t.name, t])),
-        term: this.term as Term,
+        fencingToken: this.term as FencingToken,
         acquiredAt: this.now as Instant,
         timeOfDayOffsetMs: 1_000_000,
-        valueBytes: 1024,
+        maxValueBytes: 1024,
       },
       // The fleet is neither grown nor shrunk but by drains.
-      { standingShare: 0, headroom: 1, idleReturnS: 80_000 },
+      { baselineCapacityShare: 0, capacityHeadroom: 1, scaleInAfterIdleS: 80_000 },
     );
     if (!this.old) {
       this.state.extensions = new ExtensionHost(this.state, [
         drainModule(settingsOf(this.settings)).create(),
       ]);
     }
-    this.queue = [{ kind: 'types', types }];
+    this.queue = [{ kind: 'machine-types', types }];
     for (const spec of this.jobs.values()) {
       this.queue.push({ kind: 'job', spec, submittedAt: this.now as Instant });
     }
     for (const [segment, op] of this.ledger) {
-      for (const row of op.progress) this.queue.push({ kind: 'progress', segment, ...row });
+      for (const row of op.progress)
+        this.queue.push({ kind: 'recovered-progress', segment, ...row });
     }
     for (const [segment, op] of this.ledger) {
-      for (const row of op.machines) this.queue.push({ kind: 'ledger', segment, ...row });
+      for (const row of op.machines)
+        this.queue.push({ kind: 'recovered-attempts', segment, ...row });
     }
     const records = [...this.records].map(([key, value]) => ({ key, value }));
-    this.queue.push({ kind: 'extension-records', extension: 'drain', records }, { kind: 'loaded' });
+    this.queue.push(
+      { kind: 'extension-records', extension: 'drain', records },
+      { kind: 'recovery-completed' },
+    );
   }
 
   submit(id: string, change: Partial<Record<keyof JobSpec, unknown>> = {}): void {
@@ -184,7 +188,11 @@
   }
 
   cancel(id: string): void {
-    this.queue.push({ kind: 'abort', job: id as JobId, ticket: this.nextTicket++ as Ticket });
+    this.queue.push({
+      kind: 'cancel-job',
+      job: id as JobId,
+      ticket: this.nextTicket++ as ReplyTicket,
+    });
   }
 
   /** An operator's call; plays on until it is answered. */
@@ -192,7 +200,12 @@
     const ticket = this.nextTicket++;
     this.tickets.set(ticket, route);
     const call = { route, subject, body };
-    this.queue.push({ kind: 'operator-call', extension: 'drain', call, ticket: ticket as Ticket });
+    this.queue.push({
+      kind: 'operator-call',
+      extension: 'drain',
+      call,
+      ticket: ticket as ReplyTicket,
+    });
     for (let i = 0; i < 80 && !this.answers.has(ticket); i += 1) this.run(STEP_MS);
     const answer = this.answers.get(ticket);
     if (!answer) throw new Error(`${route} was not answered`);
@@ -269,7 +282,7 @@
   private turn(authority: Authority): void {
     while (this.queue.length > 0 && !this.ended) {
       const commands = this.queue.splice(0);
-      for (const effect of step(this.state, commands, this.now as Instant, authority)) {
+      for (const effect of applyCommands(this.state, commands, this.now as Instant, authority)) {
         if (!this.ended) this.carryOut(effect);
       }
     }
@@ -287,31 +300,31 @@
       status: this.now < m.upAt ? ('booting' as const) : ('running' as const),
       ageS: 100,
     }));
-    this.queue.push({ kind: 'listed', askedAt: this.now as Instant, machines });
+    this.queue.push({ kind: 'machines-listed', askedAt: this.now as Instant, machines });
   }
 
   // ---- what the leader sets in motion ------------------------------------------------------------
 
   private carryOut(effect: Effect): void {
     switch (effect.kind) {
-      case 'save':
+      case 'store-batch':
         this.unsaved = { batch: effect.batch, ops: effect.ops };
         return this.storeHeld();
       case 'operator-answer':
         this.answers.set(effect.ticket, effect.answer as Answer);
         return;
-      case 'final':
+      case 'job-ended':
         return;
-      case 'rent':
+      case 'provision':
         return this.rent(effect);
-      case 'delete':
+      case 'delete-machines':
         return this.delete(effect.machines);
-      case 'answer':
-        return this.answer(effect.ticket, effect.orders);
-      case 'orders': {
+      case 'reply-to-heartbeat':
+        return this.answer(effect.ticket, effect.commands);
+      case 'send-commands': {
         const m = this.machines.get(effect.machine);
         const hears = m && !m.deaf && this.now >= m.silentUntil;
-        if (hears && effect.session === m.session) this.execute(m, effect.orders);
+        if (hears && effect.agentEpoch === m.session) this.execute(m, effect.commands);
         return;
       }
       default:
@@ -323,14 +336,14 @@
     const { batch, ops } = this.unsaved;
     this.unsaved = null;
     for (const op of ops) if (!this.store(op)) return;
-    this.queue.push({ kind: 'saved', batch });
+    this.queue.push({ kind: 'batch-stored', batch });
   }
 
   /** False when the leader ends with this change. */
-  private store(op: SaveOp): boolean {
-    if (op.kind === 'segment') this.ledger.set(op.key, op);
-    else if (op.kind === 'segment-gone') this.ledger.delete(op.key);
-    else if (op.kind === 'final') {
+  private store(op: StoreOperation): boolean {
+    if (op.kind === 'write-segment') this.ledger.set(op.key, op);
+    else if (op.kind === 'drop-segment') this.ledger.delete(op.key);
+    else if (op.kind === 'job-completion') {
       this.jobs.delete(op.job);
       this.finals.set(op.job, op.outcome);
     } else {
@@ -349,11 +362,11 @@
     return true;
   }
 
-  private rent({ request, zone, spot, count }: Extract<Effect, { kind: 'rent' }>): void {
+  private rent({ request, zone, spot, count }: Extract<Effect, { kind: 'provision' }>): void {
     const reply = (result: 'ok' | 'refused' | 'unknown', machines: readonly MachineId[]) =>
       this.held.push({
         at: this.now + STEP_MS,
-        command: { kind: 'rented', request, result, machines },
+        command: { kind: 'provision-result', request, result, machines },
       });
     if (this.trouble.cloudAway) return void reply('unknown', []);
     const known = this.rentals.get(request);
@@ -379,11 +392,14 @@
 
   private delete(ids: readonly MachineId[]): void {
     const reply = (ok: boolean) =>
-      this.held.push({ at: this.now + STEP_MS, command: { kind: 'deleted', machines: ids, ok } });
+      this.held.push({
+        at: this.now + STEP_MS,
+        command: { kind: 'deletion-result', machines: ids, ok },
+      });
     if (this.trouble.cloudAway) return void reply(false);
     for (const id of ids) {
       const known = this.state.machines.get(id);
-      const healthy = known && known.lostAt === null && known.everSeen;
+      const healthy = known && known.lostAt === null && known.hasReported;
       if (healthy && this.tasksOn(id).length > 0) this.problems.push(`returned with work ${id}`);
       if (this.machines.delete(id)) this.returned.push(id);
     }
@@ -416,18 +432,18 @@
     m.sentAt = this.now;
     m.dueAt = this.now + CHECK_IN_MS;
     m.seq += 1;
-    const ticket = this.nextTicket++ as Ticket;
+    const ticket = this.nextTicket++ as ReplyTicket;
     this.tickets.set(ticket, m.id);
     const told = report(m.id, m.seq, m.term, [...m.tasks.values()], {
       zone: m.zone as ZoneName,
       spot: m.spot,
-      session: m.session,
-      noticeS: m.noticeAt === null ? null : (m.noticeAt - this.now) / 1000,
+      agentEpoch: m.session,
+      reclaimNoticeS: m.noticeAt === null ? null : (m.noticeAt - this.now) / 1000,
     });
-    this.queue.push({ kind: 'report', report: told, ticket });
+    this.queue.push({ kind: 'heartbeat', heartbeat: told, ticket });
   }
 
-  private answer(ticket: Ticket, orders: readonly Order[] | null): void {
+  private answer(ticket: ReplyTicket, orders: readonly WorkerCommand[] | null): void {
     const m = this.machines.get(this.tickets.get(ticket) ?? '');
     if (!m || m.deaf || this.now < m.silentUntil) return;
     const { sentAt } = m;
@@ -438,7 +454,7 @@
     this.execute(m, orders);
   }
 
-  private execute(m: Machine, orders: readonly Order[]): void {
+  private execute(m: Machine, orders: readonly WorkerCommand[]): void {
     for (const o of orders) {
       const name = `${o.job}/${o.index}`;
       const held = m.tasks.get(name);
@@ -474,4 +490,4 @@
 ): { zone: string; spot: boolean }[] => Array.from({ length: count }, () => ({ zone, spot }));
 
 /** An array whose tasks save, two to a machine of 8 processors. */
-export const SAVING = { cpus: 4, checkpointS: 5, saveS: 1 };
+export const SAVING = { cpus: 4, checkpointIntervalS: 5, checkpointWriteS: 1 };
--- a/packages/drain/test/plain-model.test.ts
+++ b/packages/drain/test/plain-model.test.ts
@@ -30,7 +30,7 @@
       spec: fc.record({
         shape: fc.constantFrom('array', 'array', 'service'),
         estimateS: fc.integer({ min: 0, max: 300 }),
-        checkpointS: fc.constantFrom(0, 5),
+        checkpointIntervalS: fc.constantFrom(0, 5),
       }),
     }),
     { freq: 8 },
@@ -69,8 +69,13 @@
   private attempts = 0;
 
   constructor(count: number) {
-    const spec = job('job-1', { tasks: count, lane: 'settle' });
-    const view = { spec, pending: 0, held: this.held, final: 'none' } as unknown as JobView;
+    const spec = job('job-1', { tasks: count, jobClass: 'settle' });
+    const view = {
+      spec,
+      pendingTasks: 0,
+      attemptsByTask: this.held,
+      terminalState: 'none',
+    } as unknown as JobView;
     this.jobs.set('job-1' as JobId, view);
     for (let i = 0; i < count; i += 1) this.run(i);
   }
@@ -79,7 +84,12 @@
   run(index: number): void {
     this.attempts += 1;
     const entry = { job: 'job-1', index, attempt: this.attempts };
-    const view = { entry, job: this.jobs.get('job-1' as JobId), phase: 'running', kill: null };
+    const view = {
+      entry,
+      job: this.jobs.get('job-1' as JobId),
+      phase: 'running',
+      stopRequest: null,
+    };
     this.held.set(index as TaskIndex, [view as unknown as AttemptView]);
   }
 
@@ -96,7 +106,7 @@
   }
 
   get fleet(): FleetView {
-    return { jobs: this.jobs, isDone: () => false, teams: new Map() } as unknown as FleetView;
+    return { jobs: this.jobs, isTaskDone: () => false, teams: new Map() } as unknown as FleetView;
   }
 }
 
@@ -132,10 +142,10 @@
         limits,
         limits,
         fc.array(action, { minLength: 10, maxLength: 60, size: 'max' }),
-        (team, lane, actions) => {
-          const file = `(drain (budgets (team blue ${written(team)} (class settle ${written(lane)} ))))`;
+        (team, jobClass, actions) => {
+          const file = `(drain (budgets (team blue ${written(team)} (class settle ${written(jobClass)} ))))`;
           const inner =
-            written(lane).trim() === '' ? file.replace(/\(class.*\)\)\)\)$/, ')))') : file;
+            written(jobClass).trim() === '' ? file.replace(/\(class.*\)\)\)\)$/, ')))') : file;
           const ledger = new BudgetLedger(settingsOf(inner));
           const tasks = new Tasks(TASKS);
           const list: (PlainDisruption & { index: number })[] = [];
@@ -151,18 +161,20 @@
             } else if (kind === 'suffer' && on) {
               ledger.suffer(on, moment(now));
               tasks.stop(index);
-              list.push({ team: 'blue', lane: 'settle', at: now, open: true, index });
+              list.push({ team: 'blue', jobClass: 'settle', at: now, open: true, index });
             } else if (kind === 'disrupt' && on) {
-              const room = [team, lane].every((l) => hasRoom(l, list, tasks.onMachines, 0, now));
+              const room = [team, jobClass].every((l) =>
+                hasRoom(l, list, tasks.onMachines, 0, now),
+              );
               const result = ledger.request(on, tasks.fleet, moment(now));
               const isGrant = result !== null && 'phase' in result;
-              expect(isGrant, JSON.stringify({ team, lane, list, result, now })).toBe(room);
+              expect(isGrant, JSON.stringify({ team, jobClass, list, result, now })).toBe(room);
               if (isGrant) granted += 1;
               else refused += 1;
               if (!isGrant) continue;
               ledger.grant(result, moment(now));
               tasks.stop(index);
-              list.push({ team: 'blue', lane: 'settle', at: now, open: true, index });
+              list.push({ team: 'blue', jobClass: 'settle', at: now, open: true, index });
             }
             ledger.update(tasks.fleet, moment(now));
           }
--- a/packages/drain/test/plain-model.ts
+++ b/packages/drain/test/plain-model.ts
@@ -8,11 +8,12 @@
   now: number,
 ): 'ends' | 'saves' | 'moves' | 'leaving' => {
   const { job } = a;
-  if (a.kill !== null || job === null || job.final !== 'none' || a.superseded) return 'leaving';
+  if (a.stopRequest !== null || job === null || job.terminalState !== 'none' || a.isSuperseded)
+    return 'leaving';
   if (job.spec.shape === 'service') return 'moves';
   const ran = a.startedAt === null ? 0 : now - a.startedAt;
   const left = Math.max(0, job.spec.estimateS * 1000 - ran);
-  return job.spec.checkpointS > 0 && left > letEndS * 1000 ? 'saves' : 'ends';
+  return job.spec.checkpointIntervalS > 0 && left > letEndS * 1000 ? 'saves' : 'ends';
 };
 
 const lastEnd = (machine: MachineView, letEndS: number, now: number): number => {
@@ -55,7 +56,7 @@
 /** One disruption in the model's list; nothing is ever forgotten or summed up. */
 export interface PlainDisruption {
   readonly team: string;
-  readonly lane: string;
+  readonly jobClass: string;
   readonly at: number;
   open: boolean;
 }
--- a/packages/drain/test/steps.test.ts
+++ b/packages/drain/test/steps.test.ts
@@ -40,7 +40,7 @@
     const fleet = new DrainFleet(inZone(3));
     fleet.submit('job-1', { cpus: 8, estimateS: 100 });
     fleet.run(3000);
-    fleet.submit('job-2', { cpus: 8, checkpointS: 5, saveS: 1 });
+    fleet.submit('job-2', { cpus: 8, checkpointIntervalS: 5, checkpointWriteS: 1 });
     fleet.run(3000);
     const [ends, saves] = ['job-1/0', 'job-2/0'].map((name) => fleet.holderOf(name));
     const idle = [...fleet.machines.keys()].find((id) => fleet.tasksOn(id).length === 0);
@@ -153,7 +153,7 @@
       tasks: 2,
       estimateS: 1,
       priority: 'urgent',
-      spotOk: false,
+      allowsSpot: false,
     });
     fleet.run(30_000);
     const refused = fleet.start('out', { select: { zone: 'b' }, replace: false });
@@ -235,7 +235,7 @@
     fleet.trouble.refuseRentals = true;
     fleet.machines.delete(first);
     fleet.until(() => fleet.phaseOf('swap', 'n-0000') === 'waiting');
-    expect(fleet.state.machines.get('n-0000' as never)?.cordoned).toBe(false);
+    expect(fleet.state.machines.get('n-0000' as never)?.isCordoned).toBe(false);
     fleet.runMs.set('job-1', 0);
     fleet.trouble.refuseRentals = false;
     fleet.until(() => fleet.phase('swap') === 'done');
@@ -249,9 +249,9 @@
     fleet.until(() => (fleet.phaseOf('swap', 'n-0000') ?? 'waiting') !== 'waiting');
     const id = fleet.status('swap').machines[0]!.replacement as never;
     const machine = fleet.state.machines.get(id)!;
-    expect(fleet.state.extensions!.mayReturn(machine)).toBe(false);
+    expect(fleet.state.extensions!.mayScaleIn(machine)).toBe(false);
     fleet.until(() => fleet.phase('swap') === 'done');
-    expect(fleet.state.extensions!.mayReturn(machine)).toBe(true);
+    expect(fleet.state.extensions!.mayScaleIn(machine)).toBe(true);
   });
 });
 
@@ -300,7 +300,7 @@
   it('of 0 for one class hold up its machines last: all others go first', () => {
     const settings = '(drain (let-end-s 5) (budgets (team blue (class settle (at-once 0)))))';
     const fleet = new DrainFleet(inZone(4), settings);
-    fleet.submit('job-1', { ...SAVING, cpus: 8, lane: 'settle' });
+    fleet.submit('job-1', { ...SAVING, cpus: 8, jobClass: 'settle' });
     fleet.submit('job-2', { ...SAVING, cpus: 8, tasks: 3 });
     fleet.run(5000);
     const kept = fleet.holderOf('job-1/0')!;
@@ -332,7 +332,7 @@
       (team blue (at-once-share 0.5) (within 300 3) (class settle (at-once 0)))))`;
     const fleet = new DrainFleet(inZone(4), settings);
     fleet.submit('job-1', { ...SAVING, cpus: 8, tasks: 3 });
-    fleet.submit('job-2', { ...SAVING, cpus: 8, lane: 'settle' });
+    fleet.submit('job-2', { ...SAVING, cpus: 8, jobClass: 'settle' });
     fleet.run(5000);
     const settle = fleet.holderOf('job-2/0')!;
     fleet.start('swap', { select: { all: true }, atOnce: 4 });
@@ -380,7 +380,7 @@
     fleet.submit('job-1', { shape: 'service', cpus: 2, estimateS: 0 });
     fleet.run(4000);
     const from = fleet.holderOf('job-1/0')!;
-    fleet.state.machines.get(from as never)!.draining = true;
+    fleet.state.machines.get(from as never)!.isDraining = true;
     fleet.run(30_000);
     expect(fleet.holderOf('job-1/0')).toBe(from);
     // A notice leaves no choice.
--- a/packages/extension-api/src/index.ts
+++ b/packages/extension-api/src/index.ts
@@ -8,31 +8,31 @@
   ExtensionRequest,
   ExtensionRoute,
   FleetView,
+  InstancePoolView as RentalKind,
   JobView,
   MachineView,
   Moment,
   OperatorAnswer,
   OperatorCall,
   RecordWrite,
-  RentalKind,
 } from '../../../src/core/extensions/extension.js';
 export type {
   CommandTools,
   ExtensionPackage,
 } from '../../../src/core/extensions/extension-package.js';
 export type {
-  Attempt,
+  AttemptId as Attempt,
+  FencingToken as Term,
   ImageName,
-  Instant,
   JobId,
-  JobSpec,
   MachineId,
-  MachineType,
-  RequestName,
+  MachineTypeName as TypeName,
+  ProvisionRequestId as RequestName,
+  ReplyTicket as Ticket,
   TaskIndex,
   TeamName,
-  Term,
-  Ticket,
-  TypeName,
   ZoneName,
-} from '../../../src/core/types.js';
+} from '../../../src/core/model/ids.js';
+export type { JobSpec } from '../../../src/core/model/job.js';
+export type { MachineType } from '../../../src/core/model/machine.js';
+export type { Instant } from '../../../src/core/model/time.js';
--- a/src/adapters/cloud/cloud-client.ts
+++ b/src/adapters/cloud/cloud-client.ts
@@ -1,16 +1,16 @@
 /** The cloud's interface: types, renting, deleting, listing; within its rate. */
+
 import type {
-  ListedMachine,
   MachineId,
-  MachineType,
-  RequestName,
-  TypeName,
+  MachineTypeName,
+  ProvisionRequestId,
   ZoneName,
-} from '../../core/types.js';
+} from '../../core/model/ids.js';
+import type { ListedMachine, MachineType } from '../../core/model/machine.js';
 import type { Endpoint } from '../configuration/settings.js';
 import { HttpClient, NOT_JSON, type Reply } from '../outbound/http-client.js';
 import { RateLimiter } from '../outbound/rate-limiter.js';
-import { parseMachines, parseNames, parseTypes } from '../wire.js';
+import { parseMachineIds, parseMachines, parseMachineTypes } from '../wire.js';
 
 const REQUEST_MS = 6000;
 const QUEUE_MS = 3000;
@@ -22,7 +22,7 @@
   private readonly http: HttpClient;
   private readonly limiter: RateLimiter;
   /** The last call got no answer, or one of trouble. */
-  away = false;
+  isAway = false;
   /** Requests that the last list took. */
   private pages = 1;
 
@@ -50,7 +50,7 @@
     const reply = await this.http.call(method, path, body, REQUEST_MS);
     const error =
       reply.kind === 'answer' ? (reply.body as { error?: unknown } | null)?.error : undefined;
-    this.away = reply.kind === 'none' || error === 'trouble';
+    this.isAway = reply.kind === 'none' || error === 'trouble';
     return reply;
   }
 
@@ -62,14 +62,14 @@
     return value;
   }
 
-  async types(): Promise<MachineType[] | null> {
+  async listMachineTypes(): Promise<MachineType[] | null> {
     const reply = await this.call('GET', '/machine_types');
-    return this.read('machine types', reply, parseTypes);
+    return this.read('machine types', reply, parseMachineTypes);
   }
 
-  async rent(
-    request: RequestName,
-    type: TypeName,
+  async provision(
+    request: ProvisionRequestId,
+    type: MachineTypeName,
     zone: ZoneName,
     spot: boolean,
     count: number,
@@ -78,17 +78,17 @@
     const body = { Hire: request, Hull: type, Yard: zone, Loaners: spot, HowMany: count };
     const reply = await this.call('POST', '/machines', body, entitled);
     if (reply.kind === 'answer' && reply.status === 200)
-      return this.read('rental', reply, parseNames) ?? 'unknown';
+      return this.read('rental', reply, parseMachineIds) ?? 'unknown';
     if (reply.kind === 'answer') return 'refused';
     return reply.sent ? 'unknown' : 'refused';
   }
 
-  async delete(machines: readonly MachineId[], entitled?: () => boolean): Promise<boolean> {
+  async deleteMachines(machines: readonly MachineId[], entitled?: () => boolean): Promise<boolean> {
     const reply = await this.call('POST', '/machines/delete', { Berths: machines }, entitled);
     return reply.kind === 'answer' && reply.status === 200;
   }
 
-  async list(): Promise<ListedMachine[] | null> {
+  async listMachines(): Promise<ListedMachine[] | null> {
     const all: ListedMachine[] = [];
     let pages = 0;
     for (;;) {
--- a/src/adapters/configuration/settings.ts
+++ b/src/adapters/configuration/settings.ts
@@ -2,7 +2,9 @@
 import { readFileSync } from 'node:fs';
 import parseExpression from 's-expression';
 import * as v from 'valibot';
-import type { NodeId, Policy, Team, TeamName, ZoneName } from '../../core/types.js';
+import type { NodeId, TeamName, ZoneName } from '../../core/model/ids.js';
+import type { Policy } from '../../core/model/policy.js';
+import type { Team } from '../../core/model/team.js';
 
 /** A fault of the files handed over: one clear line, no stack. */
 export class SettingsError extends Error {}
@@ -78,7 +80,7 @@
   readonly node: NodeId;
   readonly zone: ZoneName;
   readonly api: Endpoint;
-  readonly back: Endpoint;
+  readonly peerAddress: Endpoint;
   readonly peers: readonly { readonly node: NodeId; readonly at: Endpoint }[];
   readonly cloud: Endpoint;
   readonly state: Endpoint;
@@ -131,7 +133,7 @@
     node: s.node as NodeId,
     zone: s.zone as ZoneName,
     api: parseEndpoint(s.api_addr),
-    back: parseEndpoint(s.back),
+    peerAddress: parseEndpoint(s.back),
     peers: s.seeds.map((p) => ({ node: p.node as NodeId, at: parseEndpoint(p.endpoint) })),
     cloud: parseEndpoint(s.outside.cloud),
     state: parseEndpoint(s.outside.state),
@@ -183,18 +185,18 @@
   deadlineWeight: 1,
   scarcityWeight: 1,
   shortnessWeight: 20,
-  levelWeight: 5,
-  k: 2,
-  min: 1,
-  max: 10,
-  firstTaskS: 120,
-  makeRoomLevel: 2,
-  makeRoomS: 2,
-  standingShare: 1,
-  headroom: 1.2,
-  idleReturnS: 240,
-  bootGiveUp: 2.5,
-  silentReports: 4,
+  priorityWeight: 5,
+  deadlineEstimateFactor: 2,
+  deadlineScoreMin: 1,
+  deadlineScoreMax: 10,
+  firstTaskAfterS: 120,
+  preemptionMinPriority: 2,
+  preemptionDelayS: 2,
+  baselineCapacityShare: 1,
+  capacityHeadroom: 1.2,
+  scaleInAfterIdleS: 240,
+  bootTimeoutFactor: 2.5,
+  missedHeartbeatLimit: 4,
   leaderLeaseMs: 3000,
 };
 
@@ -204,18 +206,18 @@
   'deadline-weight': { key: 'deadlineWeight', min: 0, max: 1e6 },
   'scarcity-weight': { key: 'scarcityWeight', min: 0, max: 1e6 },
   'priority-boost': { key: 'shortnessWeight', min: 0, max: 1e6 },
-  'level-weight': { key: 'levelWeight', min: 0, max: 1e6 },
-  'deadline-k': { key: 'k', min: 1.000001, max: 1000 },
-  'deadline-min': { key: 'min', min: 0, max: 1e6 },
-  'deadline-max': { key: 'max', min: 0, max: 1e6 },
-  'first-task-s': { key: 'firstTaskS', min: 1, max: 1e6 },
-  'make-room-level': { key: 'makeRoomLevel', min: 0, max: 99 },
-  'make-room-s': { key: 'makeRoomS', min: 0, max: 1e6 },
-  'standing-share': { key: 'standingShare', min: 0, max: 10 },
-  headroom: { key: 'headroom', min: 1, max: 10 },
-  'idle-return-s': { key: 'idleReturnS', min: 5, max: 86_400 },
-  'boot-give-up': { key: 'bootGiveUp', min: 1, max: 100 },
-  'silent-reports': { key: 'silentReports', min: 2, max: 1000 },
+  'level-weight': { key: 'priorityWeight', min: 0, max: 1e6 },
+  'deadline-k': { key: 'deadlineEstimateFactor', min: 1.000001, max: 1000 },
+  'deadline-min': { key: 'deadlineScoreMin', min: 0, max: 1e6 },
+  'deadline-max': { key: 'deadlineScoreMax', min: 0, max: 1e6 },
+  'first-task-s': { key: 'firstTaskAfterS', min: 1, max: 1e6 },
+  'make-room-level': { key: 'preemptionMinPriority', min: 0, max: 99 },
+  'make-room-s': { key: 'preemptionDelayS', min: 0, max: 1e6 },
+  'standing-share': { key: 'baselineCapacityShare', min: 0, max: 10 },
+  headroom: { key: 'capacityHeadroom', min: 1, max: 10 },
+  'idle-return-s': { key: 'scaleInAfterIdleS', min: 5, max: 86_400 },
+  'boot-give-up': { key: 'bootTimeoutFactor', min: 1, max: 100 },
+  'silent-reports': { key: 'missedHeartbeatLimit', min: 2, max: 1000 },
   'leader-lease-ms': { key: 'leaderLeaseMs', min: 500, max: 60_000 },
 };
 
@@ -240,7 +242,7 @@
     }
     policy[field.key] = value;
   }
-  if (policy.max < policy.min)
+  if (policy.deadlineScoreMax < policy.deadlineScoreMin)
     throw new SettingsError('policy: field deadline-max is below deadline-min');
   return policy;
 };
--- a/src/adapters/http/api-server.ts
+++ b/src/adapters/http/api-server.ts
@@ -3,20 +3,20 @@
 import type { Socket } from 'node:net';
 import { type Context, Hono } from 'hono';
 import type { ExtensionModule, ExtensionRoute } from '../../core/extensions/extension.js';
-import type { JobId, TeamName } from '../../core/types.js';
+import type { JobId, TeamName } from '../../core/model/ids.js';
 import type { Controller } from '../../service/controller.js';
-import type { Lookup } from '../../service/user-requests.js';
+import type { LookupResult } from '../../service/user-requests.js';
 import type { Settings } from '../configuration/settings.js';
 import type { Log } from '../logging/log.js';
 import { steadyNow } from '../runtime/clock.js';
-import { jobAnswer, parseJob, parseJobId } from '../wire.js';
+import { encodeJobView, parseJob, parseJobId } from '../wire.js';
 import {
-  acceptCheckIns,
-  type CheckInHandler,
-  type CheckInLimits,
+  acceptHeartbeats,
+  type HeartbeatHandler,
+  type HeartbeatLimits,
   RETRY_AFTER_S,
 } from './heartbeat-connections.js';
-import { makeCheckIn } from './heartbeat-handler.js';
+import { makeHeartbeatHandler } from './heartbeat-handler.js';
 import { listenerOf, type NodeApplication, type NodeEnv, sendJson } from './hono-listener.js';
 
 const MAX_BODY = 64 * 1024;
@@ -67,7 +67,7 @@
 };
 
 /** A check-in that did not come as a plain request; see `CheckInConnection` for those that did. */
-const answerCheckIn = async (c: Context<NodeEnv>, checkIn: CheckInHandler): Promise<Response> => {
+const answerCheckIn = async (c: Context<NodeEnv>, checkIn: HeartbeatHandler): Promise<Response> => {
   const text = await readText(c.env.incoming, MAX_REPORT);
   // No longer a report once cut: what is left of it is no JSON either.
   const { status, body } = await checkIn(text ?? '');
@@ -87,7 +87,7 @@
     const subject = c.req.param('subject') ?? '';
     const body = route.method === 'POST' ? await readOptionalBody(c) : { json: null };
     if ('fault' in body) return sendJson(c, { error: body.fault }, 400);
-    const answer = await controller.operate(extension, {
+    const answer = await controller.handleOperatorCall(extension, {
       route: route.name,
       subject,
       body: body.json,
@@ -100,13 +100,13 @@
 export const makeApi = (
   controller: Controller,
   log: Log,
-  checkIn: CheckInHandler = makeCheckIn(controller, log),
+  checkIn: HeartbeatHandler = makeHeartbeatHandler(controller, log),
   extensions: readonly ExtensionModule[] = [],
 ): Hono<NodeEnv> => {
   const app = new Hono<NodeEnv>();
   const operatorHandler = makeOperatorHandler(controller);
 
-  app.get('/up', (c) => (controller.ready() ? sendJson(c, { ok: true }) : later(c, 'starting')));
+  app.get('/up', (c) => (controller.isReady() ? sendJson(c, { ok: true }) : later(c, 'starting')));
 
   app.post('/checkin', (c) => answerCheckIn(c, checkIn));
 
@@ -122,28 +122,28 @@
     const from = steadyNow();
     const result = await controller.users.submit(id, parseJob(json));
     log.debug({ job: id, result: result.kind, ms: Math.round(steadyNow() - from) }, 'submission');
-    if (result.kind === 'accepted') return sendJson(c, jobAnswer(result.view), 201);
+    if (result.kind === 'accepted') return sendJson(c, encodeJobView(result.view), 201);
     if (result.kind === 'later') return later(c, result.reason);
-    if (!('reason' in result)) return sendJson(c, jobAnswer(result.view));
+    if (!('reason' in result)) return sendJson(c, encodeJobView(result.view));
     log.info({ job: id, reason: result.reason }, 'refused');
     return sendJson(c, { error: result.reason }, result.kind === 'malformed' ? 400 : 422);
   });
 
-  const say = (c: Context<NodeEnv>, view: Lookup) => {
+  const say = (c: Context<NodeEnv>, view: LookupResult) => {
     if (view === 'absent') return sendJson(c, { error: 'no such job' }, 404);
     if (view === 'later') return later(c, 'state service away');
-    return sendJson(c, jobAnswer(view));
+    return sendJson(c, encodeJobView(view));
   };
 
   app.get('/api/jobs', async (c) => {
     const team = c.req.query('team');
     if (!team) return sendJson(c, { error: 'name a team: ?team=NAME' }, 400);
     const jobs = await controller.users.list(team as TeamName);
-    return jobs ? sendJson(c, { jobs: jobs.map(jobAnswer) }) : later(c, 'no leader to ask');
+    return jobs ? sendJson(c, { jobs: jobs.map(encodeJobView) }) : later(c, 'no leader to ask');
   });
 
   /** Scoping, not authentication: with ?team=NAME, another team's job is as good as absent. */
-  const visible = async (c: Context<NodeEnv>, id: JobId): Promise<Lookup> => {
+  const visible = async (c: Context<NodeEnv>, id: JobId): Promise<LookupResult> => {
     const view = await controller.users.lookUp(id);
     const team = c.req.query('team');
     return typeof view === 'object' && team !== undefined && view.team !== team ? 'absent' : view;
@@ -172,7 +172,7 @@
       const view = await visible(c, id);
       if (typeof view !== 'object') return say(c, view);
     }
-    return say(c, await controller.users.abort(id));
+    return say(c, await controller.users.cancel(id));
   });
 
   for (const extension of extensions) {
@@ -197,13 +197,13 @@
   }
 
   /** Every connection is a worker's until it turns out not to be. */
-  readCheckInsFirst(handle: CheckInHandler, limits: CheckInLimits): void {
+  readCheckInsFirst(handle: HeartbeatHandler, limits: HeartbeatLimits): void {
     const [asHttp] = this.listeners('connection');
     this.removeAllListeners('connection');
     this.on('connection', (socket: Socket) => {
       this.checkIns.add(socket);
       socket.once('close', () => this.checkIns.delete(socket));
-      acceptCheckIns(socket, handle, limits, (unread) => {
+      acceptHeartbeats(socket, handle, limits, (unread) => {
         this.checkIns.delete(socket);
         asHttp?.call(this, socket);
         socket.emit('data', unread);
@@ -227,7 +227,7 @@
   settings: Settings,
   app: NodeApplication,
   log: Log,
-  checkIn: CheckInHandler | null = null,
+  checkIn: HeartbeatHandler | null = null,
 ): Server => {
   const listener = listenerOf(app);
   let inFlight = 0;
@@ -265,6 +265,6 @@
 
 /** The whole interface of one controller. */
 export const startApi = (settings: Settings, controller: Controller, log: Log): Server => {
-  const checkIn = makeCheckIn(controller, log);
+  const checkIn = makeHeartbeatHandler(controller, log);
   return serveApi(settings, makeApi(controller, log, checkIn, controller.extensions), log, checkIn);
 };
--- a/src/adapters/http/heartbeat-connections.ts
+++ b/src/adapters/http/heartbeat-connections.ts
@@ -6,18 +6,18 @@
  */
 import type { Socket } from 'node:net';
 import { steadyNow } from '../runtime/clock.js';
-import { frameCheckIn } from './plain-request.js';
+import { frameHeartbeat } from './plain-request.js';
 
 /** What a worker is answered. */
-export interface CheckInReply {
+export interface HeartbeatReply {
   readonly status: 200 | 400 | 421 | 503;
   readonly body: object;
 }
 
 /** Answers the body of a check-in; must not fail. */
-export type CheckInHandler = (body: string) => Promise<CheckInReply>;
+export type HeartbeatHandler = (body: string) => Promise<HeartbeatReply>;
 
-export interface CheckInLimits {
+export interface HeartbeatLimits {
   readonly maxBodyBytes: number;
   /** A connection on which nothing has come for this long is closed. */
   readonly idleMs: number;
@@ -25,7 +25,7 @@
   readonly requestMs: number;
 }
 
-const REASONS: Record<CheckInReply['status'], string> = {
+const REASONS: Record<HeartbeatReply['status'], string> = {
   200: 'OK',
   400: 'Bad Request',
   421: 'Misdirected Request',
@@ -35,7 +35,7 @@
 /** Seconds after which a client that was answered 503 may ask again. */
 export const RETRY_AFTER_S = '1';
 
-const encodeReply = ({ status, body }: CheckInReply, close: boolean): string => {
+const encodeReply = ({ status, body }: HeartbeatReply, close: boolean): string => {
   const text = JSON.stringify(body);
   const retry = status === 503 ? `Retry-After: ${RETRY_AFTER_S}\r\n` : '';
   const connection = close ? 'close' : 'keep-alive';
@@ -45,7 +45,7 @@
   );
 };
 
-class CheckInConnection {
+class HeartbeatConnection {
   /** Bytes that have come and are not answered yet. */
   private unread: Buffer | null = null;
   /** When the first of them came. */
@@ -55,8 +55,8 @@
 
   constructor(
     private readonly socket: Socket,
-    private readonly handle: CheckInHandler,
-    private readonly limits: CheckInLimits,
+    private readonly handle: HeartbeatHandler,
+    private readonly limits: HeartbeatLimits,
     private readonly handOver: (unread: Buffer) => void,
   ) {
     socket.setTimeout(limits.idleMs, this.onIdle);
@@ -92,7 +92,7 @@
   private readNext(): void {
     const { unread, limits } = this;
     if (unread === null) return;
-    const framing = frameCheckIn(unread, limits.maxBodyBytes);
+    const framing = frameHeartbeat(unread, limits.maxBodyBytes);
     switch (framing.kind) {
       case 'incomplete':
         if (steadyNow() - this.unreadSince > limits.requestMs) this.socket.destroy();
@@ -111,7 +111,7 @@
     }
   }
 
-  private answer(reply: CheckInReply, close: boolean): void {
+  private answer(reply: HeartbeatReply, close: boolean): void {
     this.answering = false;
     // The worker may have hung up meanwhile.
     if (this.socket.destroyed || !this.socket.writable) return;
@@ -131,11 +131,11 @@
 }
 
 /** Takes a new connection; `handOver` gets its bytes once it turns out to be no worker's. */
-export const acceptCheckIns = (
+export const acceptHeartbeats = (
   socket: Socket,
-  handle: CheckInHandler,
-  limits: CheckInLimits,
+  handle: HeartbeatHandler,
+  limits: HeartbeatLimits,
   handOver: (unread: Buffer) => void,
 ): void => {
-  new CheckInConnection(socket, handle, limits, handOver);
+  new HeartbeatConnection(socket, handle, limits, handOver);
 };
--- a/src/adapters/http/heartbeat-handler.ts
+++ b/src/adapters/http/heartbeat-handler.ts
@@ -1,15 +1,15 @@
 /** Workers' check-ins: from the body of a request to what the worker is answered. */
 import type { Controller } from '../../service/controller.js';
 import { type Log, Once } from '../logging/log.js';
-import { ordersOut } from '../wire.js';
-import { ReportReader } from '../workers/heartbeat-parser.js';
-import type { CheckInHandler, CheckInReply } from './heartbeat-connections.js';
+import { encodeWorkerCommands } from '../wire.js';
+import { HeartbeatParser } from '../workers/heartbeat-parser.js';
+import type { HeartbeatHandler, HeartbeatReply } from './heartbeat-connections.js';
 
 /** As much as is logged of a machine's name that cannot be read. */
 const MAX_LOGGED_NAME = 120;
 
-const MALFORMED: CheckInReply = { status: 400, body: { error: 'malformed' } };
-const FAULT: CheckInReply = { status: 503, body: { error: 'fault' } };
+const MALFORMED: HeartbeatReply = { status: 400, body: { error: 'malformed' } };
+const FAULT: HeartbeatReply = { status: 503, body: { error: 'fault' } };
 
 const parseJson = (text: string): { readonly json: unknown } | { readonly fault: string } => {
   try {
@@ -20,13 +20,13 @@
 };
 
 /** The handler of check-ins; it answers 400 to what is no report, and logs that once for each machine. */
-export const makeCheckIn = (controller: Controller, log: Log): CheckInHandler => {
-  const reader = new ReportReader();
+export const makeHeartbeatHandler = (controller: Controller, log: Log): HeartbeatHandler => {
+  const reader = new HeartbeatParser();
   const malformed = new Once();
 
   const refuse = (
     parsed: { readonly json: unknown } | { readonly fault: string },
-  ): CheckInReply => {
+  ): HeartbeatReply => {
     const fault = 'fault' in parsed ? parsed.fault : 'fields';
     const body = 'json' in parsed ? (parsed.json as { Berth?: unknown } | null) : null;
     const machine = 'json' in parsed ? String(body?.Berth).slice(0, MAX_LOGGED_NAME) : '';
@@ -35,14 +35,17 @@
     return MALFORMED;
   };
 
-  const answer = async (text: string): Promise<CheckInReply> => {
+  const answer = async (text: string): Promise<HeartbeatReply> => {
     const parsed = parseJson(text);
-    const report = 'json' in parsed ? reader.read(parsed.json) : null;
+    const report = 'json' in parsed ? reader.parse(parsed.json) : null;
     if (!report) return refuse(parsed);
-    const decision = await controller.checkIn(report);
+    const decision = await controller.handleHeartbeat(report);
     switch (decision.kind) {
       case 'orders':
-        return { status: 200, body: { Baton: decision.term, Orders: ordersOut(decision.orders) } };
+        return {
+          status: 200,
+          body: { Baton: decision.term, Orders: encodeWorkerCommands(decision.orders) },
+        };
       case 'elsewhere':
         return { status: 421, body: decision.leader === null ? {} : { Foreman: decision.leader } };
       case 'later':
--- a/src/adapters/http/plain-request.ts
+++ b/src/adapters/http/plain-request.ts
@@ -38,7 +38,7 @@
 };
 
 /** Where the first request in `bytes` lies, if it is a plain check-in whose body is at most `maxBodyBytes` long. */
-export const frameCheckIn = (bytes: Buffer, maxBodyBytes: number): Framing => {
+export const frameHeartbeat = (bytes: Buffer, maxBodyBytes: number): Framing => {
   const start = bytes.toString('latin1', 0, REQUEST_LINE.length);
   if (!REQUEST_LINE.startsWith(start)) return UNSUPPORTED;
   if (start.length < REQUEST_LINE.length) return INCOMPLETE;
--- a/src/adapters/key-value-store/key-value-store-client.ts
+++ b/src/adapters/key-value-store/key-value-store-client.ts
@@ -1,6 +1,6 @@
 /** The state service: wire names in, plain results out, within this node's share of its limits. */
 import * as v from 'valibot';
-import type { Revision } from '../../core/types.js';
+import type { Revision } from '../../core/model/ids.js';
 import type { Endpoint } from '../configuration/settings.js';
 import { HttpClient, NOT_JSON, type Reply, TOO_LARGE } from '../outbound/http-client.js';
 import { RateLimiter } from '../outbound/rate-limiter.js';
@@ -9,9 +9,9 @@
 export type LeaseId = number & { readonly __lease: unique symbol };
 
 /** refused: surely not executed; unknown: it may have been, or may yet be. */
-export type Failure = 'refused' | 'unknown';
+export type StoreFailure = 'refused' | 'unknown';
 
-export interface Item {
+export interface StoredItem {
   readonly key: string;
   readonly value: unknown;
   readonly revision: Revision;
@@ -21,11 +21,11 @@
   | { readonly key: string; readonly value: unknown; readonly revision: Revision }
   | { readonly key: string; readonly deleted: true; readonly revision: Revision };
 
-export type Write =
+export type Mutation =
   | { readonly put: string; readonly value: unknown; readonly lease?: LeaseId }
   | { readonly del: string };
 
-export interface Guard {
+export interface Precondition {
   readonly key: string;
   readonly revision: Revision;
 }
@@ -60,7 +60,7 @@
   readonly writeRps: number;
 }
 
-export interface Shares extends Rates {
+export interface RateShares extends Rates {
   /** What is left of them once the service has lowered its limits, which only its refusals tell. */
   readonly lowered: Rates;
 }
@@ -74,7 +74,7 @@
     .map(([name, value]) => `${name}=${encodeURIComponent(String(value)).replace(/%2F/g, '/')}`)
     .join('&');
 
-export class StateClient {
+export class KeyValueStoreClient {
   private readonly http: HttpClient;
   private readonly watches: HttpClient;
   /** Of its own, so that a lease never waits behind other requests. */
@@ -90,7 +90,7 @@
 
   constructor(
     at: Endpoint,
-    private readonly shares: Shares,
+    private readonly shares: RateShares,
     /** Told of answers that are none of the protocol's, by what was asked. */
     private readonly onOdd: (asked: string) => void = () => {},
   ) {
@@ -102,7 +102,7 @@
   }
 
   /** True while the service is known not to answer this node. */
-  get down(): boolean {
+  get isDown(): boolean {
     return this.failing;
   }
 
@@ -133,7 +133,7 @@
   }
 
   /** True while it keeps to the lower shares. */
-  get lowered(): boolean {
+  get isLowered(): boolean {
     return steadyNow() < this.loweredUntil;
   }
 
@@ -149,7 +149,7 @@
   }
 
   private setRates(): void {
-    const { rps, writeRps } = this.lowered ? this.shares.lowered : this.shares;
+    const { rps, writeRps } = this.isLowered ? this.shares.lowered : this.shares;
     this.requests.setRate(rps);
     this.writes.setRate(writeRps * this.writeScale);
   }
@@ -163,7 +163,7 @@
   }
 
   /** What an answer that says nothing of use means; one that should not have come is told of. */
-  private failed(asked: string, reply: Reply): Failure {
+  private failed(asked: string, reply: Reply): StoreFailure {
     if (reply.kind === 'none') {
       if (reply.reason === NOT_JSON) this.onOdd(asked);
       return reply.sent ? 'unknown' : 'refused';
@@ -173,7 +173,7 @@
     return 'unknown';
   }
 
-  async get(key: string): Promise<Item | 'absent' | Failure> {
+  async get(key: string): Promise<StoredItem | 'absent' | StoreFailure> {
     const reply = await this.call('GET', `/kv/${key}`, undefined, READ_MS);
     if (reply.kind === 'answer' && reply.status === 404) return 'absent';
     if (reply.kind === 'answer' && reply.status === 200) {
@@ -193,7 +193,7 @@
     prefix: string,
     after: string | undefined,
     limit: number,
-  ): Promise<{ items: Item[]; more: boolean; revision: Revision } | Failure> {
+  ): Promise<{ items: StoredItem[]; more: boolean; revision: Revision } | StoreFailure> {
     const target = `/kv?${path({ Under: prefix, Since: after, Limit: limit })}`;
     const reply = await this.call('GET', target, undefined, WRITE_MS);
     if (reply.kind === 'answer' && reply.status === 200) {
@@ -211,8 +211,10 @@
   }
 
   /** All keys under a prefix; the revision is that of the first page, so a watch from there misses nothing. */
-  async listAll(prefix: string): Promise<{ items: Item[]; revision: Revision } | Failure> {
-    const items: Item[] = [];
+  async listAll(
+    prefix: string,
+  ): Promise<{ items: StoredItem[]; revision: Revision } | StoreFailure> {
+    const items: StoredItem[] = [];
     let first: Revision | null = null;
     for (;;) {
       const page = await this.list(prefix, items.at(-1)?.key, 500);
@@ -223,12 +225,12 @@
     }
   }
 
-  async txn(
-    guards: readonly Guard[],
-    writes: readonly Write[],
+  async compareAndSwap(
+    guards: readonly Precondition[],
+    writes: readonly Mutation[],
     maxWaitMs = QUEUE_MS,
     timeoutMs = WRITE_MS,
-  ): Promise<{ revision: Revision } | 'conflict' | 'expired' | 'too-large' | Failure> {
+  ): Promise<{ revision: Revision } | 'conflict' | 'expired' | 'too-large' | StoreFailure> {
     if (!(await this.writes.take(writes.length, maxWaitMs))) return 'refused';
     const transaction = {
       Guards: guards.map((g) => ({ Path: g.key, Stamp: g.revision })),
@@ -251,7 +253,7 @@
     return this.failed('transaction', reply);
   }
 
-  async grant(lifeMs: number): Promise<LeaseId | Failure> {
+  async grant(lifeMs: number): Promise<LeaseId | StoreFailure> {
     const reply = await this.urgent('POST', '/holds', { LifeMs: lifeMs });
     if (reply.kind === 'answer' && reply.status === 200) {
       const body = v.safeParse(holdSchema, reply.body);
@@ -260,7 +262,7 @@
     return this.failed('lease', reply);
   }
 
-  async renew(lease: LeaseId): Promise<'ok' | 'gone' | Failure> {
+  async renew(lease: LeaseId): Promise<'ok' | 'gone' | StoreFailure> {
     const reply = await this.urgent('POST', `/holds/${lease}/renew`, {});
     if (reply.kind === 'answer' && reply.status === 200) return 'ok';
     if (reply.kind === 'answer' && reply.status === 404) return 'gone';
@@ -271,11 +273,11 @@
     await this.urgent('DELETE', `/holds/${lease}`, undefined);
   }
 
-  async follow(
+  async watch(
     prefix: string,
     since: Revision,
     holdMs: number,
-  ): Promise<{ revision: Revision; changes: Change[] } | 'too-old' | Failure> {
+  ): Promise<{ revision: Revision; changes: Change[] } | 'too-old' | StoreFailure> {
     this.requests.force(1);
     const target = `/follow?${path({ Under: prefix, Since: since, HoldMs: holdMs })}`;
     const reply = await this.watches.call('GET', target, undefined, holdMs + 3000);
--- a/src/adapters/peers/peer-link.ts
+++ b/src/adapters/peers/peer-link.ts
@@ -2,7 +2,7 @@
 import { createServer, type Server, Socket } from 'node:net';
 import { Packr } from 'msgpackr/pack';
 import * as v from 'valibot';
-import type { NodeId } from '../../core/types.js';
+import type { NodeId } from '../../core/model/ids.js';
 import type { Endpoint } from '../configuration/settings.js';
 import { steadyNow } from '../runtime/clock.js';
 
--- a/src/adapters/runtime/clock.ts
+++ b/src/adapters/runtime/clock.ts
@@ -1,5 +1,5 @@
 /** The clocks of this process. */
-import type { Instant } from '../../core/types.js';
+import type { Instant } from '../../core/model/time.js';
 
 /**
  * The steady clock: every lease and time-out counts on it. Not `performance.now()`, whose module is loaded with all of Node's
--- a/src/adapters/wire.ts
+++ b/src/adapters/wire.ts
@@ -3,16 +3,14 @@
 import type {
   ImageName,
   JobId,
-  JobSpec,
-  ListedMachine,
   MachineId,
-  MachineType,
-  Order,
-  Shape,
+  MachineTypeName,
   TeamName,
-  TypeName,
   ZoneName,
-} from '../core/types.js';
+} from '../core/model/ids.js';
+import type { JobShape, JobSpec } from '../core/model/job.js';
+import type { ListedMachine, MachineType } from '../core/model/machine.js';
+import type { WorkerCommand } from '../core/model/worker-command.js';
 
 const JOB_ID = /^job-\d{1,18}$/;
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0), v.maxValue(1e12));
@@ -66,23 +64,23 @@
   return {
     id: b.Ref as JobId,
     shape: SHAPES[b.Shape],
-    lane: b.Lane,
+    jobClass: b.Lane,
     team: b.Crew as TeamName,
     priority: b.Rank,
     tasks: b.Pieces,
     cpus: b.Cpus,
     gpus: b.Accelerators,
     memoryGb: b.MemoryGb,
-    types: b.Hulls as TypeName[] | null,
+    machineTypes: b.Hulls as MachineTypeName[] | null,
     zone: b.Yard as ZoneName | null,
-    oneZone: b.OneZone,
-    scatter: b.Scatter,
-    spotOk: b.Loaners,
+    singleZone: b.OneZone,
+    spreadZones: b.Scatter,
+    allowsSpot: b.Loaners,
     image: b.Bundle as ImageName,
     imageGb: b.ImageGb,
     estimateS: b.GuessS,
-    checkpointS: b.BookmarkS,
-    saveS: b.StowS,
+    checkpointIntervalS: b.BookmarkS,
+    checkpointWriteS: b.StowS,
     deadlineS: b.DueS,
   };
 };
@@ -90,7 +88,7 @@
 export interface JobView {
   readonly id: JobId;
   readonly team: TeamName;
-  readonly shape?: Shape | undefined;
+  readonly shape?: JobShape | undefined;
   /** How many tasks it has, or how many replicas it wants. */
   readonly tasks?: number | undefined;
   readonly status: 'queued' | 'running' | 'done' | 'cancelled';
@@ -106,7 +104,7 @@
   cancelled: 'withdrawn',
 } as const;
 
-export const jobAnswer = (view: JobView) => ({
+export const encodeJobView = (view: JobView) => ({
   Ref: view.id,
   Status: STATUS[view.status],
   done: view.done,
@@ -118,7 +116,7 @@
 
 // ---- workers -------------------------------------------------------------------------------------
 
-export const ordersOut = (orders: readonly Order[]) =>
+export const encodeWorkerCommands = (orders: readonly WorkerCommand[]) =>
   orders.map((o) => ({
     Verb: o.op,
     Piece: `${o.job}/${o.index}`,
@@ -144,11 +142,11 @@
   ),
 });
 
-export const parseTypes = (body: unknown): MachineType[] | null => {
+export const parseMachineTypes = (body: unknown): MachineType[] | null => {
   const result = v.safeParse(typesSchema, body);
   if (!result.success) return null;
   return result.output.Hulls.map((h) => ({
-    name: h.Label as TypeName,
+    name: h.Label as MachineTypeName,
     cpus: h.Cpus,
     gpus: h.Accelerators ?? 0,
     memoryGb: h.MemoryGb,
@@ -162,7 +160,7 @@
 
 const namesSchema = v.object({ Berths: v.array(keyLabel) });
 
-export const parseNames = (body: unknown): MachineId[] | null => {
+export const parseMachineIds = (body: unknown): MachineId[] | null => {
   const result = v.safeParse(namesSchema, body);
   return result.success ? (result.output.Berths as MachineId[]) : null;
 };
@@ -191,7 +189,7 @@
     (b): ListedMachine => ({
       id: b.Ref as MachineId,
       endpoint: b.Endpoint ?? '',
-      type: b.Hull as TypeName,
+      type: b.Hull as MachineTypeName,
       zone: b.Yard as ZoneName,
       spot: b.Loaners ?? false,
       status: b.Status === 'failed' ? 'failed' : b.Status === 'running' ? 'running' : 'booting',
--- a/src/adapters/workers/heartbeat-parser.ts
+++ b/src/adapters/workers/heartbeat-parser.ts
@@ -1,18 +1,15 @@
 /** Reads what workers report of themselves and of their tasks. */
 import * as v from 'valibot';
+import type { EndCause, Heartbeat, TaskPhase, TaskStatus } from '../../core/model/heartbeat.js';
 import type {
-  Attempt,
-  EndCause,
+  AttemptId,
+  FencingToken,
   JobId,
   MachineId,
-  Report,
-  ReportedTask,
+  MachineTypeName,
   TaskIndex,
-  TaskPhase,
-  Term,
-  TypeName,
   ZoneName,
-} from '../../core/types.js';
+} from '../../core/model/ids.js';
 import { count, keyLabel, label } from '../wire.js';
 
 const MAX_TASKS = 20_000;
@@ -56,7 +53,7 @@
   unknown: 'unknown',
 };
 
-const parseTask = (raw: unknown): ReportedTask | null => {
+const parseTask = (raw: unknown): TaskStatus | null => {
   const result = v.safeParse(taskSchema, raw);
   if (!result.success) return null;
   const { Piece, Try, Status, Cause, Stored } = result.output;
@@ -67,17 +64,17 @@
   return {
     job: Piece.slice(0, slash) as JobId,
     index: Number(Piece.slice(slash + 1)) as TaskIndex,
-    attempt: Try as Attempt,
+    attempt: Try as AttemptId,
     phase,
     cause: phase === 'ended' ? cause : null,
-    saved: Stored ?? false,
+    checkpointSaved: Stored ?? false,
   };
 };
 
 /** One entry of a report as it came, and what was read from it. */
 interface ReadTask {
   readonly raw: Record<string, unknown>;
-  readonly task: ReportedTask;
+  readonly task: TaskStatus;
 }
 
 /** Whether an entry says the same as one that has passed the checks: all that they look at are plain values. */
@@ -103,7 +100,7 @@
 const MAX_NEW = 64;
 
 /** Reads reports one after the other, and checks of each only what its machine's last one did not say already. */
-export class ReportReader {
+export class HeartbeatParser {
   /** Last reports of the machines heard in this round, and in the one before. */
   private current = new Map<string, readonly ReadTask[]>();
   private previous = new Map<string, readonly ReadTask[]>();
@@ -114,7 +111,7 @@
   checked = 0;
 
   /** The report, or null when it is malformed. */
-  read(body: unknown): Report | null {
+  parse(body: unknown): Heartbeat | null {
     const result = v.safeParse(reportSchema, body);
     if (!result.success) return null;
     const b = result.output;
@@ -125,13 +122,13 @@
     return {
       machine: b.Berth as MachineId,
       endpoint: b.Endpoint,
-      type: b.Hull as TypeName,
+      type: b.Hull as MachineTypeName,
       zone: b.Yard as ZoneName,
       spot: b.Loaners ?? false,
-      session: b.Tenure,
-      seq: b.Tick,
-      term: b.Baton as Term,
-      noticeS: b.RecallS ?? null,
+      agentEpoch: b.Tenure,
+      sequence: b.Tick,
+      fencingToken: b.Baton as FencingToken,
+      reclaimNoticeS: b.RecallS ?? null,
       tasks: read.map(({ task }) => task),
     };
   }
@@ -180,4 +177,5 @@
 }
 
 /** A single report, as a worker sends it in answer to direct commands. */
-export const parseReport = (body: unknown): Report | null => new ReportReader().read(body);
+export const parseHeartbeat = (body: unknown): Heartbeat | null =>
+  new HeartbeatParser().parse(body);
--- a/src/adapters/workers/worker-client.ts
+++ b/src/adapters/workers/worker-client.ts
@@ -1,10 +1,12 @@
 /** Direct commands to workers: kills, which must not wait for the next check-in. */
 import { Agent } from 'node:http';
-import type { Order, Report, Term } from '../../core/types.js';
+import type { Heartbeat } from '../../core/model/heartbeat.js';
+import type { FencingToken } from '../../core/model/ids.js';
+import type { WorkerCommand } from '../../core/model/worker-command.js';
 import { parseEndpoint } from '../configuration/settings.js';
 import { exchange } from '../outbound/http-client.js';
-import { ordersOut } from '../wire.js';
-import { parseReport } from './heartbeat-parser.js';
+import { encodeWorkerCommands } from '../wire.js';
+import { parseHeartbeat } from './heartbeat-parser.js';
 
 const REQUEST_MS = 3000;
 
@@ -20,14 +22,14 @@
   }
 
   /** The worker's report after the commands, or null. */
-  async orders(
+  async sendCommands(
     endpoint: string,
-    term: Term,
+    term: FencingToken,
     session: number,
-    orders: readonly Order[],
-  ): Promise<Report | null> {
+    orders: readonly WorkerCommand[],
+  ): Promise<Heartbeat | null> {
     if (!/^[\w.-]+:\d{1,5}$/.test(endpoint)) return null;
-    const body = { Baton: term, Tenure: session, Orders: ordersOut(orders) };
+    const body = { Baton: term, Tenure: session, Orders: encodeWorkerCommands(orders) };
     const reply = await exchange(
       this.agent,
       parseEndpoint(endpoint),
@@ -37,6 +39,6 @@
       REQUEST_MS,
     );
     if (reply.kind !== 'answer' || (reply.status !== 200 && reply.status !== 409)) return null;
-    return parseReport(reply.body);
+    return parseHeartbeat(reply.body);
   }
 }
--- a/src/cli/load.ts
+++ b/src/cli/load.ts
@@ -6,7 +6,7 @@
   SettingsError,
 } from '../adapters/configuration/settings.js';
 import type { ExtensionModule } from '../core/extensions/extension.js';
-import type { Policy } from '../core/types.js';
+import type { Policy } from '../core/model/policy.js';
 import { loadExtension } from './extensions.js';
 
 export interface Files {
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -17,7 +17,7 @@
   startApi(settings, controller, log);
   const dropped = new Once();
   servePeers(
-    settings.back,
+    settings.peerAddress,
     (question) => controller.respond(question),
     (reason) => {
       if (dropped.first(reason)) log.info({ reason }, 'peer message dropped');
--- a/src/core/apply-commands.ts
+++ b/src/core/apply-commands.ts
@@ -1,24 +1,33 @@
 /** The core's one entry: commands in, effects out. No input or output, no clock, no randomness. */
 
-import { deleted, listed, manageFleet, setTypes } from './fleet/fleet-management.js';
-import { rented } from './fleet/scale-out.js';
-import { nextBatch, onLedger, onProgress, onSaved } from './ledger/batch-builder.js';
-import { settleSegment } from './ledger/segments.js';
-import { onReport } from './lifecycle/heartbeat-reconciliation.js';
-import { abortJob, addJob } from './lifecycle/jobs.js';
-import { answerTickets, ofEndedJob, sendKills } from './lifecycle/worker-commands.js';
-import { everyLeaseOver } from './lifecycle/worker-leases.js';
-import { logEvent } from './log-event.js';
-import { placeWaitingReplicas, type Round, runRound } from './scheduling/backfill.js';
-import type { CoreState } from './state.js';
+import type { CoreState } from './core-state.js';
+import {
+  handleDeletionResult,
+  manageFleet,
+  reconcileMachineList,
+  updateMachineTypes,
+} from './fleet/fleet-management.js';
+import { handleProvisionResult } from './fleet/scale-out.js';
 import {
-  type Authority,
-  type Command,
-  type Effect,
-  type Instant,
-  later,
-  type Millis,
-} from './types.js';
+  buildNextBatch,
+  handleBatchStored,
+  recoverLedgerRow,
+  recoverProgress,
+} from './ledger/batch-builder.js';
+import { dropSegmentIfObsolete } from './ledger/segments.js';
+import { reconcileHeartbeat } from './lifecycle/heartbeat-reconciliation.js';
+import { addJob, cancelJob } from './lifecycle/jobs.js';
+import {
+  belongsToEndedJob,
+  dispatchKills,
+  replyToHeartbeats,
+} from './lifecycle/worker-commands.js';
+import { allWorkerLeasesExpireAt } from './lifecycle/worker-leases.js';
+import { logEvent } from './log-event.js';
+import type { Command } from './model/command.js';
+import type { Authority, Effect } from './model/effect.js';
+import { addMillis, type Instant, type Millis } from './model/time.js';
+import { placeWaitingReplicas, type Round, runSchedulingRound } from './scheduling/backfill.js';
 
 const TICK_MS = 500;
 /** Rounds without an event, so that scores that change with time alone take effect. */
@@ -28,41 +37,49 @@
   switch (command.kind) {
     case 'job':
       return addJob(state, command.spec, command.submittedAt);
-    case 'progress':
-      return onProgress(state, command);
-    case 'ledger':
-      return onLedger(state, command, now);
-    case 'unreadable':
-      state.unreadable.add(command.segment);
+    case 'recovered-progress':
+      return recoverProgress(state, command);
+    case 'recovered-attempts':
+      return recoverLedgerRow(state, command, now);
+    case 'unreadable-segment':
+      state.unreadableSegments.add(command.segment);
       return;
-    case 'loaded':
-      state.loaded = true;
+    case 'recovery-completed':
+      state.isRecovered = true;
       // One report period, at its longest, lets the workers speak first. (Without it at a first start, whichever
       // jobs arrive first take the few machines that are up, not those that rank best.)
-      state.placeFrom = later(now, (state.config.reportMs * 1.3) as Millis);
-      if (state.unreadable.size > 0) state.placeFrom = everyLeaseOver(state);
-      for (const segment of [...state.segments.values()]) settleSegment(state, segment);
+      state.schedulingStartsAt = addMillis(now, (state.config.heartbeatIntervalMs * 1.3) as Millis);
+      if (state.unreadableSegments.size > 0)
+        state.schedulingStartsAt = allWorkerLeasesExpireAt(state);
+      for (const segment of [...state.segments.values()]) dropSegmentIfObsolete(state, segment);
       for (const job of state.jobs.values()) {
-        if (job.doneCount >= job.spec.tasks && job.final === 'none') {
-          job.final = 'done';
-          state.dirtyFinals.add(job);
+        if (job.doneCount >= job.spec.tasks && job.terminalState === 'none') {
+          job.terminalState = 'done';
+          state.unsavedCompletions.add(job);
         }
       }
       return;
-    case 'abort':
-      return abortJob(state, command.job, command.ticket, now, effects);
-    case 'report':
-      return onReport(state, command.report, command.ticket, now, effects);
-    case 'saved':
-      return onSaved(state, command.batch, command.refused ?? [], command.revision, now, effects);
-    case 'types':
-      return setTypes(state, command.types);
-    case 'listed':
-      return listed(state, command.askedAt, command.machines, now);
-    case 'rented':
-      return rented(state, command.request, command.result, command.machines, now);
-    case 'deleted':
-      return deleted(state, command.machines, command.ok, now);
+    case 'cancel-job':
+      return cancelJob(state, command.job, command.ticket, now, effects);
+    case 'heartbeat':
+      return reconcileHeartbeat(state, command.heartbeat, command.ticket, now, effects);
+    case 'batch-stored':
+      return handleBatchStored(
+        state,
+        command.batch,
+        command.refused ?? [],
+        command.revision,
+        now,
+        effects,
+      );
+    case 'machine-types':
+      return updateMachineTypes(state, command.types);
+    case 'machines-listed':
+      return reconcileMachineList(state, command.askedAt, command.machines, now);
+    case 'provision-result':
+      return handleProvisionResult(state, command.request, command.result, command.machines, now);
+    case 'deletion-result':
+      return handleDeletionResult(state, command.machines, command.ok, now);
     case 'extension-records':
       state.extensions?.load(command.extension, command.records);
       return;
@@ -77,46 +94,46 @@
 const logPlaced = (state: CoreState, { placed }: Round, effects: Effect[]): void => {
   if (placed.length === 0) return;
   logEvent(effects, 'debug', 'placed', {
-    head: state.head,
+    head: state.queueHead,
     tasks: placed.map((p) => `${p.entry.job}/${p.entry.index}@${p.machine.id}`),
   });
 };
 
-export const step = (
+export const applyCommands = (
   state: CoreState,
   commands: readonly Command[],
   now: Instant,
   authority: Authority,
 ): Effect[] => {
   const effects: Effect[] = [];
-  state.extensions?.begin(now);
+  state.extensions?.beginStep(now);
   for (const command of commands) apply(state, command, now, effects);
-  if (authority === 'lead' && state.loaded) {
-    const tickDue = now - state.lastTick >= TICK_MS;
+  if (authority === 'lead' && state.isRecovered) {
+    const tickDue = now - state.lastTickAt >= TICK_MS;
     state.extensions?.decide(tickDue);
     if (tickDue) {
-      state.lastTick = now;
+      state.lastTickAt = now;
       effects.push(...manageFleet(state, now));
-      for (const m of state.machines.values()) sendKills(m, effects, now);
+      for (const m of state.machines.values()) dispatchKills(m, effects, now);
     }
-    const due = state.placementDue || now - state.lastPlaced >= ROUND_EVERY_MS;
-    if (due && now >= state.placeFrom) {
-      state.placementDue = false;
-      state.lastPlaced = now;
+    const due = state.isRoundDue || now - state.lastRoundAt >= ROUND_EVERY_MS;
+    if (due && now >= state.schedulingStartsAt) {
+      state.isRoundDue = false;
+      state.lastRoundAt = now;
       // Whatever an unreadable record spoke of has ended by now, or its machine has reported it.
-      for (const key of state.unreadable) state.deadSegments.add(key);
-      state.unreadable.clear();
-      logPlaced(state, runRound(state, now), effects);
-    } else if (now < state.placeFrom && state.unreadable.size === 0) {
+      for (const key of state.unreadableSegments) state.obsoleteSegments.add(key);
+      state.unreadableSegments.clear();
+      logPlaced(state, runSchedulingRound(state, now), effects);
+    } else if (now < state.schedulingStartsAt && state.unreadableSegments.size === 0) {
       logPlaced(state, placeWaitingReplicas(state, now), effects);
     }
-    nextBatch(state, now, effects);
+    buildNextBatch(state, now, effects);
   }
-  if (authority === 'keep-alive' && now - state.lastTick >= TICK_MS) {
-    state.lastTick = now;
-    for (const m of state.machines.values()) sendKills(m, effects, now, ofEndedJob);
+  if (authority === 'keep-alive' && now - state.lastTickAt >= TICK_MS) {
+    state.lastTickAt = now;
+    for (const m of state.machines.values()) dispatchKills(m, effects, now, belongsToEndedJob);
   }
-  answerTickets(state, now, authority, effects);
+  replyToHeartbeats(state, now, authority, effects);
   if (state.extensions) effects.push(...state.extensions.takeEffects());
   return effects;
 };
--- a/src/core/extensions/extension-host.ts
+++ b/src/core/extensions/extension-host.ts
@@ -3,18 +3,12 @@
  * goes on. While it is left out, disruptions that need its consent wait.
  */
 
-import { isDone } from '../lifecycle/job-tasks.js';
+import type { CoreState } from '../core-state.js';
+import { isTaskDone } from '../lifecycle/job-tasks.js';
 import { logEvent } from '../log-event.js';
-import type { CoreState } from '../state.js';
-import type {
-  Effect,
-  Instant,
-  JobId,
-  MachineId,
-  RequestName,
-  TaskIndex,
-  Ticket,
-} from '../types.js';
+import type { Effect } from '../model/effect.js';
+import type { JobId, MachineId, ProvisionRequestId, ReplyTicket, TaskIndex } from '../model/ids.js';
+import type { Instant } from '../model/time.js';
 import type {
   AttemptView,
   Extension,
@@ -25,33 +19,27 @@
   MachineView,
   Moment,
   OperatorCall,
-  RecordWrite,
 } from './extension.js';
+import type { ExtensionRuntime, ExtensionWrites } from './extension-runtime.js';
 
 /** Where extensions keep their records in the state service. */
-export const EXTENSIONS = 'x/';
+export const EXTENSION_PREFIX = 'x/';
 const FAULT = { status: 503, body: { error: 'fault' } };
 
-/** Writes of one extension that are stored together. */
-export interface ExtensionWrites {
-  readonly extension: string;
-  readonly writes: readonly RecordWrite[];
-}
-
 class CoreFleetView implements FleetView {
   constructor(private readonly state: CoreState) {}
 
-  get term() {
-    return this.state.config.term;
+  get fencingToken() {
+    return this.state.config.fencingToken;
   }
-  get reportMs() {
-    return this.state.config.reportMs;
+  get heartbeatIntervalMs() {
+    return this.state.config.heartbeatIntervalMs;
   }
-  get valueBytes() {
-    return this.state.config.valueBytes;
+  get maxValueBytes() {
+    return this.state.config.maxValueBytes;
   }
-  get bootGiveUp() {
-    return this.state.config.policy.bootGiveUp;
+  get bootTimeoutFactor() {
+    return this.state.config.policy.bootTimeoutFactor;
   }
   get machines() {
     return this.state.machines;
@@ -65,32 +53,32 @@
   get teams() {
     return this.state.config.teams;
   }
-  get rentalKinds() {
-    return this.state.options;
+  get instancePools() {
+    return this.state.instancePools;
   }
-  get head() {
-    return this.state.head;
+  get queueHead() {
+    return this.state.queueHead;
   }
-  get settled() {
-    return this.state.listRead && this.state.lastTick >= this.state.placeFrom;
+  get isSettled() {
+    return this.state.hasReadMachineList && this.state.lastTickAt >= this.state.schedulingStartsAt;
   }
-  isDone(id: JobId, index: TaskIndex): boolean {
+  isTaskDone(id: JobId, index: TaskIndex): boolean {
     const job = this.state.jobs.get(id);
-    return job !== undefined && isDone(job, index);
+    return job !== undefined && isTaskDone(job, index);
   }
 }
 
 /** The extensions of one term, and what they have asked for. */
-export class ExtensionHost {
+export class ExtensionHost implements ExtensionRuntime {
   /** Groups of writes that wait for a batch, in order. */
-  readonly writes: ExtensionWrites[] = [];
+  readonly pendingWrites: ExtensionWrites[] = [];
   private readonly faulty = new Set<Extension>();
   private readonly effects: Effect[] = [];
   private readonly fleet: FleetView;
   /** Something came in since the extensions last decided. */
   private due = false;
   private now = 0 as Instant;
-  private readonly requests = new Map<RequestName, Extension>();
+  private readonly requests = new Map<ProvisionRequestId, Extension>();
   /** Machines kept from new work, also those that have not been heard of yet. */
   private readonly cordons = new Set<MachineId>();
 
@@ -102,7 +90,7 @@
   }
 
   /** Begins a step: extensions that threw in an earlier one are back. */
-  begin(now: Instant): void {
+  beginStep(now: Instant): void {
     this.now = now;
     this.faulty.clear();
   }
@@ -140,7 +128,7 @@
   }
 
   /** The cloud's answer to a rental; false when no extension asked for it. */
-  rented(event: Extract<ExtensionEvent, { kind: 'rented' }>): boolean {
+  handleProvisionResult(event: Extract<ExtensionEvent, { kind: 'provision-result' }>): boolean {
     const extension = this.requests.get(event.request);
     if (!extension) return false;
     this.requests.delete(event.request);
@@ -150,14 +138,17 @@
   }
 
   /** Writes of a batch are stored, or were refused. */
-  stored({ extension: name, writes }: ExtensionWrites, kind: 'stored' | 'refused'): void {
+  handleStoreResult(
+    { extension: name, writes }: ExtensionWrites,
+    kind: 'stored' | 'refused',
+  ): void {
     const extension = this.named(name);
     if (!extension) return;
     this.due = true;
     this.attempt(extension, undefined, () => extension.observe({ kind, writes }, this.moment()));
   }
 
-  call(name: string, call: OperatorCall, ticket: Ticket): void {
+  call(name: string, call: OperatorCall, ticket: ReplyTicket): void {
     const extension = this.named(name);
     if (!extension) return;
     this.due = true;
@@ -167,12 +158,12 @@
     if (answer) this.effects.push({ kind: 'operator-answer', ticket, answer });
   }
 
-  mayReturn(machine: MachineView): boolean {
-    return this.extensions.every((e) => this.attempt(e, false, () => e.mayReturn(machine)));
+  mayScaleIn(machine: MachineView): boolean {
+    return this.extensions.every((e) => this.attempt(e, false, () => e.mayScaleIn(machine)));
   }
 
-  mayMove(attempt: AttemptView): boolean {
-    return this.extensions.every((e) => this.attempt(e, false, () => e.mayMove(attempt)));
+  mayEvictReplica(attempt: AttemptView): boolean {
+    return this.extensions.every((e) => this.attempt(e, false, () => e.mayEvictReplica(attempt)));
   }
 
   /** Lets the extensions decide when it is time, and carries their requests out. */
@@ -196,9 +187,9 @@
 
   private setCordon(id: MachineId, cordoned: boolean): void {
     const machine = this.state.machines.get(id);
-    if (!machine || machine.cordoned === cordoned) return;
-    machine.cordoned = cordoned;
-    this.state.placementDue = true;
+    if (!machine || machine.isCordoned === cordoned) return;
+    machine.isCordoned = cordoned;
+    this.state.isRoundDue = true;
   }
 
   private carryOut(extension: Extension, request: ExtensionRequest): void {
@@ -213,20 +204,20 @@
       case 'stop': {
         const placement = state.machines.get(request.machine)?.placements.get(request.attempt);
         if (placement && placement.phase !== 'ended')
-          placement.kill ??= { graceS: request.graceS, sentAt: null };
+          placement.stopRequest ??= { graceS: request.graceS, sentAt: null };
         return;
       }
-      case 'return': {
+      case 'return-machine': {
         const machine = state.machines.get(request.machine);
-        if (machine) machine.draining = true;
+        if (machine) machine.isDraining = true;
         return;
       }
-      case 'rent':
+      case 'provision':
         this.requests.set(request.request, extension);
         this.effects.push(request);
         return;
       case 'write':
-        this.writes.push({ extension: extension.name, writes: request.writes });
+        this.pendingWrites.push({ extension: extension.name, writes: request.writes });
         return;
       case 'answer':
         this.effects.push({
--- a/src/core/extensions/extension.ts
+++ b/src/core/extensions/extension.ts
@@ -3,25 +3,23 @@
  * few things; it runs inside the owner's queue, as pure as the core itself. It knows nothing of the core but these types.
  */
 import type {
-  Attempt,
+  AttemptId,
+  FencingToken,
   ImageName,
-  Instant,
   JobId,
-  JobSpec,
-  LedgerEntry,
   MachineId,
-  MachineType,
-  Millis,
-  Rental,
-  RequestName,
+  MachineTypeName,
+  ProvisionRequestId,
+  ReplyTicket,
   TaskIndex,
-  Team,
   TeamName,
-  Term,
-  Ticket,
-  TypeName,
   ZoneName,
-} from '../types.js';
+} from '../model/ids.js';
+import type { JobSpec } from '../model/job.js';
+import type { LedgerEntry } from '../model/ledger-record.js';
+import type { MachineType, ProvisionRequest } from '../model/machine.js';
+import type { Team } from '../model/team.js';
+import type { Instant, Millis } from '../model/time.js';
 
 /** What is known of an attempt; phases as in the core's placements. */
 export interface AttemptView {
@@ -32,50 +30,50 @@
   readonly phase: 'recorded' | 'entering' | 'offered' | 'fetching' | 'running' | 'saving' | 'ended';
   readonly startedAt: Instant | null;
   /** It has been told to stop, or will be. */
-  readonly kill: { readonly graceS: number } | null;
+  readonly stopRequest: { readonly graceS: number } | null;
   /** Its task was done by another attempt. */
-  readonly superseded: boolean;
+  readonly isSuperseded: boolean;
 }
 
 /** An unfinished job. */
 export interface JobView {
   readonly spec: JobSpec;
   /** Tasks that wait for a machine. */
-  readonly pending: number;
+  readonly pendingTasks: number;
   /** Attempts that may be on a machine, by task. */
-  readonly held: ReadonlyMap<TaskIndex, readonly AttemptView[]>;
-  readonly final: 'none' | 'done' | 'cancelled';
+  readonly attemptsByTask: ReadonlyMap<TaskIndex, readonly AttemptView[]>;
+  readonly terminalState: 'none' | 'done' | 'cancelled';
 }
 
 /** A rented machine. */
 export interface MachineView {
   readonly id: MachineId;
-  readonly type: TypeName;
+  readonly type: MachineTypeName;
   readonly zone: ZoneName;
   readonly spot: boolean;
-  readonly rentedAt: Instant;
+  readonly provisionedAt: Instant;
   /** It has reported and obeys this leader's term. */
-  readonly ready: boolean;
-  readonly everSeen: boolean;
-  readonly lastSeen: Instant;
+  readonly isReady: boolean;
+  readonly hasReported: boolean;
+  readonly lastHeartbeatAt: Instant;
   /** Since when it counts as lost. */
   readonly lostAt: Instant | null;
   /** When the cloud takes it away. */
-  readonly noticeUntil: Instant | null;
+  readonly reclaimAt: Instant | null;
   /** It gets no more work and is returned once it is empty. */
-  readonly draining: boolean;
+  readonly isDraining: boolean;
   /** Its return has been asked for. */
-  readonly deleting: boolean;
+  readonly isDeleting: boolean;
   /** An extension keeps it from new work. */
-  readonly cordoned: boolean;
+  readonly isCordoned: boolean;
   readonly idleSince: Instant;
   /** Attempts that may be on it, and ended ones that it still holds. */
-  readonly placements: ReadonlyMap<Attempt, AttemptView>;
+  readonly placements: ReadonlyMap<AttemptId, AttemptView>;
   readonly images: ReadonlySet<ImageName>;
 }
 
 /** A kind of machine that the cloud rents out. */
-export interface RentalKind {
+export interface InstancePoolView {
   readonly type: MachineType;
   readonly zone: ZoneName;
   readonly spot: boolean;
@@ -85,22 +83,22 @@
 
 /** The fleet as the leader knows it. Extensions only read it. */
 export interface FleetView {
-  readonly term: Term;
-  readonly reportMs: Millis;
+  readonly fencingToken: FencingToken;
+  readonly heartbeatIntervalMs: Millis;
   /** What a value of the state service may hold. */
-  readonly valueBytes: number;
+  readonly maxValueBytes: number;
   /** Boot times after which a machine that is not up is given up. */
-  readonly bootGiveUp: number;
+  readonly bootTimeoutFactor: number;
   readonly machines: ReadonlyMap<MachineId, MachineView>;
   readonly jobs: ReadonlyMap<JobId, JobView>;
-  readonly types: ReadonlyMap<TypeName, MachineType>;
+  readonly types: ReadonlyMap<MachineTypeName, MachineType>;
   readonly teams: ReadonlyMap<TeamName, Team>;
-  readonly rentalKinds: ReadonlyMap<string, RentalKind>;
+  readonly instancePools: ReadonlyMap<string, InstancePoolView>;
   /** The job at the head of the queue, for which room is reserved. */
-  readonly head: JobId | null;
+  readonly queueHead: JobId | null;
   /** Every machine has had the time to report to this leader, and the cloud's list has been read. */
-  readonly settled: boolean;
-  isDone(job: JobId, index: TaskIndex): boolean;
+  readonly isSettled: boolean;
+  isTaskDone(job: JobId, index: TaskIndex): boolean;
 }
 
 /** This moment, on the steady clock and by the time of day. */
@@ -130,8 +128,8 @@
    */
   | { readonly kind: 'released'; readonly attempt: AttemptView; readonly how: 'reported' | 'gone' }
   | {
-      readonly kind: 'rented';
-      readonly request: RequestName;
+      readonly kind: 'provision-result';
+      readonly request: ProvisionRequestId;
       readonly result: 'ok' | 'refused' | 'unknown';
       readonly machines: readonly MachineId[];
     }
@@ -145,15 +143,15 @@
   | {
       readonly kind: 'stop';
       readonly machine: MachineId;
-      readonly attempt: Attempt;
+      readonly attempt: AttemptId;
       readonly graceS: number;
     }
   /** Returns a machine to the cloud once nothing is on it; cannot be taken back. */
-  | { readonly kind: 'return'; readonly machine: MachineId }
-  | ({ readonly kind: 'rent' } & Rental)
+  | { readonly kind: 'return-machine'; readonly machine: MachineId }
+  | ({ readonly kind: 'provision' } & ProvisionRequest)
   /** Changes that are stored together or not at all; no more than `MOST_WRITES_TOGETHER`. */
   | { readonly kind: 'write'; readonly writes: readonly RecordWrite[] }
-  | { readonly kind: 'answer'; readonly ticket: Ticket; readonly answer: OperatorAnswer }
+  | { readonly kind: 'answer'; readonly ticket: ReplyTicket; readonly answer: OperatorAnswer }
   | {
       readonly kind: 'log';
       readonly level: 'info' | 'debug';
@@ -162,7 +160,7 @@
     };
 
 /** As many changes as the smallest transaction of any known deployment holds. */
-export const MOST_WRITES_TOGETHER = 3;
+export const MAX_WRITES_PER_REQUEST = 3;
 
 /** A call of an operator: which of the extension's routes, its parameter and its body. */
 export interface OperatorCall {
@@ -186,11 +184,16 @@
   /** Called about twice a second while this node leads, and whenever something came in for the extension. */
   decide(fleet: FleetView, moment: Moment): readonly ExtensionRequest[];
   /** Answers a call: at once, or by an `answer` request later when it returns null. */
-  call(call: OperatorCall, ticket: Ticket, fleet: FleetView, moment: Moment): OperatorAnswer | null;
+  call(
+    call: OperatorCall,
+    ticket: ReplyTicket,
+    fleet: FleetView,
+    moment: Moment,
+  ): OperatorAnswer | null;
   /** Whether a machine on which nothing runs may be returned for lack of work. */
-  mayReturn(machine: MachineView): boolean;
+  mayScaleIn(machine: MachineView): boolean;
   /** Whether a replica may be stopped on a machine that leaves by the daemon's own decision. */
-  mayMove(attempt: AttemptView): boolean;
+  mayEvictReplica(attempt: AttemptView): boolean;
 }
 
 /** An HTTP route that an extension serves. */
--- a/src/core/fleet/demand.ts
+++ b/src/core/fleet/demand.ts
@@ -1,38 +1,40 @@
 /** What the fleet has, is about to have, and needs. */
-import type { CoreState, Machine, RentOption } from '../state.js';
-import { type Instant, isService } from '../types.js';
+import type { CoreState } from '../core-state.js';
+import type { InstancePool, Machine } from '../model/entities.js';
+import { isService } from '../model/job.js';
+import type { Instant } from '../model/time.js';
 
 /** A machine that counts as supply: it is there to stay. */
-export const counted = (m: Machine): boolean =>
-  !m.draining &&
-  !m.cordoned &&
-  !m.deaf &&
-  !m.deleting &&
+export const countsAsSupply = (m: Machine): boolean =>
+  !m.isDraining &&
+  !m.isCordoned &&
+  !m.isUnreachable &&
+  !m.isDeleting &&
   m.lostAt === null &&
-  m.noticeUntil === null;
+  m.reclaimAt === null;
 
 /** Machines of a kind that are being asked for. */
-export const asked = (option: RentOption): number => {
+export const requestedMachines = (option: InstancePool): number => {
   let count = 0;
-  for (const request of option.outstanding.values()) count += request.count;
+  for (const request of option.outstandingRequests.values()) count += request.count;
   return count;
 };
 
 /** Processors that are needed, and that are rented or asked for. */
-export interface Need {
+export interface CapacityDemand {
   readonly cpus: number;
   readonly supply: number;
 }
 
 /** Compares the unfinished work and the guarantees with what is rented. */
-export const measure = (state: CoreState, now: Instant): Need => {
+export const measureDemand = (state: CoreState, now: Instant): CapacityDemand => {
   const { policy, teams } = state.config;
   const byTeam = new Map<string, number>();
   for (const job of state.jobs.values()) {
-    if (job.final !== 'none' || (now < job.retryAt && !isService(job))) continue;
+    if (job.terminalState !== 'none' || (now < job.retryAt && !isService(job))) continue;
     const cpus = (job.spec.tasks - job.doneCount) * job.spec.cpus;
     byTeam.set(job.spec.team, (byTeam.get(job.spec.team) ?? 0) + cpus);
-    state.lastWorkAt = now;
+    state.lastDemandAt = now;
   }
   let demand = 0;
   let guarantees = 0;
@@ -42,9 +44,9 @@
   }
   let supply = 0;
   for (const m of state.machines.values())
-    if (counted(m)) supply += state.types.get(m.type)?.cpus ?? 0;
-  for (const o of state.options.values()) supply += asked(o) * o.type.cpus;
-  const busy = now - state.lastWorkAt < policy.idleReturnS * 1000;
-  const standing = busy ? policy.standingShare * guarantees : 0;
-  return { cpus: Math.max(demand * policy.headroom, standing), supply };
+    if (countsAsSupply(m)) supply += state.types.get(m.type)?.cpus ?? 0;
+  for (const o of state.instancePools.values()) supply += requestedMachines(o) * o.type.cpus;
+  const busy = now - state.lastDemandAt < policy.scaleInAfterIdleS * 1000;
+  const standing = busy ? policy.baselineCapacityShare * guarantees : 0;
+  return { cpus: Math.max(demand * policy.capacityHeadroom, standing), supply };
 };
--- a/src/core/fleet/machine-health.ts
+++ b/src/core/fleet/machine-health.ts
@@ -1,67 +1,69 @@
 /** The state of machines, and whether they may take work. */
-import type { CoreState, Machine } from '../state.js';
-import type { Instant, MachineId, TypeName, ZoneName } from '../types.js';
+import type { CoreState } from '../core-state.js';
+import type { Machine } from '../model/entities.js';
+import type { MachineId, MachineTypeName, ZoneName } from '../model/ids.js';
+import type { Instant } from '../model/time.js';
 
-export const newMachine = (
+export const createMachine = (
   id: MachineId,
-  at: { endpoint: string; type: TypeName; zone: ZoneName; spot: boolean },
+  at: { endpoint: string; type: MachineTypeName; zone: ZoneName; spot: boolean },
   rentedAt: Instant,
   now: Instant,
 ): Machine => ({
   id,
   ...at,
-  rentedAt,
+  provisionedAt: rentedAt,
   knownAt: now,
-  session: 0,
-  seq: 0,
-  answeredSession: 0,
-  ready: false,
-  everSeen: false,
-  ownRental: false,
-  listed: false,
-  lastSeen: now,
+  agentEpoch: 0,
+  heartbeatSequence: 0,
+  acknowledgedEpoch: 0,
+  isReady: false,
+  hasReported: false,
+  isProvisionedThisTerm: false,
+  isListed: false,
+  lastHeartbeatAt: now,
   lostAt: null,
-  lostWhy: '',
-  noticeUntil: null,
-  draining: false,
-  deleting: false,
-  cordoned: false,
-  deleteAfter: 0 as Instant,
+  lostReason: '',
+  reclaimAt: null,
+  isDraining: false,
+  isDeleting: false,
+  isCordoned: false,
+  deleteNotBefore: 0 as Instant,
   placements: new Map(),
-  occupied: 0,
+  attemptCount: 0,
   usedCpus: 0,
   usedGpus: 0,
   usedMemoryGb: 0,
   idleSince: now,
   images: new Set(),
   failedJobs: new Set(),
-  fullUntil: 0 as Instant,
-  offered: null,
-  unheard: 0,
-  shunUntil: 0 as Instant,
-  unprovenSince: null,
-  deaf: false,
-  kept: false,
-  ticket: null,
+  saturatedUntil: 0 as Instant,
+  dispatchedStarts: null,
+  unacknowledgedReplies: 0,
+  quarantinedUntil: 0 as Instant,
+  unverifiedSince: null,
+  isUnreachable: false,
+  isReservedForServices: false,
+  pendingReply: null,
 });
 
 /** Answers that went unheard in a row after which a machine gets no more work. */
-export const UNHEARD_STOPS = 2;
+export const UNACKNOWLEDGED_LIMIT = 2;
 
 /** Without a word for this many report periods a machine gets no more work: it would only wait there. */
 const QUIET_REPORTS = 2;
 
-export const isQuiet = (state: CoreState, m: Machine, now: Instant): boolean =>
-  now - m.lastSeen > QUIET_REPORTS * state.config.reportMs;
+export const hasMissedHeartbeats = (state: CoreState, m: Machine, now: Instant): boolean =>
+  now - m.lastHeartbeatAt > QUIET_REPORTS * state.config.heartbeatIntervalMs;
 
-export const usable = (state: CoreState, m: Machine, now: Instant): boolean =>
-  m.ready &&
-  !isQuiet(state, m, now) &&
-  !m.deaf &&
-  now >= m.shunUntil &&
-  !m.draining &&
-  !m.cordoned &&
-  !m.deleting &&
+export const isSchedulable = (state: CoreState, m: Machine, now: Instant): boolean =>
+  m.isReady &&
+  !hasMissedHeartbeats(state, m, now) &&
+  !m.isUnreachable &&
+  now >= m.quarantinedUntil &&
+  !m.isDraining &&
+  !m.isCordoned &&
+  !m.isDeleting &&
   m.lostAt === null &&
-  m.noticeUntil === null &&
-  now >= m.fullUntil;
+  m.reclaimAt === null &&
+  now >= m.saturatedUntil;
--- a/src/core/fleet/scale-out.ts
+++ b/src/core/fleet/scale-out.ts
@@ -1,100 +1,108 @@
 /** Which machines to rent, and what the cloud answers. */
 
-import { SUSPECT_MACHINES } from '../lifecycle/job-tasks.js';
-import { mayUseMachine, tasksWithinLimit, zoneAllows } from '../scheduling/capacity.js';
+import type { CoreState } from '../core-state.js';
+import { FAILED_MACHINES_LIMIT } from '../lifecycle/job-tasks.js';
+import type { Effect } from '../model/effect.js';
+import type { InstancePool, Job, Machine } from '../model/entities.js';
+import type { MachineId, ProvisionRequestId } from '../model/ids.js';
+import { isService } from '../model/job.js';
+import type { MachineType } from '../model/machine.js';
+import { addMillis, type Instant, type Millis, seconds } from '../model/time.js';
+import { isFeasible, satisfiesZoneConstraints, tasksWithinQuota } from '../scheduling/capacity.js';
 import { NO_MACHINE } from '../scheduling/placement.js';
-import { isReplica, ordinaryNeed } from '../scheduling/services.js';
-import type { CoreState, Job, Machine, RentOption } from '../state.js';
-import {
-  type Effect,
-  type Instant,
-  isService,
-  later,
-  type MachineId,
-  type MachineType,
-  type Millis,
-  type RequestName,
-  seconds,
-} from '../types.js';
-import { asked, counted, measure } from './demand.js';
-import { newMachine } from './machine-health.js';
+import { isReplica, onDemandCpusForServices } from '../scheduling/services.js';
+import { countsAsSupply, measureDemand, requestedMachines } from './demand.js';
+import { createMachine } from './machine-health.js';
 
-const RENT_MAX = 50;
+const MAX_MACHINES_PER_REQUEST = 50;
 /** Requests under way at once; the cloud's rate is shared with lists and deletions. */
-const RENT_AT_ONCE = 4;
+const MAX_CONCURRENT_REQUESTS = 4;
 const RENT_ANSWER_MS = 15_000 as Millis;
 
-export const rented = (
+export const handleProvisionResult = (
   state: CoreState,
-  request: RequestName,
+  request: ProvisionRequestId,
   result: 'ok' | 'refused' | 'unknown',
   ids: readonly MachineId[],
   now: Instant,
 ): void => {
-  if (state.extensions?.rented({ kind: 'rented', request, result, machines: ids })) return;
-  for (const option of state.options.values()) {
-    const count = option.outstanding.get(request)?.count;
+  if (
+    state.extensions?.handleProvisionResult({
+      kind: 'provision-result',
+      request,
+      result,
+      machines: ids,
+    })
+  )
+    return;
+  for (const option of state.instancePools.values()) {
+    const count = option.outstandingRequests.get(request)?.count;
     if (count === undefined) continue;
-    option.outstanding.delete(request);
+    option.outstandingRequests.delete(request);
     if (result === 'ok') {
       const { type, zone, spot } = option;
       for (const id of ids) {
-        if (state.gone.has(id) || state.machines.has(id)) continue;
-        const m = newMachine(id, { endpoint: '', type: type.name, zone, spot }, now, now);
-        m.ownRental = true;
+        if (state.deletedMachines.has(id) || state.machines.has(id)) continue;
+        const m = createMachine(id, { endpoint: '', type: type.name, zone, spot }, now, now);
+        m.isProvisionedThisTerm = true;
         state.machines.set(id, m);
       }
     }
     if (result === 'ok' && ids.length >= count) option.refusals = 0;
     else {
       option.refusals = Math.min(option.refusals + 1, 4);
-      option.blockedUntil = later(now, seconds(4 * option.refusals));
+      option.retryAt = addMillis(now, seconds(4 * option.refusals));
     }
   }
 };
 
 /** Cheapest per processor first; of equals the more powerful. */
-const byPrice = (a: RentOption, b: RentOption): number => {
-  const price = (o: RentOption) =>
+const byPrice = (a: InstancePool, b: InstancePool): number => {
+  const price = (o: InstancePool) =>
     (o.spot ? o.type.spotPrice : o.type.price) / Math.max(o.type.cpus, 0.1);
   return price(a) - price(b) || b.type.cpus - a.type.cpus || (a.key < b.key ? -1 : 1);
 };
 
-const optionSuits = (job: Job, option: RentOption): boolean => {
+const suitsPool = (job: Job, option: InstancePool): boolean => {
   const { spec } = job;
   const { type, zone, spot } = option;
-  if (spec.types && !spec.types.includes(type.name)) return false;
-  if ((spec.zone !== null && spec.zone !== zone) || (spot && !spec.spotOk)) return false;
+  if (spec.machineTypes && !spec.machineTypes.includes(type.name)) return false;
+  if ((spec.zone !== null && spec.zone !== zone) || (spot && !spec.allowsSpot)) return false;
   return spec.cpus <= type.cpus && spec.gpus <= type.gpus && spec.memoryGb <= type.memoryGb;
 };
 
-const rentFrom = (
+const provisionFrom = (
   state: CoreState,
-  options: readonly RentOption[],
+  options: readonly InstancePool[],
   cpus: number,
   now: Instant,
   effects: Effect[],
 ): void => {
   let underWay = effects.length;
-  for (const o of state.options.values()) underWay += o.outstanding.size;
+  for (const o of state.instancePools.values()) underWay += o.outstandingRequests.size;
   // Capacity shows only when asked for: several kinds are asked at once, each for its part of what is missing,
   // the cheapest several times over when one request cannot hold its part.
-  const open = options.filter((o) => now >= o.blockedUntil).slice(0, RENT_AT_ONCE);
+  const open = options.filter((o) => now >= o.retryAt).slice(0, MAX_CONCURRENT_REQUESTS);
   const part = cpus / Math.max(open.length, 1);
   let missing = cpus;
   for (const option of open) {
     const size = Math.max(option.type.cpus, 0.1);
     let due = Math.min(missing, part);
     // A kind that was refused lately is tried with one request, not with several in vain.
-    const atOnce = option.refusals > 0 ? 1 : RENT_AT_ONCE;
-    while (due > 0 && underWay < RENT_AT_ONCE && option.outstanding.size < atOnce) {
-      const count = Math.min(RENT_MAX, Math.max(1, Math.ceil(due / size)));
-      state.nextRequest += 1;
-      const request = `r-${state.config.term}-${state.nextRequest}` as RequestName;
-      option.outstanding.set(request, { count, askedAt: now });
+    const atOnce = option.refusals > 0 ? 1 : MAX_CONCURRENT_REQUESTS;
+    while (
+      due > 0 &&
+      underWay < MAX_CONCURRENT_REQUESTS &&
+      option.outstandingRequests.size < atOnce
+    ) {
+      const count = Math.min(MAX_MACHINES_PER_REQUEST, Math.max(1, Math.ceil(due / size)));
+      state.nextProvisionRequest += 1;
+      const request =
+        `r-${state.config.fencingToken}-${state.nextProvisionRequest}` as ProvisionRequestId;
+      option.outstandingRequests.set(request, { count, askedAt: now });
       underWay += 1;
       effects.push({
-        kind: 'rent',
+        kind: 'provision',
         request,
         type: option.type.name,
         zone: option.zone,
@@ -108,26 +116,30 @@
 };
 
 /** Ordinary machines for what may use no others; cheap ones would be asked for first. */
-const rentOrdinary = (state: CoreState, options: readonly RentOption[], now: Instant): Effect[] => {
+const provisionOnDemand = (
+  state: CoreState,
+  options: readonly InstancePool[],
+  now: Instant,
+): Effect[] => {
   const effects: Effect[] = [];
-  const need = ordinaryNeed(state, now);
+  const need = onDemandCpusForServices(state, now);
   if (need <= 0) return effects;
   let supply = 0;
   for (const m of state.machines.values()) {
-    if (!m.spot && counted(m)) supply += state.types.get(m.type)?.cpus ?? 0;
+    if (!m.spot && countsAsSupply(m)) supply += state.types.get(m.type)?.cpus ?? 0;
   }
-  const services = [...state.jobs.values()].filter((job) => isService(job) && !job.spec.spotOk);
+  const services = [...state.jobs.values()].filter((job) => isService(job) && !job.spec.allowsSpot);
   const useful = options.filter(
-    (o) => !o.spot && (services.length === 0 || services.some((j) => optionSuits(j, o))),
+    (o) => !o.spot && (services.length === 0 || services.some((j) => suitsPool(j, o))),
   );
-  for (const o of useful) supply += asked(o) * o.type.cpus;
-  if (supply < need) rentFrom(state, useful, need - supply, now, effects);
+  for (const o of useful) supply += requestedMachines(o) * o.type.cpus;
+  if (supply < need) provisionFrom(state, useful, need - supply, now, effects);
   return effects;
 };
 
 /** A service is not tried on other machines while the one that fails it counts as enough; several that do are not to blame. */
 const failedThere = (job: Job, m: Machine): boolean =>
-  isService(job) && job.failedOn.size < SUSPECT_MACHINES && job.failedOn.has(m.id);
+  isService(job) && job.failedMachines.size < FAILED_MACHINES_LIMIT && job.failedMachines.has(m.id);
 
 /** Arrays' tasks end and make room; replicas of other services do not. */
 const fitsBesideReplicas = (job: Job, m: Machine, type: MachineType): boolean => {
@@ -148,18 +160,22 @@
 const freeOnKept = (state: CoreState): number => {
   let cpus = 0;
   for (const m of state.machines.values()) {
-    if (m.kept) cpus += (state.types.get(m.type)?.cpus ?? 0) - m.usedCpus;
+    if (m.isReservedForServices) cpus += (state.types.get(m.type)?.cpus ?? 0) - m.usedCpus;
   }
   return cpus;
 };
 
 /** An array whose tasks wait though a machine has room for them that is kept for services. */
 const waitsBesideKept = (state: CoreState, job: Job, now: Instant): boolean => {
-  if (isService(job) || !job.spec.spotOk || job.blockedBy !== NO_MACHINE) return false;
-  if (now - job.submittedAt < BESIDE_KEPT_MS || tasksWithinLimit(state, job) < 1) return false;
+  if (isService(job) || !job.spec.allowsSpot || job.waitingReason !== NO_MACHINE) return false;
+  if (now - job.submittedAt < BESIDE_KEPT_MS || tasksWithinQuota(state, job) < 1) return false;
   for (const m of state.machines.values()) {
-    const type = m.kept ? state.types.get(m.type) : undefined;
-    if (!type || !zoneAllows(job, m) || (job.spec.zone !== null && job.spec.zone !== m.zone))
+    const type = m.isReservedForServices ? state.types.get(m.type) : undefined;
+    if (
+      !type ||
+      !satisfiesZoneConstraints(job, m) ||
+      (job.spec.zone !== null && job.spec.zone !== m.zone)
+    )
       continue;
     const room = { cpus: type.cpus - m.usedCpus, gpus: type.gpus - m.usedGpus };
     if (job.spec.cpus <= room.cpus && job.spec.gpus <= room.gpus) return true;
@@ -168,55 +184,59 @@
 };
 
 /** The rentals that are due. */
-export const rentals = (state: CoreState, now: Instant): Effect[] => {
+export const planScaleOut = (state: CoreState, now: Instant): Effect[] => {
   const effects: Effect[] = [];
-  if (!state.listRead) return effects;
-  for (const option of state.options.values()) {
-    for (const [request, { askedAt }] of option.outstanding) {
-      if (now - askedAt > RENT_ANSWER_MS) option.outstanding.delete(request);
+  if (!state.hasReadMachineList) return effects;
+  for (const option of state.instancePools.values()) {
+    for (const [request, { askedAt }] of option.outstandingRequests) {
+      if (now - askedAt > RENT_ANSWER_MS) option.outstandingRequests.delete(request);
     }
   }
-  const options = [...state.options.values()].sort(byPrice);
-  effects.push(...rentOrdinary(state, options, now));
-  const need = measure(state, now);
-  const jobs = [...state.jobs.values()].filter((j) => j.final === 'none' && j.pending > 0);
+  const options = [...state.instancePools.values()].sort(byPrice);
+  effects.push(...provisionOnDemand(state, options, now));
+  const need = measureDemand(state, now);
+  const jobs = [...state.jobs.values()].filter(
+    (j) => j.terminalState === 'none' && j.pendingTasks > 0,
+  );
   // What is kept for services is no supply for work that may not use it.
   const keptFree = freeOnKept(state);
   const keptIsMissed = keptFree > 0 && jobs.some((job) => waitsBesideKept(state, job, now));
   const supply = need.supply - (keptIsMissed ? keptFree : 0);
   if (supply < need.cpus) {
     const useful =
-      jobs.length > 0 ? options.filter((o) => jobs.some((j) => optionSuits(j, o))) : options;
-    rentFrom(state, useful, need.cpus - supply, now, effects);
+      jobs.length > 0 ? options.filter((o) => jobs.some((j) => suitsPool(j, o))) : options;
+    provisionFrom(state, useful, need.cpus - supply, now, effects);
   }
   // Jobs that only a few kinds of machine suit: see that at least their own share of those is there.
   let checked = 0;
   const suited = new Set<string>();
   for (const job of jobs) {
-    if (effects.length >= RENT_AT_ONCE || checked >= 50) break;
+    if (effects.length >= MAX_CONCURRENT_REQUESTS || checked >= 50) break;
     checked += 1;
-    const limit = Math.min(job.pending, tasksWithinLimit(state, job));
+    const limit = Math.min(job.pendingTasks, tasksWithinQuota(state, job));
     // A service that fails where it is alone may run elsewhere; an array that pauses has failed on several machines.
     if (limit <= 0 || (now < job.retryAt && !isService(job))) continue;
-    const plain = !job.spec.oneZone && !job.spec.scatter;
-    if (plain && suited.has(job.needs)) continue;
+    const plain = !job.spec.singleZone && !job.spec.spreadZones;
+    if (plain && suited.has(job.requirementsKey)) continue;
     // A service that must be spread waits for good where all machines are in a zone that has its half.
     let there = options.some(
-      (o) => o.outstanding.size > 0 && optionSuits(job, o) && zoneAllows(job, o),
+      (o) =>
+        o.outstandingRequests.size > 0 && suitsPool(job, o) && satisfiesZoneConstraints(job, o),
     );
     for (const m of there ? [] : state.machines.values()) {
       const type = state.types.get(m.type);
-      if (!type || !counted(m) || !mayUseMachine(job, m) || !zoneAllows(job, m)) continue;
+      if (!type || !countsAsSupply(m) || !isFeasible(job, m) || !satisfiesZoneConstraints(job, m))
+        continue;
       if (failedThere(job, m) || !fitsBesideReplicas(job, m, type)) continue;
       there = true;
       break;
     }
     if (there) {
-      if (plain) suited.add(job.needs);
+      if (plain) suited.add(job.requirementsKey);
       continue;
     }
-    const suits = options.filter((o) => optionSuits(job, o) && zoneAllows(job, o));
-    rentFrom(state, suits, limit * Math.max(job.spec.cpus, 0.1), now, effects);
+    const suits = options.filter((o) => suitsPool(job, o) && satisfiesZoneConstraints(job, o));
+    provisionFrom(state, suits, limit * Math.max(job.spec.cpus, 0.1), now, effects);
   }
   return effects;
 };
--- a/src/core/ledger/batch-builder.ts
+++ b/src/core/ledger/batch-builder.ts
@@ -1,34 +1,28 @@
 /** The placement ledger and all else that the leader stores, in batches; and its reading by a new leader. */
 
-import { MOST_WRITES_TOGETHER } from '../extensions/extension.js';
-import { release } from '../lifecycle/attempts.js';
-import { adopt, ensureMachine } from '../lifecycle/heartbeat-reconciliation.js';
-import { chunkOf, isDone, recountPending } from '../lifecycle/job-tasks.js';
-import { finishSaved } from '../lifecycle/jobs.js';
-import type { Batch, CoreState, Job, Placement, Segment } from '../state.js';
+import type { CoreState } from '../core-state.js';
+import { MAX_WRITES_PER_REQUEST } from '../extensions/extension.js';
+import { releasePlacement } from '../lifecycle/attempts.js';
+import { getOrCreateMachine, recoverPlacement } from '../lifecycle/heartbeat-reconciliation.js';
+import { getOrCreateChunk, isTaskDone, recountPendingTasks } from '../lifecycle/job-tasks.js';
+import { completeStoredJob } from '../lifecycle/jobs.js';
+import type { Command } from '../model/command.js';
+import type { Effect } from '../model/effect.js';
+import type { Batch, Job, LedgerSegment, Placement } from '../model/entities.js';
+import type { AttemptId, JobId, MachineId, Revision, SegmentKey, TaskIndex } from '../model/ids.js';
+import { isService } from '../model/job.js';
+import type {
+  LedgerEntry,
+  LedgerRow,
+  ProgressRow,
+  StoreOperation,
+} from '../model/ledger-record.js';
+import { addMillis, type Instant, type Millis } from '../model/time.js';
 import {
-  type Attempt,
-  type Command,
-  type Effect,
-  type Instant,
-  isService,
-  type JobId,
-  type LedgerEntry,
-  type LedgerRow,
-  later,
-  type MachineId,
-  type Millis,
-  type ProgressRow,
-  type Revision,
-  type SaveOp,
-  type SegmentKey,
-  type TaskIndex,
-} from '../types.js';
-import {
-  leaveChunkSegment,
-  leaveSegment,
-  openSegment,
-  recordBytes,
+  detachChunk,
+  detachPlacement,
+  getOrCreateSegment,
+  maxSegmentBytes,
   segmentKey,
 } from './segments.js';
 
@@ -69,7 +63,7 @@
   private readonly jobs = new Set<JobId>();
   bytes = RECORD_FRAME_BYTES;
 
-  constructor(readonly segment: Segment) {}
+  constructor(readonly segment: LedgerSegment) {}
 
   private costOf({ entry, machine }: Placement): number {
     const row = this.machines.has(machine.id)
@@ -96,14 +90,14 @@
     if (!at) {
       const entries: LedgerEntry[] = [];
       const { type, zone, spot } = machine;
-      at = { row: { machine: machine.id, at: { type, zone, spot }, entries }, entries };
+      at = { row: { machine: machine.id, attributes: { type, zone, spot }, entries }, entries };
       this.machines.set(machine.id, at);
     }
     at.entries.push(entry);
-    leaveSegment(state, p);
+    detachPlacement(state, p);
     p.segment = this.segment;
     this.segment.placements.add(p);
-    this.segment.size += 1;
+    this.segment.initialSize += 1;
     return true;
   }
 
@@ -114,19 +108,19 @@
     this.bytes += cost;
     this.progress.push({
       job: job.spec.id,
-      from: number * job.partTasks,
+      firstTask: number * job.tasksPerChunk,
       bits: chunk.bits.slice(),
     });
-    leaveChunkSegment(state, chunk);
+    detachChunk(state, chunk);
     chunk.segment = this.segment;
     this.segment.chunks.set(chunk, { job, number });
-    this.segment.size += 1;
+    this.segment.initialSize += 1;
     return true;
   }
 }
 
 /** Replicas of services stay for as long as their job: records of their own do not grow thin with what ends soon. */
-const lasts = (p: Placement): boolean => p.job !== null && isService(p.job);
+const isLongLived = (p: Placement): boolean => p.job !== null && isService(p.job);
 
 type Put = (lasting: boolean, add: (draft: SegmentDraft) => boolean) => boolean;
 
@@ -135,18 +129,26 @@
  * alive that a new leader would have to read. Moved and dropped in one batch, the drop last; a record that is larger than
  * one may be now moves in pieces.
  */
-const moveThin = (state: CoreState, fresh: ReadonlySet<Segment>, put: Put, limit: number): void => {
+const compactSparseSegments = (
+  state: CoreState,
+  fresh: ReadonlySet<LedgerSegment>,
+  put: Put,
+  limit: number,
+): void => {
   let moved = 0;
   for (const segment of [...state.segments.values()]) {
     if (moved >= MOVES_AT_ONCE) return;
     const left = segment.placements.size + segment.chunks.size;
-    if (fresh.has(segment) || left > segment.size * THIN_SHARE) continue;
+    if (fresh.has(segment) || left > segment.initialSize * THIN_SHARE) continue;
     moved += 1;
     for (const p of [...segment.placements]) {
-      if (!put(lasts(p), (draft) => draft.enter(state, p, limit))) return;
+      if (!put(isLongLived(p), (draft) => draft.enter(state, p, limit))) return;
     }
     for (const { job, number } of [...segment.chunks.values()]) {
-      if (job.superseded > 0 || !put(false, (draft) => draft.record(state, job, number, limit)))
+      if (
+        job.supersededAttempts > 0 ||
+        !put(false, (draft) => draft.record(state, job, number, limit))
+      )
         return;
     }
   }
@@ -159,60 +161,64 @@
 const takeExtensionWrites = (
   state: CoreState,
   batch: Batch,
-  ops: SaveOp[],
+  ops: StoreOperation[],
   room: number,
 ): number => {
-  const waiting = state.extensions?.writes;
+  const waiting = state.extensions?.pendingWrites;
   if (!waiting || waiting.length === 0) return 0;
-  const most = Math.max(MOST_WRITES_TOGETHER, Math.floor(room * EXTENSION_SHARE));
+  const most = Math.max(MAX_WRITES_PER_REQUEST, Math.floor(room * EXTENSION_SHARE));
   let changes = 0;
   while (waiting.length > 0 && changes + waiting[0]!.writes.length <= most) {
     const next = waiting.shift()!;
     changes += next.writes.length;
     batch.extensionWrites.push(next);
-    ops.push({ kind: 'extension', ...next });
+    ops.push({ kind: 'write-extension-records', ...next });
   }
   return changes;
 };
 
 /** Gathers one batch; the next waits until this one is known to be stored. */
-export const nextBatch = (state: CoreState, now: Instant, effects: Effect[]): void => {
-  if (state.batch) return;
-  const { term, txnOps, writeRps } = state.config;
+export const buildNextBatch = (state: CoreState, now: Instant, effects: Effect[]): void => {
+  if (state.pendingBatch) return;
+  const {
+    fencingToken: term,
+    maxTransactionOperations: txnOps,
+    storeWritesPerSecond: writeRps,
+  } = state.config;
   const most = Math.min(
     Math.max(txnOps, BATCH_CHANGES),
     Math.max(LEAST_BATCH_CHANGES, Math.ceil(writeRps * BATCH_S)),
   );
-  const ops: SaveOp[] = [];
+  const ops: StoreOperation[] = [];
   const batch: Batch = {
     id: state.nextBatch,
-    entered: [],
-    chunks: [],
-    finals: [],
+    enteredPlacements: [],
+    progress: [],
+    completedJobs: [],
     extensionWrites: [],
   };
   let changes = 0;
   let bytes = 0;
-  for (const job of state.dirtyFinals) {
+  for (const job of state.unsavedCompletions) {
     // The job's record goes and the final one comes.
     // Ends leave room for starts.
-    if (changes > 0 && changes + 2 > (state.toEnter.size > 0 ? most / 2 : most)) break;
+    if (changes > 0 && changes + 2 > (state.awaitingLedgerEntry.size > 0 ? most / 2 : most)) break;
     changes += 2;
     bytes += 300;
-    const outcome = job.final === 'cancelled' ? 'cancelled' : 'done';
+    const outcome = job.terminalState === 'cancelled' ? 'cancelled' : 'done';
     const { id, tasks, team } = job.spec;
-    ops.push({ kind: 'final', job: id, outcome, tasks, team });
-    batch.finals.push(job);
-    state.dirtyFinals.delete(job);
+    ops.push({ kind: 'job-completion', job: id, outcome, tasks, team });
+    batch.completedJobs.push(job);
+    state.unsavedCompletions.delete(job);
   }
-  const limit = recordBytes(state.config);
+  const limit = maxSegmentBytes(state.config);
   /** The records at hand, for what ends soon and for what lasts. */
   const open: { short: SegmentDraft | null; lasting: SegmentDraft | null } = {
     short: null,
     lasting: null,
   };
   const drafts: SegmentDraft[] = [];
-  const fresh = new Set<Segment>();
+  const fresh = new Set<LedgerSegment>();
   const openBytes = () => (open.short?.bytes ?? 0) + (open.lasting?.bytes ?? 0);
   /** Room for one thing more: in the record at hand, else in a new one. */
   const put: Put = (lasting, add) => {
@@ -221,7 +227,12 @@
     if (draft && add(draft)) return true;
     if (changes + 1 > most || bytes + openBytes() > BATCH_BYTES) return false;
     const key = segmentKey(term, state.nextSegment);
-    const next = new SegmentDraft({ key, placements: new Set(), chunks: new Map(), size: 0 });
+    const next = new SegmentDraft({
+      key,
+      placements: new Set(),
+      chunks: new Map(),
+      initialSize: 0,
+    });
     if (!add(next)) return false;
     state.nextSegment += 1;
     changes += 1;
@@ -234,34 +245,36 @@
   };
   // Replicas first: there are few, and somebody waits for each.
   for (const lasting of [true, false]) {
-    for (const p of state.toEnter) {
-      if (lasts(p) !== lasting) continue;
+    for (const p of state.awaitingLedgerEntry) {
+      if (isLongLived(p) !== lasting) continue;
       if (!put(lasting, (d) => d.enter(state, p, limit))) break;
-      state.toEnter.delete(p);
-      if (p.phase === 'entering') batch.entered.push(p);
+      state.awaitingLedgerEntry.delete(p);
+      if (p.phase === 'entering') batch.enteredPlacements.push(p);
     }
   }
   // Progress that is not due only fills up what is written anyway: told with every batch, it took most of the changes.
-  const progressDue = state.dirtySince !== null && now - state.dirtySince >= PROGRESS_WAIT_MS;
+  const progressDue =
+    state.unsavedProgressSince !== null && now - state.unsavedProgressSince >= PROGRESS_WAIT_MS;
   if (progressDue || open.short) {
-    for (const [key, { job, chunk: number }] of state.dirtyChunks) {
-      const over = !state.jobs.has(job.spec.id) || job.final !== 'none';
+    for (const [key, { job, chunk: number }] of state.unsavedProgress) {
+      const over = !state.jobs.has(job.spec.id) || job.terminalState !== 'none';
       // A new leader does not look for attempts of tasks that it reads as done: while another attempt may be on a machine, and counts
       // against its team, the task is not told as done.
-      if (!over && job.superseded > 0) continue;
+      if (!over && job.supersededAttempts > 0) continue;
       const add = (d: SegmentDraft) => d.record(state, job, number, limit);
       if (!over && !(progressDue ? put(false, add) : add(open.short!))) break;
-      state.dirtyChunks.delete(key);
+      state.unsavedProgress.delete(key);
       if (!over)
-        batch.chunks.push({ job, chunk: number, version: job.chunks.get(number)!.version });
+        batch.progress.push({ job, chunk: number, version: job.chunks.get(number)!.version });
     }
-    if (state.dirtyChunks.size === 0) state.dirtySince = null;
+    if (state.unsavedProgress.size === 0) state.unsavedProgressSince = null;
   }
   const drops: SegmentKey[] = [];
-  if (drafts.length > 0 || ops.length > 0 || state.deadSegments.size >= DROPS_ALONE) {
+  if (drafts.length > 0 || ops.length > 0 || state.obsoleteSegments.size >= DROPS_ALONE) {
     // While starts wait for their entries, nothing is moved: what ends soon ends by itself.
-    if (drafts.length > 0 && state.toEnter.size === 0) moveThin(state, fresh, put, limit);
-    for (const key of state.deadSegments) {
+    if (drafts.length > 0 && state.awaitingLedgerEntry.size === 0)
+      compactSparseSegments(state, fresh, put, limit);
+    for (const key of state.obsoleteSegments) {
       if (drops.length >= DROPS_AT_ONCE || changes >= most) break;
       drops.push(key);
       changes += 1;
@@ -270,69 +283,69 @@
   changes += takeExtensionWrites(state, batch, ops, most - changes);
   for (const { segment, machines, progress } of drafts) {
     const rows = [...machines.values()].map((m) => m.row);
-    ops.push({ kind: 'segment', key: segment.key, machines: rows, progress });
+    ops.push({ kind: 'write-segment', key: segment.key, machines: rows, progress });
   }
   for (const key of drops) {
-    state.deadSegments.delete(key);
-    ops.push({ kind: 'segment-gone', key });
+    state.obsoleteSegments.delete(key);
+    ops.push({ kind: 'drop-segment', key });
   }
   if (ops.length === 0) return;
   state.nextBatch += 1;
-  state.batch = batch;
-  effects.push({ kind: 'save', batch: batch.id, ops });
+  state.pendingBatch = batch;
+  effects.push({ kind: 'store-batch', batch: batch.id, ops });
 };
 
 /** Changes that the state service takes in no size hold up only what they speak of. */
-const onRefused = (
+const handleRefusedOperations = (
   state: CoreState,
   batch: Batch,
-  refused: readonly SaveOp[],
+  refused: readonly StoreOperation[],
   now: Instant,
 ): void => {
   const jobs = new Set<JobId>();
-  const attempts = new Set<Attempt>();
+  const attempts = new Set<AttemptId>();
   for (const op of refused) {
-    if (op.kind === 'final') jobs.add(op.job);
-    if (op.kind !== 'segment') continue;
+    if (op.kind === 'job-completion') jobs.add(op.job);
+    if (op.kind !== 'write-segment') continue;
     for (const { entries } of op.machines) for (const e of entries) attempts.add(e.attempt);
     for (const row of op.progress) jobs.add(row.job);
   }
   // An attempt that could not be entered was never sent: its task waits again.
-  for (const p of [...batch.entered]) {
+  for (const p of [...batch.enteredPlacements]) {
     if (!attempts.has(p.entry.attempt) || p.phase !== 'entering') continue;
-    if (p.job) p.job.retryAt = later(now, REFUSED_PAUSE_MS);
-    release(state, p, now);
+    if (p.job) p.job.retryAt = addMillis(now, REFUSED_PAUSE_MS);
+    releasePlacement(state, p, now);
     p.machine.placements.delete(p.entry.attempt);
   }
   for (const op of refused) {
-    if (op.kind !== 'extension') continue;
+    if (op.kind !== 'write-extension-records') continue;
     batch.extensionWrites = batch.extensionWrites.filter(({ writes }) => writes !== op.writes);
-    state.extensions?.stored(op, 'refused');
+    state.extensions?.handleStoreResult(op, 'refused');
   }
-  batch.chunks = batch.chunks.filter(({ job }) => !jobs.has(job.spec.id));
-  batch.finals = batch.finals.filter((job) => !jobs.has(job.spec.id));
+  batch.progress = batch.progress.filter(({ job }) => !jobs.has(job.spec.id));
+  batch.completedJobs = batch.completedJobs.filter((job) => !jobs.has(job.spec.id));
 };
 
-export const onSaved = (
+export const handleBatchStored = (
   state: CoreState,
   id: number,
-  refused: readonly SaveOp[],
+  refused: readonly StoreOperation[],
   revision: Revision | undefined,
   now: Instant,
   effects: Effect[],
 ): void => {
   if (revision !== undefined && revision > state.storedRevision) state.storedRevision = revision;
-  const batch = state.batch;
+  const batch = state.pendingBatch;
   if (!batch || batch.id !== id) return;
-  state.batch = null;
-  if (refused.length > 0) onRefused(state, batch, refused, now);
-  for (const p of batch.entered) if (p.phase === 'entering') p.phase = 'offered';
-  for (const { job, chunk, version } of batch.chunks) {
+  state.pendingBatch = null;
+  if (refused.length > 0) handleRefusedOperations(state, batch, refused, now);
+  for (const p of batch.enteredPlacements) if (p.phase === 'entering') p.phase = 'offered';
+  for (const { job, chunk, version } of batch.progress) {
     const c = job.chunks.get(chunk);
-    if (c) c.saved = Math.max(c.saved, version);
+    if (c) c.storedVersion = Math.max(c.storedVersion, version);
   }
-  for (const writes of batch.extensionWrites) state.extensions?.stored(writes, 'stored');
-  for (const job of batch.finals) finishSaved(state, job, now, effects);
+  for (const writes of batch.extensionWrites) state.extensions?.handleStoreResult(writes, 'stored');
+  for (const job of batch.completedJobs) completeStoredJob(state, job, now, effects);
 };
 
 /** What a row says of one part of a job; `at` is the part's first byte in the row, which may be before its start. */
@@ -342,9 +355,9 @@
   number: number,
   row: Uint8Array,
   at: number,
-  segment: Segment,
+  segment: LedgerSegment,
 ) => {
-  const chunk = chunkOf(job, (number * job.partTasks) as TaskIndex);
+  const chunk = getOrCreateChunk(job, (number * job.tasksPerChunk) as TaskIndex);
   // Several records may speak of one part of a job; mostly the newest says all that the others do.
   const known = chunk.segment !== null;
   let news = !known;
@@ -357,53 +370,57 @@
     chunk.bits[i] = bits;
   }
   if (!news) return;
-  leaveChunkSegment(state, chunk);
+  detachChunk(state, chunk);
   chunk.segment = segment;
   segment.chunks.set(chunk, { job, number });
-  segment.size += 1;
+  segment.initialSize += 1;
   if (whole) return;
   // Records of smaller parts, each of which says only its own: told anew as one, before any of them is dropped.
   chunk.version += 1;
-  state.dirtyChunks.set(`${job.spec.id}/${number}`, { job, chunk: number });
-  state.dirtySince = 0 as Instant;
+  state.unsavedProgress.set(`${job.spec.id}/${number}`, { job, chunk: number });
+  state.unsavedProgressSince = 0 as Instant;
 };
 
 /** A new leader reads what is done of a job. */
-export const onProgress = (
+export const recoverProgress = (
   state: CoreState,
-  command: Extract<Command, { kind: 'progress' }>,
+  command: Extract<Command, { kind: 'recovered-progress' }>,
 ): void => {
   const job = state.jobs.get(command.job);
-  const segment = openSegment(state, command.segment);
-  const { from, bits: row } = command;
+  const segment = getOrCreateSegment(state, command.segment);
+  const { firstTask: from, bits: row } = command;
   // A service is never done, in no part.
   if (!job || isService(job)) return;
   if (!Number.isInteger(from) || from < 0 || from % 8 !== 0 || from >= job.spec.tasks) return;
   const end = Math.min(from + Math.max(1, row.length) * 8, job.spec.tasks);
-  for (let number = Math.floor(from / job.partTasks); number * job.partTasks < end; number += 1) {
-    readPart(state, job, number, row, (number * job.partTasks - from) / 8, segment);
+  for (
+    let number = Math.floor(from / job.tasksPerChunk);
+    number * job.tasksPerChunk < end;
+    number += 1
+  ) {
+    readPart(state, job, number, row, (number * job.tasksPerChunk - from) / 8, segment);
   }
   let done = 0;
   for (const { bits } of job.chunks.values()) {
     for (let byte of bits) for (; byte > 0; byte &= byte - 1) done += 1;
   }
   job.doneCount = done;
-  recountPending(job);
+  recountPendingTasks(job);
 };
 
 /** A new leader reads which attempts may be on a machine. */
-export const onLedger = (
+export const recoverLedgerRow = (
   state: CoreState,
-  command: Extract<Command, { kind: 'ledger' }>,
+  command: Extract<Command, { kind: 'recovered-attempts' }>,
   now: Instant,
 ): void => {
-  const segment = openSegment(state, command.segment);
-  const m = ensureMachine(state, command.machine, null, now, command.at);
+  const segment = getOrCreateSegment(state, command.segment);
+  const m = getOrCreateMachine(state, command.machine, null, now, command.attributes);
   for (const entry of command.entries) {
-    segment.size += 1;
+    segment.initialSize += 1;
     const job = state.jobs.get(entry.job);
     // A task already recorded as done needs no second look: its result is safe.
-    if (job && isDone(job, entry.index)) continue;
-    if (!m.placements.has(entry.attempt)) adopt(state, m, entry, now, segment);
+    if (job && isTaskDone(job, entry.index)) continue;
+    if (!m.placements.has(entry.attempt)) recoverPlacement(state, m, entry, now, segment);
   }
 };
--- a/src/core/ledger/segments.ts
+++ b/src/core/ledger/segments.ts
@@ -1,48 +1,49 @@
 /** Records of the placement ledger: what stays in each, and when it may go. */
-import type { Chunk, CoreConfig, CoreState, Placement, Segment } from '../state.js';
-import type { SegmentKey, Term } from '../types.js';
+import type { CoreConfig, CoreState } from '../core-state.js';
+import type { LedgerSegment, Placement, ProgressChunk } from '../model/entities.js';
+import type { FencingToken, SegmentKey } from '../model/ids.js';
 
 const RECORD_BYTES = 14_000;
 
 /** What a ledger record may hold, by the settings' bound for a value. */
-export const recordBytes = ({ valueBytes }: CoreConfig): number =>
+export const maxSegmentBytes = ({ maxValueBytes: valueBytes }: CoreConfig): number =>
   Math.min(valueBytes * 0.96, RECORD_BYTES);
 
 /** Where ledger records stand in the state service; the term in the name keeps every name new. */
-export const SEGMENTS = 'l/';
-export const segmentKey = (term: Term, n: number): SegmentKey =>
-  `${SEGMENTS}${term}/${n}` as SegmentKey;
+export const SEGMENT_PREFIX = 'l/';
+export const segmentKey = (term: FencingToken, n: number): SegmentKey =>
+  `${SEGMENT_PREFIX}${term}/${n}` as SegmentKey;
 
-export const openSegment = (state: CoreState, key: SegmentKey): Segment => {
+export const getOrCreateSegment = (state: CoreState, key: SegmentKey): LedgerSegment => {
   let segment = state.segments.get(key);
   if (!segment) {
-    segment = { key, placements: new Set(), chunks: new Map(), size: 0 };
+    segment = { key, placements: new Set(), chunks: new Map(), initialSize: 0 };
     state.segments.set(key, segment);
   }
   return segment;
 };
 
 /** Drops the record once nothing in it matters. */
-export const settleSegment = (state: CoreState, segment: Segment): void => {
+export const dropSegmentIfObsolete = (state: CoreState, segment: LedgerSegment): void => {
   // While the ledger is read, a record that seems spent may have rows yet to come.
   if (
-    !state.loaded ||
+    !state.isRecovered ||
     segment.placements.size + segment.chunks.size > 0 ||
     !state.segments.delete(segment.key)
   )
     return;
-  state.deadSegments.add(segment.key);
+  state.obsoleteSegments.add(segment.key);
 };
 
 /** From now on another record speaks for the attempt, or none needs to. */
-export const leaveSegment = (state: CoreState, p: Placement): void => {
+export const detachPlacement = (state: CoreState, p: Placement): void => {
   const { segment } = p;
   p.segment = null;
-  if (segment?.placements.delete(p)) settleSegment(state, segment);
+  if (segment?.placements.delete(p)) dropSegmentIfObsolete(state, segment);
 };
 
-export const leaveChunkSegment = (state: CoreState, chunk: Chunk): void => {
+export const detachChunk = (state: CoreState, chunk: ProgressChunk): void => {
   const { segment } = chunk;
   chunk.segment = null;
-  if (segment?.chunks.delete(chunk)) settleSegment(state, segment);
+  if (segment?.chunks.delete(chunk)) dropSegmentIfObsolete(state, segment);
 };
--- a/src/core/lifecycle/attempts.ts
+++ b/src/core/lifecycle/attempts.ts
@@ -1,9 +1,10 @@
 /** Attempts: their numbers, and what they take of machines and teams. */
 
-import { leaveSegment } from '../ledger/segments.js';
-import type { CoreState, Phase, Placement } from '../state.js';
-import type { Instant } from '../types.js';
-import { isDone } from './job-tasks.js';
+import type { CoreState } from '../core-state.js';
+import { detachPlacement } from '../ledger/segments.js';
+import type { AttemptPhase, Placement } from '../model/entities.js';
+import type { Instant } from '../model/time.js';
+import { isTaskDone } from './job-tasks.js';
 
 /**
  * Attempt numbers that belong to one revision of the state service, so that none is ever given twice: a leader begins at
@@ -13,31 +14,35 @@
 export const ATTEMPTS_PER_REVISION = 1_000_000;
 
 /** Whether a number is left for another attempt. */
-export const hasAttemptLeft = ({ config, nextAttempt, storedRevision }: CoreState): boolean =>
-  nextAttempt < (storedRevision - config.term + 1) * ATTEMPTS_PER_REVISION;
+export const hasAttemptLeft = ({
+  config,
+  nextAttemptOffset: nextAttempt,
+  storedRevision,
+}: CoreState): boolean =>
+  nextAttempt < (storedRevision - config.fencingToken + 1) * ATTEMPTS_PER_REVISION;
 
-export const occupies = (phase: Phase): boolean => phase !== 'ended';
+export const occupiesMachine = (phase: AttemptPhase): boolean => phase !== 'ended';
 
 /** Counts an attempt on its machine, against its team and in its job. */
 export const addPlacement = (state: CoreState, p: Placement): void => {
   const { entry, machine, job } = p;
   machine.placements.set(entry.attempt, p);
-  machine.occupied += 1;
+  machine.attemptCount += 1;
   machine.usedCpus += entry.cpus;
   machine.usedGpus += entry.gpus;
   machine.usedMemoryGb += entry.memoryGb;
-  const usage = state.usage.get(entry.team) ?? { cpus: 0, gpus: 0 };
+  const usage = state.teamUsage.get(entry.team) ?? { cpus: 0, gpus: 0 };
   usage.cpus += entry.cpus;
   usage.gpus += entry.gpus;
-  state.usage.set(entry.team, usage);
+  state.teamUsage.set(entry.team, usage);
   if (job) {
-    const others = job.held.get(entry.index);
+    const others = job.attemptsByTask.get(entry.index);
     if (others) others.push(p);
     else {
-      job.held.set(entry.index, [p]);
-      if (!isDone(job, entry.index)) job.pending -= 1;
+      job.attemptsByTask.set(entry.index, [p]);
+      if (!isTaskDone(job, entry.index)) job.pendingTasks -= 1;
     }
-    job.heldByZone.set(machine.zone, (job.heldByZone.get(machine.zone) ?? 0) + 1);
+    job.attemptsByZone.set(machine.zone, (job.attemptsByZone.get(machine.zone) ?? 0) + 1);
   }
 };
 
@@ -45,48 +50,48 @@
  * The attempt is certainly not on its machine any more: gives back what it held. `reported`: it has ended by itself or
  * by a command, as its machine says.
  */
-export const release = (
+export const releasePlacement = (
   state: CoreState,
   p: Placement,
   now: Instant,
   how: 'reported' | 'gone' = 'gone',
 ): void => {
   const { entry, machine, job } = p;
-  if (!occupies(p.phase)) return;
+  if (!occupiesMachine(p.phase)) return;
   state.extensions?.observe({ kind: 'released', attempt: p, how });
   p.phase = 'ended';
-  state.toEnter.delete(p);
-  leaveSegment(state, p);
+  state.awaitingLedgerEntry.delete(p);
+  detachPlacement(state, p);
   machine.usedCpus -= entry.cpus;
   machine.usedGpus -= entry.gpus;
   machine.usedMemoryGb -= entry.memoryGb;
-  const usage = state.usage.get(entry.team);
+  const usage = state.teamUsage.get(entry.team);
   if (usage) {
     usage.cpus -= entry.cpus;
     usage.gpus -= entry.gpus;
   }
-  if (job && p.superseded) job.superseded -= 1;
+  if (job && p.isSuperseded) job.supersededAttempts -= 1;
   if (job) {
-    const left = (job.held.get(entry.index) ?? []).filter((other) => other !== p);
-    if (left.length > 0) job.held.set(entry.index, left);
+    const left = (job.attemptsByTask.get(entry.index) ?? []).filter((other) => other !== p);
+    if (left.length > 0) job.attemptsByTask.set(entry.index, left);
     else {
-      job.held.delete(entry.index);
-      if (job.held.size === 0) job.idleSince = now;
-      if (!isDone(job, entry.index)) {
-        job.pending += 1;
-        job.returned.push(entry.index);
+      job.attemptsByTask.delete(entry.index);
+      if (job.attemptsByTask.size === 0) job.idleSince = now;
+      if (!isTaskDone(job, entry.index)) {
+        job.pendingTasks += 1;
+        job.requeuedTasks.push(entry.index);
       }
     }
-    const inZone = (job.heldByZone.get(machine.zone) ?? 1) - 1;
-    if (inZone > 0) job.heldByZone.set(machine.zone, inZone);
-    else job.heldByZone.delete(machine.zone);
+    const inZone = (job.attemptsByZone.get(machine.zone) ?? 1) - 1;
+    if (inZone > 0) job.attemptsByZone.set(machine.zone, inZone);
+    else job.attemptsByZone.delete(machine.zone);
   }
-  machine.occupied -= 1;
-  if (machine.occupied <= 0) {
+  machine.attemptCount -= 1;
+  if (machine.attemptCount <= 0) {
     machine.idleSince = now;
     machine.usedCpus = 0;
     machine.usedGpus = 0;
     machine.usedMemoryGb = 0;
   }
-  state.placementDue = true;
+  state.isRoundDue = true;
 };
--- a/src/core/lifecycle/heartbeat-reconciliation.ts
+++ b/src/core/lifecycle/heartbeat-reconciliation.ts
@@ -1,48 +1,44 @@
 /** What workers report, and what it proves. */
 
-import { isQuiet, newMachine, UNHEARD_STOPS } from '../fleet/machine-health.js';
-import { logEvent } from '../log-event.js';
-import type { CoreState, Machine, Placement, Segment } from '../state.js';
+import type { CoreState } from '../core-state.js';
 import {
-  type Effect,
-  type Instant,
-  isService,
-  type LedgerEntry,
-  type LedgerMachine,
-  later,
-  type MachineId,
-  type Millis,
-  type Report,
-  type ReportedTask,
-  seconds,
-  type Ticket,
-  type TypeName,
-  type ZoneName,
-} from '../types.js';
-import { addPlacement, occupies, release } from './attempts.js';
-import { isDone } from './job-tasks.js';
-import { markDone, noteFailure, noteReplicaEnd } from './jobs.js';
+  createMachine,
+  hasMissedHeartbeats,
+  UNACKNOWLEDGED_LIMIT,
+} from '../fleet/machine-health.js';
+import { logEvent } from '../log-event.js';
+import type { Effect } from '../model/effect.js';
+import type { LedgerSegment, Machine, Placement } from '../model/entities.js';
+import type { Heartbeat, TaskStatus } from '../model/heartbeat.js';
+import type { MachineId, MachineTypeName, ReplyTicket, ZoneName } from '../model/ids.js';
+import { isService } from '../model/job.js';
+import type { LedgerEntry } from '../model/ledger-record.js';
+import type { MachineAttributes } from '../model/machine.js';
+import { addMillis, type Instant, type Millis, seconds } from '../model/time.js';
+import { addPlacement, occupiesMachine, releasePlacement } from './attempts.js';
+import { isTaskDone } from './job-tasks.js';
+import { markTaskDone, recordReplicaExit, recordTaskFailure } from './jobs.js';
 
 /** Unheard answers after which a machine is replaced, unless more than this share of the fleet seems deaf. */
 const UNHEARD_REPLACES = 4;
 const DEAF_SHARE = 0.2;
 
-export const ensureMachine = (
+export const getOrCreateMachine = (
   state: CoreState,
   id: MachineId,
-  report: Report | null,
+  report: Heartbeat | null,
   now: Instant,
-  recorded?: LedgerMachine,
+  recorded?: MachineAttributes,
 ): Machine => {
   let m = state.machines.get(id);
   if (!m) {
     const at = {
       endpoint: report?.endpoint ?? '',
-      type: report?.type ?? recorded?.type ?? ('' as TypeName),
+      type: report?.type ?? recorded?.type ?? ('' as MachineTypeName),
       zone: report?.zone ?? recorded?.zone ?? ('' as ZoneName),
       spot: report?.spot ?? recorded?.spot ?? true,
     };
-    m = newMachine(id, at, now, now);
+    m = createMachine(id, at, now, now);
     state.machines.set(id, m);
   }
   if (report) {
@@ -51,11 +47,11 @@
     m.spot = report.spot;
     if (m.zone !== report.zone) {
       for (const p of m.placements.values()) {
-        if (!p.job || !occupies(p.phase)) continue;
-        const left = (p.job.heldByZone.get(m.zone) ?? 1) - 1;
-        if (left > 0) p.job.heldByZone.set(m.zone, left);
-        else p.job.heldByZone.delete(m.zone);
-        p.job.heldByZone.set(report.zone, (p.job.heldByZone.get(report.zone) ?? 0) + 1);
+        if (!p.job || !occupiesMachine(p.phase)) continue;
+        const left = (p.job.attemptsByZone.get(m.zone) ?? 1) - 1;
+        if (left > 0) p.job.attemptsByZone.set(m.zone, left);
+        else p.job.attemptsByZone.delete(m.zone);
+        p.job.attemptsByZone.set(report.zone, (p.job.attemptsByZone.get(report.zone) ?? 0) + 1);
       }
       m.zone = report.zone;
     }
@@ -64,12 +60,12 @@
 };
 
 /** An attempt this leader did not place: from a former leader's ledger, or found on a machine. */
-export const adopt = (
+export const recoverPlacement = (
   state: CoreState,
   m: Machine,
   entry: LedgerEntry,
   now: Instant,
-  segment: Segment | null,
+  segment: LedgerSegment | null,
 ): Placement => {
   // A task that its job does not have is only counted and killed, like one of an unknown job.
   const named = state.jobs.get(entry.job);
@@ -81,10 +77,10 @@
     placedAt: now,
     phase: 'recorded',
     startedAt: null,
-    sentIn: null,
-    kill: job ? null : { graceS: 0, sentAt: null },
-    superseded: false,
-    needs: null,
+    dispatchedEpoch: null,
+    stopRequest: job ? null : { graceS: 0, sentAt: null },
+    isSuperseded: false,
+    requiredProgress: null,
     segment,
   };
   segment?.placements.add(p);
@@ -92,10 +88,10 @@
   return p;
 };
 
-const adoptReported = (
+const recoverReportedPlacement = (
   state: CoreState,
   m: Machine,
-  task: ReportedTask,
+  task: TaskStatus,
   now: Instant,
 ): Placement => {
   const spec = state.jobs.get(task.job)?.spec;
@@ -108,18 +104,18 @@
     gpus: spec?.gpus ?? 0,
     memoryGb: spec?.memoryGb ?? 0,
   };
-  const p = adopt(state, m, entry, now, null);
-  const rivals = (p.job?.held.get(entry.index) ?? []).length > 1;
-  const doneElsewhere = task.phase !== 'ended' && p.job !== null && isDone(p.job, entry.index);
-  if (rivals || doneElsewhere) p.kill = { graceS: 0, sentAt: null };
-  state.toEnter.add(p);
+  const p = recoverPlacement(state, m, entry, now, null);
+  const rivals = (p.job?.attemptsByTask.get(entry.index) ?? []).length > 1;
+  const doneElsewhere = task.phase !== 'ended' && p.job !== null && isTaskDone(p.job, entry.index);
+  if (rivals || doneElsewhere) p.stopRequest = { graceS: 0, sentAt: null };
+  state.awaitingLedgerEntry.add(p);
   return p;
 };
 
-const onTask = (
+const reconcileTask = (
   state: CoreState,
   p: Placement,
-  task: ReportedTask,
+  task: TaskStatus,
   now: Instant,
   effects: Effect[],
 ): void => {
@@ -141,12 +137,14 @@
     return;
   }
   if (job && isService(job)) {
-    if (!p.kill && (task.cause === 'done' || task.cause === 'error'))
-      noteReplicaEnd(state, job, p, task.cause === 'error', now, effects);
-  } else if (task.cause === 'done' && job && job.final === 'none') markDone(state, job, p, now);
-  else if (task.cause === 'error' && job && !p.kill) noteFailure(state, job, machine, now, effects);
-  if (task.cause === 'no_room') machine.fullUntil = later(now, 1500 as Millis);
-  else if (task.cause === 'unknown' && job) job.retryAt = later(now, seconds(2));
+    if (!p.stopRequest && (task.cause === 'done' || task.cause === 'error'))
+      recordReplicaExit(state, job, p, task.cause === 'error', now, effects);
+  } else if (task.cause === 'done' && job && job.terminalState === 'none')
+    markTaskDone(state, job, p, now);
+  else if (task.cause === 'error' && job && !p.stopRequest)
+    recordTaskFailure(state, job, machine, now, effects);
+  if (task.cause === 'no_room') machine.saturatedUntil = addMillis(now, 1500 as Millis);
+  else if (task.cause === 'unknown' && job) job.retryAt = addMillis(now, seconds(2));
   if (task.cause === 'done') machine.failedJobs.clear();
   if (task.cause !== 'done' && job) {
     logEvent(effects, 'debug', 'attempt ended', {
@@ -154,10 +152,10 @@
       task: p.entry.index,
       machine: machine.id,
       cause: task.cause,
-      saved: task.saved,
+      saved: task.checkpointSaved,
     });
   }
-  release(state, p, now, 'reported');
+  releasePlacement(state, p, now, 'reported');
 };
 
 /**
@@ -167,111 +165,121 @@
 const trackReachability = (
   state: CoreState,
   m: Machine,
-  report: Report,
+  report: Heartbeat,
   now: Instant,
   effects: Effect[],
 ): void => {
-  const { offered } = m;
-  m.offered = null;
-  const before = m.unheard;
-  if (report.session > m.session && m.answeredSession === m.session && m.session > 0)
-    m.unheard += 1;
-  else if (offered && report.session === m.session && report.seq > offered.seq) {
+  const { dispatchedStarts: offered } = m;
+  m.dispatchedStarts = null;
+  const before = m.unacknowledgedReplies;
+  if (report.agentEpoch > m.agentEpoch && m.acknowledgedEpoch === m.agentEpoch && m.agentEpoch > 0)
+    m.unacknowledgedReplies += 1;
+  else if (offered && report.agentEpoch === m.agentEpoch && report.sequence > offered.seq) {
     const shown = new Set<number>(report.tasks.map((t) => t.attempt));
-    m.unheard = offered.attempts.some((attempt) => shown.has(attempt)) ? 0 : m.unheard + 1;
+    m.unacknowledgedReplies = offered.attempts.some((attempt) => shown.has(attempt))
+      ? 0
+      : m.unacknowledgedReplies + 1;
   }
-  if (m.unheard > before && m.unheard >= UNHEARD_STOPS)
-    m.shunUntil = later(now, state.config.leaseMs);
-  else if (m.unheard === 0) m.shunUntil = 0 as Instant;
-  const { unprovenSince } = m;
-  const unproven = unprovenSince !== null && now - unprovenSince > 1.5 * state.config.leaseMs;
-  if (m.deaf || (m.unheard < UNHEARD_REPLACES && !unproven)) return;
+  if (m.unacknowledgedReplies > before && m.unacknowledgedReplies >= UNACKNOWLEDGED_LIMIT)
+    m.quarantinedUntil = addMillis(now, state.config.workerLeaseMs);
+  else if (m.unacknowledgedReplies === 0) m.quarantinedUntil = 0 as Instant;
+  const { unverifiedSince: unprovenSince } = m;
+  const unproven = unprovenSince !== null && now - unprovenSince > 1.5 * state.config.workerLeaseMs;
+  if (m.isUnreachable || (m.unacknowledgedReplies < UNHEARD_REPLACES && !unproven)) return;
   let deaf = 0;
   for (const other of state.machines.values())
-    if (other.deaf || other.unheard >= UNHEARD_STOPS) deaf += 1;
+    if (other.isUnreachable || other.unacknowledgedReplies >= UNACKNOWLEDGED_LIMIT) deaf += 1;
   // When many seem deaf the fault is more likely our own slowness: replacing them would help nobody.
   if (deaf > Math.max(2, state.machines.size * DEAF_SHARE)) {
-    m.unheard = Math.min(m.unheard, UNHEARD_STOPS);
+    m.unacknowledgedReplies = Math.min(m.unacknowledgedReplies, UNACKNOWLEDGED_LIMIT);
     return;
   }
-  m.deaf = true;
+  m.isUnreachable = true;
   logEvent(effects, 'info', 'machine does not hear our answers, replacing it', { machine: m.id });
 };
 
-export const onReport = (
+export const reconcileHeartbeat = (
   state: CoreState,
-  report: Report,
-  ticket: Ticket | null,
+  report: Heartbeat,
+  ticket: ReplyTicket | null,
   now: Instant,
   effects: Effect[],
 ): void => {
   const refuse = () => {
-    if (ticket !== null) effects.push({ kind: 'answer', ticket, orders: null });
+    if (ticket !== null) effects.push({ kind: 'reply-to-heartbeat', ticket, commands: null });
   };
-  if (state.gone.has(report.machine)) return refuse();
+  if (state.deletedMachines.has(report.machine)) return refuse();
   const known = state.machines.get(report.machine);
   if (
     known &&
-    (report.session < known.session ||
-      (report.session === known.session && report.seq <= known.seq))
+    (report.agentEpoch < known.agentEpoch ||
+      (report.agentEpoch === known.agentEpoch && report.sequence <= known.heartbeatSequence))
   ) {
     return refuse();
   }
-  const m = ensureMachine(state, report.machine, report, now);
+  const m = getOrCreateMachine(state, report.machine, report, now);
   if (ticket !== null) trackReachability(state, m, report, now, effects);
-  if (m.ticket) effects.push({ kind: 'answer', ticket: m.ticket.ticket, orders: null });
-  m.ticket = ticket === null ? null : { ticket, since: now };
-  if (m.ticket) state.waiting.add(m);
-  else state.waiting.delete(m);
-  const first = !m.everSeen;
+  if (m.pendingReply)
+    effects.push({ kind: 'reply-to-heartbeat', ticket: m.pendingReply.ticket, commands: null });
+  m.pendingReply = ticket === null ? null : { ticket, since: now };
+  if (m.pendingReply) state.machinesAwaitingReply.add(m);
+  else state.machinesAwaitingReply.delete(m);
+  const first = !m.hasReported;
   if (first)
     logEvent(effects, 'debug', 'machine is up', { machine: m.id, type: m.type, zone: m.zone });
-  m.session = report.session;
-  m.seq = report.seq;
-  m.everSeen = true;
+  m.agentEpoch = report.agentEpoch;
+  m.heartbeatSequence = report.sequence;
+  m.hasReported = true;
   if (ticket !== null) {
-    if (isQuiet(state, m, now)) state.placementDue = true;
-    m.lastSeen = now;
+    if (hasMissedHeartbeats(state, m, now)) state.isRoundDue = true;
+    m.lastHeartbeatAt = now;
   }
-  if (m.lostAt !== null && !m.deleting && !(m.draining && m.placements.size === 0)) {
+  if (m.lostAt !== null && !m.isDeleting && !(m.isDraining && m.placements.size === 0)) {
     m.lostAt = null;
-    m.lostWhy = '';
+    m.lostReason = '';
   }
   // Replicas on it are to move.
-  if (report.noticeS !== null && m.noticeUntil === null) state.placementDue = true;
-  m.noticeUntil = report.noticeS === null ? null : later(now, seconds(report.noticeS));
+  if (report.reclaimNoticeS !== null && m.reclaimAt === null) state.isRoundDue = true;
+  m.reclaimAt =
+    report.reclaimNoticeS === null ? null : addMillis(now, seconds(report.reclaimNoticeS));
   // Only a report that carries our term, on a session we answered, proves what is not on the machine:
   // a report sent before could be older than a start that a former leader's answer still brought.
   // Nor does a reply to direct orders, which may cross the answer to a check-in that is still under way.
   const proof =
-    ticket !== null && report.term === state.config.term && m.answeredSession === report.session;
-  if (proof && !m.ready) {
-    m.ready = true;
-    state.placementDue = true;
+    ticket !== null &&
+    report.fencingToken === state.config.fencingToken &&
+    m.acknowledgedEpoch === report.agentEpoch;
+  if (proof && !m.isReady) {
+    m.isReady = true;
+    state.isRoundDue = true;
   }
-  if (proof) m.unprovenSince = null;
-  else if (ticket !== null && !m.ready) m.unprovenSince ??= now;
-  if (m.answeredSession !== report.session) m.ready = false;
+  if (proof) m.unverifiedSince = null;
+  else if (ticket !== null && !m.isReady) m.unverifiedSince ??= now;
+  if (m.acknowledgedEpoch !== report.agentEpoch) m.isReady = false;
   // The first word of a machine rented under this term: nothing can be on its way to it, so the answer may start
   // tasks at once. What it takes for an absence to be proof stays the same.
-  if (first && m.ownRental && report.session === 1 && report.tasks.length === 0) {
-    m.ready = true;
-    state.placementDue = true;
+  if (first && m.isProvisionedThisTerm && report.agentEpoch === 1 && report.tasks.length === 0) {
+    m.isReady = true;
+    state.isRoundDue = true;
   }
   const seen = new Set<number>();
   for (const task of report.tasks) {
     seen.add(task.attempt);
-    const p = m.placements.get(task.attempt) ?? adoptReported(state, m, task, now);
-    onTask(state, p, task, now, effects);
+    const p = m.placements.get(task.attempt) ?? recoverReportedPlacement(state, m, task, now);
+    reconcileTask(state, p, task, now, effects);
   }
   if (proof) {
     for (const p of [...m.placements.values()]) {
       if (seen.has(p.entry.attempt) || p.phase === 'entering') continue;
       // On its way, unless it went out in a session that has ended: what that one held is gone, and answers to its
       // reports are dropped. Sent again, it would run under an attempt that may have run before.
-      if (p.phase === 'offered' && !p.kill && (p.sentIn === null || p.sentIn === report.session))
+      if (
+        p.phase === 'offered' &&
+        !p.stopRequest &&
+        (p.dispatchedEpoch === null || p.dispatchedEpoch === report.agentEpoch)
+      )
         continue;
-      release(state, p, now);
+      releasePlacement(state, p, now);
       m.placements.delete(p.entry.attempt);
     }
   }
--- a/src/core/lifecycle/job-view.ts
+++ b/src/core/lifecycle/job-view.ts
@@ -1,17 +1,21 @@
 /** What users and teams are told of a job: its state, and why it waits. */
-import { rankWaiting } from '../scheduling/backfill.js';
-import { tasksWithinLimit } from '../scheduling/capacity.js';
-import type { CoreState, Job } from '../state.js';
-import type { Instant, JobId, Outcome, Shape, TeamName } from '../types.js';
+
+import type { CoreState } from '../core-state.js';
+import type { Job } from '../model/entities.js';
+import type { JobId, TeamName } from '../model/ids.js';
+import type { JobOutcome, JobShape } from '../model/job.js';
+import type { Instant } from '../model/time.js';
+import { rankWaitingJobs } from '../scheduling/backfill.js';
+import { tasksWithinQuota } from '../scheduling/capacity.js';
 import { failsEverywhere } from './job-tasks.js';
 
 export interface CoreJobView {
   readonly id: JobId;
   readonly team: TeamName;
-  readonly shape: Shape;
+  readonly shape: JobShape;
   /** Its tasks, or the replicas it wants. */
   readonly tasks: number;
-  readonly status: 'queued' | 'running' | Outcome;
+  readonly status: 'queued' | 'running' | JobOutcome;
   readonly done: number;
   readonly running: number;
   readonly waiting?: string;
@@ -19,21 +23,22 @@
 
 const runningTasks = (job: Job): number => {
   let running = 0;
-  for (const placements of job.held.values()) {
+  for (const placements of job.attemptsByTask.values()) {
     if (placements.some((p) => p.phase === 'running' || p.phase === 'saving')) running += 1;
   }
   return running;
 };
 
 const whyWaiting = (state: CoreState, job: Job, now: Instant): string => {
-  if (job.pending <= 0) return '';
-  if (!state.loaded || now < state.placeFrom) return 'a new leader waits for the workers to report';
+  if (job.pendingTasks <= 0) return '';
+  if (!state.isRecovered || now < state.schedulingStartsAt)
+    return 'a new leader waits for the workers to report';
   if (now < job.retryAt) return 'pausing after failed tasks';
-  if (tasksWithinLimit(state, job) < 1) return 'team limit';
+  if (tasksWithinQuota(state, job) < 1) return 'team limit';
   let booting = 0;
-  for (const m of state.machines.values()) if (!m.everSeen) booting += 1;
-  const reason = job.blockedBy || 'next round';
-  const head = state.head === job.spec.id ? ' (head of the queue)' : '';
+  for (const m of state.machines.values()) if (!m.hasReported) booting += 1;
+  const reason = job.waitingReason || 'next round';
+  const head = state.queueHead === job.spec.id ? ' (head of the queue)' : '';
   return booting > 0 ? `${reason}${head}; ${booting} machines booting` : `${reason}${head}`;
 };
 
@@ -43,7 +48,7 @@
  */
 export const viewJob = (state: CoreState, id: JobId, now: Instant): CoreJobView | null => {
   const job = state.jobs.get(id);
-  if (job?.final !== 'none') return null;
+  if (job?.terminalState !== 'none') return null;
   const running = runningTasks(job);
   const waiting = whyWaiting(state, job, now);
   return {
@@ -61,10 +66,10 @@
 export const explainJob = (state: CoreState, id: JobId, now: Instant) => {
   const job = state.jobs.get(id);
   if (!job) return null;
-  const ranked = rankWaiting(state, now);
+  const ranked = rankWaitingJobs(state, now);
   const at = ranked.findIndex((r) => r.job === job);
   let booting = 0;
-  for (const m of state.machines.values()) if (!m.everSeen) booting += 1;
+  for (const m of state.machines.values()) if (!m.hasReported) booting += 1;
   return {
     id,
     team: job.spec.team,
@@ -73,15 +78,15 @@
     priority: job.spec.priority,
     done: job.doneCount,
     running: runningTasks(job),
-    waitingTasks: job.pending,
-    heldTasks: job.held.size,
+    waitingTasks: job.pendingTasks,
+    heldTasks: job.attemptsByTask.size,
     waiting: whyWaiting(state, job, now),
     rank: at < 0 ? null : at + 1,
     ofJobs: ranked.length,
     scores: at < 0 ? null : ranked[at]!.scores,
-    head: state.head,
-    headShadowInS: state.shadowAt === null ? null : Math.max(0, (state.shadowAt - now) / 1000),
-    teamLimitLeavesTasks: Math.min(tasksWithinLimit(state, job), job.spec.tasks),
+    head: state.queueHead,
+    headShadowInS: state.shadowTime === null ? null : Math.max(0, (state.shadowTime - now) / 1000),
+    teamLimitLeavesTasks: Math.min(tasksWithinQuota(state, job), job.spec.tasks),
     failsEverywhere: failsEverywhere(job),
     machinesBooting: booting,
   };
--- a/src/core/lifecycle/worker-leases.ts
+++ b/src/core/lifecycle/worker-leases.ts
@@ -1,6 +1,7 @@
 /** How long a worker may hold its tasks after the last answer that a controller can have given it. */
-import type { CoreState, Machine } from '../state.js';
-import type { Instant, Millis } from '../types.js';
+import type { CoreState } from '../core-state.js';
+import type { Machine } from '../model/entities.js';
+import type { Instant, Millis } from '../model/time.js';
 
 /** Clocks drift apart by half of this at most. */
 const DRIFT = 0.001;
@@ -16,25 +17,27 @@
  * out. Whatever was cancelled without this leader's knowledge was cancelled under a later one, so after that. Where the
  * settings leave no room, nothing is kept alive.
  */
-export const keepAliveFor = (cancelMs: Millis, leaseMs: Millis): Millis => {
+export const graceAfterLeaseLoss = (cancelMs: Millis, leaseMs: Millis): Millis => {
   const room = (cancelMs - leaseMs * (1 + DRIFT)) / (1 + DRIFT) - CANCEL_MARGIN_MS;
   return Math.max(0, Math.min(KEEP_ALIVE_MAX_MS, room)) as Millis;
 };
 
-const leaseOverAfter = ({ leaseMs }: CoreState['config']): number =>
+const leaseExpiryMs = ({ workerLeaseMs: leaseMs }: CoreState['config']): number =>
   leaseMs * (1 + 2 * DRIFT) + LEASE_MARGIN_MS;
 
 /** Until when a worker that has not been answered since could still hold its tasks. */
-export const leaseSurelyOver = ({ config }: CoreState, m: Machine): number => {
-  const { acquiredAt, keepAliveMs } = config;
+export const workerLeaseExpiresAt = ({ config }: CoreState, m: Machine): number => {
+  const { acquiredAt, graceAfterLeaseLossMs: keepAliveMs } = config;
   // Until it has taken our term, a former leader may go on answering it for a bounded time.
-  const base = m.ready ? m.lastSeen : Math.max(m.lastSeen, acquiredAt + keepAliveMs);
-  return base + leaseOverAfter(config);
+  const base = m.isReady
+    ? m.lastHeartbeatAt
+    : Math.max(m.lastHeartbeatAt, acquiredAt + keepAliveMs);
+  return base + leaseExpiryMs(config);
 };
 
 /**
  * When a machine that has not reported to this leader can hold nothing from before: the safe time to start placing
  * where a ledger record could not be read.
  */
-export const everyLeaseOver = ({ config }: CoreState): Instant =>
-  (config.acquiredAt + config.keepAliveMs + leaseOverAfter(config)) as Instant;
+export const allWorkerLeasesExpireAt = ({ config }: CoreState): Instant =>
+  (config.acquiredAt + config.graceAfterLeaseLossMs + leaseExpiryMs(config)) as Instant;
--- a/src/core/log-event.ts
+++ b/src/core/log-event.ts
@@ -1,5 +1,5 @@
 /** What the core has to say to the log. */
-import type { Effect } from './types.js';
+import type { Effect } from './model/effect.js';
 
 export const logEvent = (
   effects: Effect[],
@@ -7,5 +7,5 @@
   text: string,
   fields: Record<string, unknown>,
 ): void => {
-  effects.push({ kind: 'note', level, text, fields });
+  effects.push({ kind: 'log', level, text, fields });
 };
--- a/src/core/scheduling/backfill.ts
+++ b/src/core/scheduling/backfill.ts
@@ -4,33 +4,41 @@
  * they leave that room alone or end before the shadow time.
  */
 
-import { failsEverywhere, SUSPECT_MACHINES } from '../lifecycle/job-tasks.js';
-import type { CoreState, Job, Placement } from '../state.js';
-import { type Instant, isService, PRIORITY_LEVEL, type TypeName } from '../types.js';
+import type { CoreState } from '../core-state.js';
+import { FAILED_MACHINES_LIMIT, failsEverywhere } from '../lifecycle/job-tasks.js';
+import type { Job, Placement } from '../model/entities.js';
+import type { MachineTypeName } from '../model/ids.js';
+import { isService, PRIORITY_LEVEL } from '../model/job.js';
+import type { Instant } from '../model/time.js';
 import {
+  capacitiesWithRoom,
   type FreeCapacity,
-  fitsNow,
+  fitsFreeCapacity,
   freeCapacities,
-  mayUseMachine,
-  smallestNeedOf,
-  stillUseful,
-  takeShadow,
-  tasksWithinLimit,
-  zoneAllows,
+  isFeasible,
+  reserveShadowCapacity,
+  satisfiesZoneConstraints,
+  smallestRequirementOf,
+  tasksWithinQuota,
 } from './capacity.js';
 import { NO_MACHINE, placeJob, TEAM_LIMIT } from './placement.js';
 import { preemptForHead, preemptForReplicas } from './preemption.js';
 import { reserveForHead } from './reservation.js';
-import { type Ranked, rankJobs } from './scoring.js';
-import { goesFirst, keepMachines, moveAway, replicasToMove } from './services.js';
+import { type RankedJob, rankJobs } from './scoring.js';
+import {
+  hasQueuePrecedence,
+  replicasToEvict,
+  requestEviction,
+  reserveMachinesForServices,
+} from './services.js';
 
 export interface Round {
   readonly placed: Placement[];
-  readonly ranked: Ranked<Job>[];
+  readonly ranked: RankedJob<Job>[];
 }
 
-const fleetGpus = (state: CoreState): Map<TypeName, number> => {
-  const total = new Map<TypeName, number>();
+const fleetGpus = (state: CoreState): Map<MachineTypeName, number> => {
+  const total = new Map<MachineTypeName, number>();
   for (const m of state.machines.values()) {
     const gpus = state.types.get(m.type)?.gpus ?? 0;
     if (gpus > 0) total.set(m.type, (total.get(m.type) ?? 0) + gpus);
@@ -42,18 +50,18 @@
 
 /** A machine that failed a job may be the only one that suits it, and be sound again: the job does not shun it for good. */
 const forgetFailures = (job: Job, now: Instant): void => {
-  if (isService(job) || job.failedOn.size >= SUSPECT_MACHINES) return;
-  if (now - job.failedAt > FAILURES_FORGOTTEN_MS) job.failedOn.clear();
+  if (isService(job) || job.failedMachines.size >= FAILED_MACHINES_LIMIT) return;
+  if (now - job.lastFailureAt > FAILURES_FORGOTTEN_MS) job.failedMachines.clear();
 };
 
 /** Jobs that wait, ranked; those whose tasks fail everywhere are left out until their pause is over. */
-export const rankWaiting = (state: CoreState, now: Instant): Ranked<Job>[] => {
+export const rankWaitingJobs = (state: CoreState, now: Instant): RankedJob<Job>[] => {
   const waiting: Job[] = [];
   for (const job of state.jobs.values()) {
-    if (job.final !== 'none' || job.pending <= 0) continue;
+    if (job.terminalState !== 'none' || job.pendingTasks <= 0) continue;
     forgetFailures(job, now);
     if (now < job.retryAt) {
-      job.blockedBy = 'pausing after failures';
+      job.waitingReason = 'pausing after failures';
       continue;
     }
     waiting.push(job);
@@ -73,17 +81,17 @@
     const job = p.job!;
     const capacity = capacities.find(
       (r) =>
-        fitsNow(job, r) &&
-        mayUseMachine(job, r.machine) &&
-        (r.machine.zone === p.machine.zone || zoneAllows(job, r.machine)),
+        fitsFreeCapacity(job, r) &&
+        isFeasible(job, r.machine) &&
+        (r.machine.zone === p.machine.zone || satisfiesZoneConstraints(job, r.machine)),
     );
     if (!capacity) continue;
     capacity.slots -= 1;
     capacity.cpus -= job.spec.cpus;
     capacity.gpus -= job.spec.gpus;
     capacity.memoryGb -= job.spec.memoryGb;
-    takeShadow(job, capacity);
-    moveAway(p);
+    reserveShadowCapacity(job, capacity);
+    requestEviction(p);
   }
 };
 
@@ -95,9 +103,9 @@
   const placed: Placement[] = [];
   let waits = false;
   for (const job of state.jobs.values())
-    waits ||= goesFirst(job) && job.pending > 0 && job.final === 'none';
+    waits ||= hasQueuePrecedence(job) && job.pendingTasks > 0 && job.terminalState === 'none';
   if (!waits) return { placed, ranked: [] };
-  const ranked = rankWaiting(state, now).filter(({ job }) => goesFirst(job));
+  const ranked = rankWaitingJobs(state, now).filter(({ job }) => hasQueuePrecedence(job));
   const capacities = freeCapacities(state, now);
   for (const { job } of ranked) placed.push(...placeJob(state, job, capacities, now, 0).placed);
   return { placed, ranked };
@@ -110,62 +118,63 @@
 const STARVING_MS = 75_000;
 const placeStarving = (
   state: CoreState,
-  ranked: readonly Ranked<Job>[],
+  ranked: readonly RankedJob<Job>[],
   capacities: readonly FreeCapacity[],
   now: Instant,
 ): Placement[] => {
   const placed: Placement[] = [];
   for (const { job } of ranked) {
-    if (job.held.size > 0 || now - job.idleSince < STARVING_MS) continue;
-    job.starving = true;
+    if (job.attemptsByTask.size > 0 || now - job.idleSince < STARVING_MS) continue;
+    job.isStarving = true;
     placed.push(...placeJob(state, job, capacities, now, 0, 1).placed);
-    job.starving = false;
+    job.isStarving = false;
   }
   return placed;
 };
 
-export const runRound = (state: CoreState, now: Instant): Round => {
-  const ranked = rankWaiting(state, now);
-  const leaving = replicasToMove(state, now);
+export const runSchedulingRound = (state: CoreState, now: Instant): Round => {
+  const ranked = rankWaitingJobs(state, now);
+  const leaving = replicasToEvict(state, now);
   const placed: Placement[] = [];
-  state.shadowAt = null;
+  state.shadowTime = null;
   if (ranked.length === 0 && leaving.length === 0) {
-    state.head = null;
+    state.queueHead = null;
     return { placed, ranked };
   }
-  keepMachines(state, now);
+  reserveMachinesForServices(state, now);
   // A job that fails everywhere grows old and would seize the head: it may wait, but not reserve.
   // Nor may a service: no estimate tells when it could start in full, and it could hold the head for ever.
-  const canHead = (job: Job) => job.failedOn.size < SUSPECT_MACHINES && !isService(job);
-  let head = ranked.find((r) => r.job.spec.id === state.head && canHead(r.job)) ?? null;
+  const canHead = (job: Job) => job.failedMachines.size < FAILED_MACHINES_LIMIT && !isService(job);
+  let head = ranked.find((r) => r.job.spec.id === state.queueHead && canHead(r.job)) ?? null;
   head ??= ranked.find((r) => canHead(r.job)) ?? null;
-  state.head = head?.job.spec.id ?? null;
+  state.queueHead = head?.job.spec.id ?? null;
   const capacities = freeCapacities(state, now);
-  const least = smallestNeedOf(ranked);
+  const least = smallestRequirementOf(ranked);
   // Replicas that are back from a machine that went find the room that was held for them.
-  const first = ranked.filter(({ job }) => goesFirst(job));
+  const first = ranked.filter(({ job }) => hasQueuePrecedence(job));
   for (const { job } of first) {
-    const result = placeJob(state, job, stillUseful(capacities, least), now, 0);
+    const result = placeJob(state, job, capacitiesWithRoom(capacities, least), now, 0);
     for (const p of result.placed) placed.push(p);
-    job.blockedBy = result.blockedBy;
-    const missing = Math.min(job.pending, tasksWithinLimit(state, job));
+    job.waitingReason = result.blockedBy;
+    const missing = Math.min(job.pendingTasks, tasksWithinQuota(state, job));
     if (missing > 0 && !failsEverywhere(job)) preemptForReplicas(job, missing, capacities, now);
   }
   // Where replicas have just been placed no array is to start beside them, whose images would be fetched at the same time.
-  if (placed.length > 0) keepMachines(state, now);
+  if (placed.length > 0) reserveMachinesForServices(state, now);
   reserveForMoves(leaving, capacities);
-  let open = stillUseful(capacities, least);
+  let open = capacitiesWithRoom(capacities, least);
   let shadowAt = 0;
-  const { firstTaskS } = state.config.policy;
+  const { firstTaskAfterS: firstTaskS } = state.config.policy;
   /** The first task of each job but the head that has waited this long and of which nothing has begun. */
   const firstTasks = (waitedS: number) => {
     for (const { job } of ranked) {
-      if (now - job.submittedAt < waitedS * 1000 || job === head?.job || goesFirst(job)) continue;
-      if (job.held.size > 0 || job.doneCount > 0) continue;
+      if (now - job.submittedAt < waitedS * 1000 || job === head?.job || hasQueuePrecedence(job))
+        continue;
+      if (job.attemptsByTask.size > 0 || job.doneCount > 0) continue;
       if (open.length === 0) return;
       const result = placeJob(state, job, open, now, shadowAt, 1);
       for (const p of result.placed) placed.push(p);
-      if (result.placed.length > 0) open = stillUseful(open, least);
+      if (result.placed.length > 0) open = capacitiesWithRoom(open, least);
     }
   };
   // Shortness ranks large arrays last, and deadlines that have passed count for nothing: under lasting overload such a
@@ -175,10 +184,11 @@
   if (head) {
     const result = placeJob(state, head.job, open, now, 0);
     for (const p of result.placed) placed.push(p);
-    head.job.blockedBy = result.blockedBy;
-    const missing = Math.min(head.job.pending, tasksWithinLimit(state, head.job));
+    head.job.waitingReason = result.blockedBy;
+    const missing = Math.min(head.job.pendingTasks, tasksWithinQuota(state, head.job));
     if (missing > 0) {
-      const { makeRoomLevel, makeRoomS } = state.config.policy;
+      const { preemptionMinPriority: makeRoomLevel, preemptionDelayS: makeRoomS } =
+        state.config.policy;
       const waited = now - head.job.submittedAt >= makeRoomS * 1000;
       if (waited && PRIORITY_LEVEL[head.job.spec.priority] >= makeRoomLevel)
         preemptForHead(head.job, missing, capacities, now);
@@ -188,27 +198,28 @@
         capacity.shadowMemoryGb = capacity.memoryGb;
       }
       shadowAt = reserveForHead(head.job, missing, capacities, now);
-      if (shadowAt > 0) state.shadowAt = shadowAt as Instant;
+      if (shadowAt > 0) state.shadowTime = shadowAt as Instant;
     }
   }
   firstTasks(firstTaskS);
   /** Needs that found no machine: in this round rooms only shrink, so that equal needs find none either. */
   const hopeless = new Set<string>();
   for (const { job } of ranked) {
-    if (job === head?.job || goesFirst(job)) continue;
-    const plain = !job.spec.oneZone && !job.spec.scatter && job.failedOn.size === 0;
-    if (open.length === 0 || (plain && hopeless.has(job.needs))) {
-      job.blockedBy = tasksWithinLimit(state, job) < 1 ? TEAM_LIMIT : NO_MACHINE;
+    if (job === head?.job || hasQueuePrecedence(job)) continue;
+    const plain = !job.spec.singleZone && !job.spec.spreadZones && job.failedMachines.size === 0;
+    if (open.length === 0 || (plain && hopeless.has(job.requirementsKey))) {
+      job.waitingReason = tasksWithinQuota(state, job) < 1 ? TEAM_LIMIT : NO_MACHINE;
       continue;
     }
     const result = placeJob(state, job, open, now, shadowAt);
     for (const p of result.placed) placed.push(p);
-    job.blockedBy = result.blockedBy;
-    if (plain && result.blockedBy === NO_MACHINE) hopeless.add(job.needs);
-    if (result.placed.length > 0) open = stillUseful(open, least);
+    job.waitingReason = result.blockedBy;
+    if (plain && result.blockedBy === NO_MACHINE) hopeless.add(job.requirementsKey);
+    if (result.placed.length > 0) open = capacitiesWithRoom(open, least);
   }
-  for (const p of placeStarving(state, ranked, stillUseful(capacities, least), now)) placed.push(p);
+  for (const p of placeStarving(state, ranked, capacitiesWithRoom(capacities, least), now))
+    placed.push(p);
   // The head has started: the next round names a new one by score.
-  if (head && head.job.pending <= 0) state.head = null;
+  if (head && head.job.pendingTasks <= 0) state.queueHead = null;
   return { placed, ranked };
 };
--- a/src/core/scheduling/capacity.ts
+++ b/src/core/scheduling/capacity.ts
@@ -2,11 +2,14 @@
  * What machines have free in one scheduling round, which jobs may use it, and what a team's limit still allows.
  */
 
-import { usable } from '../fleet/machine-health.js';
-import { SUSPECT_MACHINES } from '../lifecycle/job-tasks.js';
-import type { CoreState, Job, Machine, Placement } from '../state.js';
-import { type Instant, isService, type MachineType } from '../types.js';
-import type { Ranked } from './scoring.js';
+import type { CoreState } from '../core-state.js';
+import { isSchedulable } from '../fleet/machine-health.js';
+import { FAILED_MACHINES_LIMIT } from '../lifecycle/job-tasks.js';
+import type { Job, Machine, Placement } from '../model/entities.js';
+import { isService } from '../model/job.js';
+import type { MachineType } from '../model/machine.js';
+import type { Instant } from '../model/time.js';
+import type { RankedJob } from './scoring.js';
 
 /** A machine's free capacity: what is free now, and what the head's reservation leaves free at the shadow time. */
 export interface FreeCapacity {
@@ -26,7 +29,7 @@
 export const EPSILON = 1e-6;
 
 /** Orders machines by power, the most powerful first. */
-export const morePowerful = (a: FreeCapacity, b: FreeCapacity): number =>
+export const compareByPower = (a: FreeCapacity, b: FreeCapacity): number =>
   b.type.gpus - a.type.gpus || b.type.cpus - a.type.cpus || b.type.memoryGb - a.type.memoryGb;
 
 /** Usable machines, the most powerful first. */
@@ -34,65 +37,65 @@
   const capacities: FreeCapacity[] = [];
   for (const machine of state.machines.values()) {
     const type = state.types.get(machine.type);
-    if (!type || !usable(state, machine, now)) continue;
+    if (!type || !isSchedulable(state, machine, now)) continue;
     const cpus = type.cpus - machine.usedCpus;
     const gpus = type.gpus - machine.usedGpus;
     const memoryGb = type.memoryGb - machine.usedMemoryGb;
     const shadow = { shadowCpus: cpus, shadowGpus: gpus, shadowMemoryGb: memoryGb };
-    const slots = state.config.maxPerMachine - machine.placements.size;
+    const slots = state.config.maxAttemptsPerMachine - machine.placements.size;
     capacities.push({ machine, type, slots, cpus, gpus, memoryGb, ...shadow });
   }
-  return capacities.sort((a, b) => morePowerful(a, b) || (a.machine.id < b.machine.id ? -1 : 1));
+  return capacities.sort((a, b) => compareByPower(a, b) || (a.machine.id < b.machine.id ? -1 : 1));
 };
 
 /** Whether the job's own demands and failures let it use the machine, whatever is free on it. */
-export const mayUseMachine = (job: Job, machine: Machine): boolean => {
+export const isFeasible = (job: Job, machine: Machine): boolean => {
   const { spec } = job;
-  if (spec.types && !spec.types.includes(machine.type)) return false;
+  if (spec.machineTypes && !spec.machineTypes.includes(machine.type)) return false;
   if (spec.zone !== null && spec.zone !== machine.zone) return false;
-  if (machine.spot && !spec.spotOk) return false;
+  if (machine.spot && !spec.allowsSpot) return false;
   if (isService(job)) return true;
-  if (machine.kept && spec.spotOk && !job.starving) return false;
-  return !(job.failedOn.size < SUSPECT_MACHINES && job.failedOn.has(machine.id));
+  if (machine.isReservedForServices && spec.allowsSpot && !job.isStarving) return false;
+  return !(job.failedMachines.size < FAILED_MACHINES_LIMIT && job.failedMachines.has(machine.id));
 };
 
 /** The zone rules, given where the job's other tasks may be at this moment. */
-export const zoneAllows = (job: Job, machine: Pick<Machine, 'zone'>): boolean => {
-  const { spec, heldByZone } = job;
+export const satisfiesZoneConstraints = (job: Job, machine: Pick<Machine, 'zone'>): boolean => {
+  const { spec, attemptsByZone: heldByZone } = job;
   if (
-    spec.oneZone &&
+    spec.singleZone &&
     heldByZone.size > 0 &&
     !(heldByZone.size === 1 && heldByZone.has(machine.zone))
   ) {
     return false;
   }
-  if (spec.scatter && (heldByZone.get(machine.zone) ?? 0) >= Math.ceil(spec.tasks / 2))
+  if (spec.spreadZones && (heldByZone.get(machine.zone) ?? 0) >= Math.ceil(spec.tasks / 2))
     return false;
   return true;
 };
 
 /** Whether a task of the job fits beside what is on the machine now. */
-export const fitsNow = (job: Job, capacity: FreeCapacity): boolean =>
-  capacity.slots > 0 && fitsIn(job, capacity);
+export const fitsFreeCapacity = (job: Job, capacity: FreeCapacity): boolean =>
+  capacity.slots > 0 && fitsResources(job, capacity);
 
 /** Whether a task of the job leaves the head's reservation alone. */
-export const fitsShadow = (job: Job, capacity: FreeCapacity): boolean =>
+export const fitsBesideReservation = (job: Job, capacity: FreeCapacity): boolean =>
   capacity.shadowCpus + EPSILON >= job.spec.cpus &&
   capacity.shadowGpus + EPSILON >= job.spec.gpus &&
   capacity.shadowMemoryGb + EPSILON >= job.spec.memoryGb;
 
 /** Counts a task against what is free at the shadow time. */
-export const takeShadow = (job: Job, capacity: FreeCapacity): void => {
+export const reserveShadowCapacity = (job: Job, capacity: FreeCapacity): void => {
   capacity.shadowCpus -= job.spec.cpus;
   capacity.shadowGpus -= job.spec.gpus;
   capacity.shadowMemoryGb -= job.spec.memoryGb;
 };
 
 /** How many more tasks the team's limit allows. */
-export const tasksWithinLimit = (state: CoreState, job: Job): number => {
+export const tasksWithinQuota = (state: CoreState, job: Job): number => {
   const team = state.config.teams.get(job.spec.team);
   if (!team) return 0;
-  const used = state.usage.get(team.name) ?? { cpus: 0, gpus: 0 };
+  const used = state.teamUsage.get(team.name) ?? { cpus: 0, gpus: 0 };
   let tasks = Number.POSITIVE_INFINITY;
   if (job.spec.cpus > 0)
     tasks = Math.min(tasks, (team.cpusMax - used.cpus + EPSILON) / job.spec.cpus);
@@ -102,20 +105,20 @@
 };
 
 /** How long the machine fetches the job's image before a task starts. */
-export const fetchMs = (job: Job, capacity: FreeCapacity): number =>
+export const imageFetchMs = (job: Job, capacity: FreeCapacity): number =>
   capacity.machine.images.has(job.spec.image)
     ? 0
     : (job.spec.imageGb / Math.max(capacity.type.fetchGbPerS, 0.01)) * 1000;
 
 /** The least that any waiting job takes: a machine with less is of no use in this round. */
-export interface SmallestNeed {
+export interface SmallestRequirement {
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
 }
 
 /** The smallest need, resource by resource. */
-export const smallestNeedOf = (ranked: readonly Ranked<Job>[]): SmallestNeed => {
+export const smallestRequirementOf = (ranked: readonly RankedJob<Job>[]): SmallestRequirement => {
   let cpus = Number.POSITIVE_INFINITY;
   let gpus = Number.POSITIVE_INFINITY;
   let memoryGb = Number.POSITIVE_INFINITY;
@@ -128,9 +131,9 @@
 };
 
 /** The machines on which some waiting task may still fit. */
-export const stillUseful = (
+export const capacitiesWithRoom = (
   capacities: readonly FreeCapacity[],
-  least: SmallestNeed,
+  least: SmallestRequirement,
 ): FreeCapacity[] =>
   capacities.filter(
     (c) =>
@@ -163,7 +166,7 @@
 };
 
 /** Whether a task of the job fits into these resources. */
-export const fitsIn = (job: Job, space: Resources): boolean =>
+export const fitsResources = (job: Job, space: Resources): boolean =>
   space.cpus + EPSILON >= job.spec.cpus &&
   space.gpus + EPSILON >= job.spec.gpus &&
   space.memoryGb + EPSILON >= job.spec.memoryGb;
--- a/src/core/scheduling/estimates.ts
+++ b/src/core/scheduling/estimates.ts
@@ -1,6 +1,7 @@
 /** How long attempts should run, and when those that run should end. */
-import type { Job, Placement } from '../state.js';
-import { type Instant, isService } from '../types.js';
+import type { Job, Placement } from '../model/entities.js';
+import { isService } from '../model/job.js';
+import type { Instant } from '../model/time.js';
 
 /** How long a task of the job should run; a replica runs until its service is cancelled. */
 export const runMs = (job: Job): number =>
@@ -10,7 +11,8 @@
 export const estimatedEnd = (p: Placement, now: Instant): number => {
   const estimate = p.job ? runMs(p.job) : 0;
   // A task that is being stopped ends once it has saved.
-  if (p.kill) return now + Math.min(p.kill.graceS, p.job?.spec.saveS ?? 0) * 1000 + 500;
+  if (p.stopRequest)
+    return now + Math.min(p.stopRequest.graceS, p.job?.spec.checkpointWriteS ?? 0) * 1000 + 500;
   const end = (p.startedAt ?? p.placedAt) + estimate;
   return Math.max(end, now + Math.max(1000, estimate / 4));
 };
