--- a/src/core/scheduling/placement.ts
+++ b/src/core/scheduling/placement.ts
@@ -1,20 +1,24 @@
 /** Placing the waiting tasks of one job: on which machines, in which order, and within which bounds. */
 
+import type { CoreState } from '../core-state.js';
 import { ATTEMPTS_PER_REVISION, addPlacement, hasAttemptLeft } from '../lifecycle/attempts.js';
-import { failsEverywhere, takePending } from '../lifecycle/job-tasks.js';
-import type { CoreState, Job, Placement } from '../state.js';
-import { type Attempt, type Instant, isService, type LedgerEntry } from '../types.js';
+import { failsEverywhere, takePendingTask } from '../lifecycle/job-tasks.js';
+import type { Job, Placement } from '../model/entities.js';
+import type { AttemptId } from '../model/ids.js';
+import { isService } from '../model/job.js';
+import type { LedgerEntry } from '../model/ledger-record.js';
+import type { Instant } from '../model/time.js';
 import {
+  compareByPower,
   EPSILON,
   type FreeCapacity,
-  fetchMs,
-  fitsNow,
-  fitsShadow,
-  mayUseMachine,
-  morePowerful,
-  takeShadow,
-  tasksWithinLimit,
-  zoneAllows,
+  fitsBesideReservation,
+  fitsFreeCapacity,
+  imageFetchMs,
+  isFeasible,
+  reserveShadowCapacity,
+  satisfiesZoneConstraints,
+  tasksWithinQuota,
 } from './capacity.js';
 import { runMs } from './estimates.js';
 import { capacitiesForReplicas } from './services.js';
@@ -34,7 +38,7 @@
   now: Instant,
 ): Generator<FreeCapacity> {
   if (isService(job)) {
-    const suits = capacities.filter((r) => fitsNow(job, r) && mayUseMachine(job, r.machine));
+    const suits = capacities.filter((r) => fitsFreeCapacity(job, r) && isFeasible(job, r.machine));
     yield* capacitiesForReplicas(state, job, suits, now);
     return;
   }
@@ -42,9 +46,9 @@
   while (next < capacities.length) {
     const first = capacities[next]!;
     const without: FreeCapacity[] = [];
-    for (; next < capacities.length && morePowerful(first, capacities[next]!) === 0; next += 1) {
+    for (; next < capacities.length && compareByPower(first, capacities[next]!) === 0; next += 1) {
       const capacity = capacities[next]!;
-      if (!fitsNow(job, capacity) || !mayUseMachine(job, capacity.machine)) continue;
+      if (!fitsFreeCapacity(job, capacity) || !isFeasible(job, capacity.machine)) continue;
       if (capacity.machine.images.has(job.spec.image)) yield capacity;
       else without.push(capacity);
     }
@@ -54,10 +58,10 @@
 
 /** A job with one zone starts where most of it fits. */
 const chooseZone = (job: Job, capacities: readonly FreeCapacity[]): string | null => {
-  if (!job.spec.oneZone || job.heldByZone.size > 0) return null;
+  if (!job.spec.singleZone || job.attemptsByZone.size > 0) return null;
   const slots = new Map<string, number>();
   for (const capacity of capacities) {
-    if (!fitsNow(job, capacity) || !mayUseMachine(job, capacity.machine)) continue;
+    if (!fitsFreeCapacity(job, capacity) || !isFeasible(job, capacity.machine)) continue;
     const n = job.spec.cpus > 0 ? Math.floor((capacity.cpus + EPSILON) / job.spec.cpus) : 1;
     slots.set(capacity.machine.zone, (slots.get(capacity.machine.zone) ?? 0) + n);
   }
@@ -72,14 +76,15 @@
   capacity: FreeCapacity,
   now: Instant,
 ): Placement | null => {
-  const index = takePending(job);
+  const index = takePendingTask(job);
   if (index === null) return null;
   if (!hasAttemptLeft(state)) {
-    job.returned.push(index);
+    job.requeuedTasks.push(index);
     return null;
   }
-  const attempt = (state.config.term * ATTEMPTS_PER_REVISION + state.nextAttempt) as Attempt;
-  state.nextAttempt += 1;
+  const attempt = (state.config.fencingToken * ATTEMPTS_PER_REVISION +
+    state.nextAttemptOffset) as AttemptId;
+  state.nextAttemptOffset += 1;
   const { id, team, cpus, gpus, memoryGb } = job.spec;
   const entry: LedgerEntry = { job: id, index, attempt, team, cpus, gpus, memoryGb };
   const placement: Placement = {
@@ -89,14 +94,14 @@
     placedAt: now,
     phase: 'entering',
     startedAt: null,
-    sentIn: null,
-    kill: null,
-    superseded: false,
-    needs: null,
+    dispatchedEpoch: null,
+    stopRequest: null,
+    isSuperseded: false,
+    requiredProgress: null,
     segment: null,
   };
   addPlacement(state, placement);
-  state.toEnter.add(placement);
+  state.awaitingLedgerEntry.add(placement);
   capacity.machine.images.add(job.spec.image);
   capacity.slots -= 1;
   capacity.cpus -= cpus;
@@ -124,21 +129,21 @@
   let reserved = false;
   const allowed = (r: FreeCapacity): boolean => {
     if (zone !== null && r.machine.zone !== zone) return false;
-    if (shadowAt === 0 || fitsShadow(job, r)) return true;
-    if (now + runMs(job) + fetchMs(job, r) <= shadowAt) return true;
+    if (shadowAt === 0 || fitsBesideReservation(job, r)) return true;
+    if (now + runMs(job) + imageFetchMs(job, r) <= shadowAt) return true;
     reserved = true;
     return false;
   };
   const usableNow = (r: FreeCapacity) =>
-    fitsNow(job, r) && zoneAllows(job, r.machine) && allowed(r);
+    fitsFreeCapacity(job, r) && satisfiesZoneConstraints(job, r.machine) && allowed(r);
   const order = candidates(state, job, capacities, now);
   // A service's replicas go to one machine after the other, an array's tasks fill each.
   const spread = isService(job);
   let capacity: FreeCapacity | null = null;
-  while (job.pending > 0 && placed.length < most) {
-    if (suspect && job.held.size > 0)
+  while (job.pendingTasks > 0 && placed.length < most) {
+    if (suspect && job.attemptsByTask.size > 0)
       return { placed, blockedBy: 'its tasks fail on every machine' };
-    if (tasksWithinLimit(state, job) < 1) return { placed, blockedBy: TEAM_LIMIT };
+    if (tasksWithinQuota(state, job) < 1) return { placed, blockedBy: TEAM_LIMIT };
     if (spread) capacity = null;
     while (!capacity || !usableNow(capacity)) {
       const next: IteratorResult<FreeCapacity> = order.next();
@@ -146,10 +151,10 @@
         return { placed, blockedBy: reserved ? 'room reserved for the head' : NO_MACHINE };
       capacity = next.value;
     }
-    const outlasts = shadowAt === 0 || now + runMs(job) + fetchMs(job, capacity) > shadowAt;
+    const outlasts = shadowAt === 0 || now + runMs(job) + imageFetchMs(job, capacity) > shadowAt;
     const placement = place(state, job, capacity, now);
     if (!placement) return { placed, blockedBy: 'no attempt number left' };
-    if (outlasts) takeShadow(job, capacity);
+    if (outlasts) reserveShadowCapacity(job, capacity);
     placed.push(placement);
   }
   return { placed, blockedBy: '' };
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -1,14 +1,15 @@
 /** The two exceptions to running tasks to their end: for an urgent head, and for replicas of critical services. */
 
-import { occupies } from '../lifecycle/attempts.js';
-import type { Job, Placement } from '../state.js';
-import { type Instant, isService, PRIORITY_LEVEL } from '../types.js';
+import { occupiesMachine } from '../lifecycle/attempts.js';
+import type { Job, Placement } from '../model/entities.js';
+import { isService, PRIORITY_LEVEL } from '../model/job.js';
+import type { Instant } from '../model/time.js';
 import {
   type FreeCapacity,
-  fitsIn,
-  mayUseMachine,
+  fitsResources,
+  isFeasible,
   resourcesWithout,
-  zoneAllows,
+  satisfiesZoneConstraints,
 } from './capacity.js';
 
 /** Shorter runs are not cut: a start that is stopped so soon is of no use. */
@@ -16,12 +17,12 @@
 /** Tasks that may be stopped for a head of this level: of lower priority, and no more is lost than the saving takes. */
 const mayStop = (p: Placement, level: number, now: Instant): boolean =>
   p.job !== null &&
-  p.kill === null &&
+  p.stopRequest === null &&
   p.phase === 'running' &&
   p.startedAt !== null &&
   now - p.startedAt >= LEAST_RUN_MS &&
   PRIORITY_LEVEL[p.job.spec.priority] < level &&
-  p.job.spec.checkpointS > 0;
+  p.job.spec.checkpointIntervalS > 0;
 
 /**
  * The one exception to running tasks to their end: small tasks take up every processor that comes free, so that on a
@@ -39,20 +40,23 @@
   let left = missing;
   const open: { capacity: FreeCapacity; victims: Placement[] }[] = [];
   for (const capacity of capacities) {
-    if (!mayUseMachine(job, capacity.machine) || !zoneAllows(job, capacity.machine)) continue;
+    if (!isFeasible(job, capacity.machine) || !satisfiesZoneConstraints(job, capacity.machine))
+      continue;
     const victims: Placement[] = [];
     let stopping = false;
     for (const p of capacity.machine.placements.values()) {
-      if (p.kill && occupies(p.phase)) stopping = true;
+      if (p.stopRequest && occupiesMachine(p.phase)) stopping = true;
       else if (mayStop(p, level, now)) victims.push(p);
     }
     // Room that is already being made counts first.
     if (stopping) {
       const soon = resourcesWithout(
         capacity,
-        [...capacity.machine.placements.values()].filter((p) => p.kill && occupies(p.phase)),
+        [...capacity.machine.placements.values()].filter(
+          (p) => p.stopRequest && occupiesMachine(p.phase),
+        ),
       );
-      while (left > 0 && fitsIn(job, soon)) {
+      while (left > 0 && fitsResources(job, soon)) {
         soon.cpus -= cpus;
         soon.gpus -= gpus;
         soon.memoryGb -= memoryGb;
@@ -70,12 +74,12 @@
       soon.gpus += p.entry.gpus;
       soon.memoryGb += p.entry.memoryGb;
       stopped.push(p);
-      if (!fitsIn(job, soon)) continue;
+      if (!fitsResources(job, soon)) continue;
       // Only once a task of the head fits is anything stopped for it.
       for (const victim of stopped)
-        victim.kill = { graceS: (victim.job?.spec.saveS ?? 0) + 5, sentAt: null };
+        victim.stopRequest = { graceS: (victim.job?.spec.checkpointWriteS ?? 0) + 5, sentAt: null };
       stopped = [];
-      while (left > 0 && fitsIn(job, soon)) {
+      while (left > 0 && fitsResources(job, soon)) {
         soon.cpus -= cpus;
         soon.gpus -= gpus;
         soon.memoryGb -= memoryGb;
@@ -96,17 +100,22 @@
   let left = missing;
   const options: { victims: Placement[]; loss: number }[] = [];
   for (const capacity of capacities) {
-    if (!mayUseMachine(job, capacity.machine) || !zoneAllows(job, capacity.machine)) continue;
-    const all = [...capacity.machine.placements.values()].filter((p) => occupies(p.phase));
+    if (!isFeasible(job, capacity.machine) || !satisfiesZoneConstraints(job, capacity.machine))
+      continue;
+    const all = [...capacity.machine.placements.values()].filter((p) => occupiesMachine(p.phase));
     // Room that is already being made counts first.
-    const stopping = all.filter((p) => p.kill);
-    if (stopping.length > 0 && fitsIn(job, resourcesWithout(capacity, stopping))) {
+    const stopping = all.filter((p) => p.stopRequest);
+    if (stopping.length > 0 && fitsResources(job, resourcesWithout(capacity, stopping))) {
       left -= 1;
       continue;
     }
     const lower = all
       .filter(
-        (p) => p.job && !p.kill && !isService(p.job) && PRIORITY_LEVEL[p.job.spec.priority] < level,
+        (p) =>
+          p.job &&
+          !p.stopRequest &&
+          !isService(p.job) &&
+          PRIORITY_LEVEL[p.job.spec.priority] < level,
       )
       .map((p) => ({ p, loss: lossMs(p, now) }))
       .sort((a, b) => a.loss - b.loss);
@@ -115,7 +124,7 @@
     for (const { p, loss: one } of lower) {
       victims.push(p);
       loss += one;
-      if (!fitsIn(job, resourcesWithout(capacity, victims))) continue;
+      if (!fitsResources(job, resourcesWithout(capacity, victims))) continue;
       options.push({ victims, loss });
       break;
     }
@@ -125,8 +134,8 @@
     if (left <= 0) return;
     left -= 1;
     for (const p of victims) {
-      const saves = (p.job?.spec.checkpointS ?? 0) > 0;
-      p.kill = { graceS: saves ? (p.job?.spec.saveS ?? 0) + 5 : 0, sentAt: null };
+      const saves = (p.job?.spec.checkpointIntervalS ?? 0) > 0;
+      p.stopRequest = { graceS: saves ? (p.job?.spec.checkpointWriteS ?? 0) + 5 : 0, sentAt: null };
     }
   }
 };
@@ -136,6 +145,8 @@
   if (p.startedAt === null) return 0;
   const ran = now - p.startedAt;
   const save =
-    (p.job?.spec.checkpointS ?? 0) > 0 ? (p.job?.spec.saveS ?? 0) * 1000 : Number.POSITIVE_INFINITY;
+    (p.job?.spec.checkpointIntervalS ?? 0) > 0
+      ? (p.job?.spec.checkpointWriteS ?? 0) * 1000
+      : Number.POSITIVE_INFINITY;
   return Math.min(ran, save);
 };
--- a/src/core/scheduling/reservation.ts
+++ b/src/core/scheduling/reservation.ts
@@ -1,14 +1,14 @@
 /** The head's reservation: what it misses is set aside up to the shadow time. */
 
-import { occupies } from '../lifecycle/attempts.js';
-import type { Job, Placement } from '../state.js';
-import type { Instant } from '../types.js';
+import { occupiesMachine } from '../lifecycle/attempts.js';
+import type { Job, Placement } from '../model/entities.js';
+import type { Instant } from '../model/time.js';
 import {
   type FreeCapacity,
-  fitsShadow,
-  mayUseMachine,
-  takeShadow,
-  zoneAllows,
+  fitsBesideReservation,
+  isFeasible,
+  reserveShadowCapacity,
+  satisfiesZoneConstraints,
 } from './capacity.js';
 import { estimatedEnd } from './estimates.js';
 
@@ -20,13 +20,15 @@
   now: Instant,
 ): number => {
   const allowed = new Set(
-    capacities.filter((r) => mayUseMachine(job, r.machine) && zoneAllows(job, r.machine)),
+    capacities.filter(
+      (r) => isFeasible(job, r.machine) && satisfiesZoneConstraints(job, r.machine),
+    ),
   );
   // By the second, so that only those seconds are put in order that matter.
   const seconds = new Map<number, { at: number; capacity: FreeCapacity; p: Placement }[]>();
   for (const capacity of capacities) {
     for (const p of capacity.machine.placements.values()) {
-      if (!occupies(p.phase)) continue;
+      if (!occupiesMachine(p.phase)) continue;
       const at = estimatedEnd(p, now);
       if (at === Number.POSITIVE_INFINITY) continue;
       const second = Math.floor(at / 1000);
@@ -47,8 +49,8 @@
       end.capacity.shadowGpus += end.p.entry.gpus;
       end.capacity.shadowMemoryGb += end.p.entry.memoryGb;
       if (!allowed.has(end.capacity)) continue;
-      while (left > 0 && fitsShadow(job, end.capacity)) {
-        takeShadow(job, end.capacity);
+      while (left > 0 && fitsBesideReservation(job, end.capacity)) {
+        reserveShadowCapacity(job, end.capacity);
         left -= 1;
         shadow = end.at;
       }
--- a/src/core/scheduling/services.ts
+++ b/src/core/scheduling/services.ts
@@ -4,26 +4,29 @@
  * docs/design.md, "Services".
  */
 
-import { occupies } from '../lifecycle/attempts.js';
+import type { CoreState } from '../core-state.js';
+import { occupiesMachine } from '../lifecycle/attempts.js';
 import { failsEverywhere } from '../lifecycle/job-tasks.js';
-import type { CoreState, Job, Machine, Placement } from '../state.js';
-import { type ImageName, type Instant, isService, PRIORITY_LEVEL, seconds } from '../types.js';
+import type { Job, Machine, Placement } from '../model/entities.js';
+import type { ImageName } from '../model/ids.js';
+import { isService, PRIORITY_LEVEL } from '../model/job.js';
+import { type Instant, seconds } from '../model/time.js';
 
 /** Replicas of critical services go ahead of the queue; those of others wait in it. */
-export const goesFirst = (job: Job): boolean =>
+export const hasQueuePrecedence = (job: Job): boolean =>
   isService(job) && PRIORITY_LEVEL[job.spec.priority] === 3;
 
 /** A service that only ordinary machines suit. */
-const ordinaryOnly = (job: Job): boolean =>
-  isService(job) && !job.spec.spotOk && job.final === 'none';
+const needsOnDemand = (job: Job): boolean =>
+  isService(job) && !job.spec.allowsSpot && job.terminalState === 'none';
 
 /** The machine is about to go: replicas on it move. */
-export const isLeaving = (m: Machine): boolean =>
-  (m.noticeUntil !== null || m.draining || m.cordoned) && m.lostAt === null && !m.deleting;
+export const isBeingVacated = (m: Machine): boolean =>
+  (m.reclaimAt !== null || m.isDraining || m.isCordoned) && m.lostAt === null && !m.isDeleting;
 
 /** A replica that keeps its machine from going, or will when it is told to. */
 export const isReplica = (p: Placement): boolean =>
-  p.job !== null && isService(p.job) && p.job.final === 'none' && occupies(p.phase);
+  p.job !== null && isService(p.job) && p.job.terminalState === 'none' && occupiesMachine(p.phase);
 
 const SEEN_FOR_MS = seconds(240);
 
@@ -31,26 +34,32 @@
  * Processors on ordinary machines that are rented and kept for services that may use no others: what those take that there
  * are, half as much again, and twice the largest seen of late, so that the next one finds room at once.
  */
-export const ordinaryNeed = (state: CoreState, now: Instant): number => {
+export const onDemandCpusForServices = (state: CoreState, now: Instant): number => {
   let cpus = 0;
   for (const job of state.jobs.values()) {
-    if (!ordinaryOnly(job)) continue;
+    if (!needsOnDemand(job)) continue;
     const size = job.spec.tasks * job.spec.cpus;
     cpus += size;
-    state.servicesAt = now;
-    state.largestService = Math.max(state.largestService, size);
+    state.lastOnDemandServiceAt = now;
+    state.largestServiceCpus = Math.max(state.largestServiceCpus, size);
   }
-  if (state.servicesAt === null || now - state.servicesAt > SEEN_FOR_MS) {
-    state.largestService = 0;
+  if (state.lastOnDemandServiceAt === null || now - state.lastOnDemandServiceAt > SEEN_FOR_MS) {
+    state.largestServiceCpus = 0;
     return 0;
   }
-  return cpus * 1.5 + 2 * state.largestService;
+  return cpus * 1.5 + 2 * state.largestServiceCpus;
 };
 
-const waitsInVain = (state: CoreState, now: Instant): boolean => {
-  const waitedMs = seconds(state.config.policy.firstTaskS);
+const hasStarvingJob = (state: CoreState, now: Instant): boolean => {
+  const waitedMs = seconds(state.config.policy.firstTaskAfterS);
   for (const job of state.jobs.values()) {
-    if (isService(job) || job.final !== 'none' || job.held.size > 0 || job.pending <= 0) continue;
+    if (
+      isService(job) ||
+      job.terminalState !== 'none' ||
+      job.attemptsByTask.size > 0 ||
+      job.pendingTasks <= 0
+    )
+      continue;
     if (job.doneCount === 0 && now - job.submittedAt >= waitedMs && now >= job.retryAt) return true;
   }
   return false;
@@ -60,15 +69,23 @@
  * Which ordinary machines arrays that may use cheap ones leave alone. Those that have replicas first, then those that were kept
  * before, taking turns among the zones, so that a zone that is lost leaves room in the others.
  */
-export const keepMachines = (state: CoreState, now: Instant): void => {
+export const reserveMachinesForServices = (state: CoreState, now: Instant): void => {
   // Nothing is kept from a job that has long waited for a first machine: there may be no others left to rent.
-  let left = waitsInVain(state, now) ? 0 : ordinaryNeed(state, now);
+  let left = hasStarvingJob(state, now) ? 0 : onDemandCpusForServices(state, now);
   const byZone = new Map<string, { m: Machine; cpus: number; rank: number }[]>();
   for (const m of state.machines.values()) {
     const type = state.types.get(m.type);
-    const was = m.kept;
-    m.kept = false;
-    if (left <= 0 || m.spot || !type || !m.everSeen || isLeaving(m) || m.deaf || m.lostAt !== null)
+    const was = m.isReservedForServices;
+    m.isReservedForServices = false;
+    if (
+      left <= 0 ||
+      m.spot ||
+      !type ||
+      !m.hasReported ||
+      isBeingVacated(m) ||
+      m.isUnreachable ||
+      m.lostAt !== null
+    )
       continue;
     let replicas = 0;
     for (const p of m.placements.values()) if (isReplica(p)) replicas += 1;
@@ -84,7 +101,7 @@
     for (const zone of zones) {
       const item = zone[turn];
       if (!item || left <= 0) continue;
-      item.m.kept = true;
+      item.m.isReservedForServices = true;
       left -= item.cpus;
     }
   }
@@ -100,13 +117,15 @@
  * How long until a replica would run there: its start goes out with the answer to a check-in, then the image is fetched. What a
  * machine fetches at the same time shares its rate.
  */
-const startsInMs = (
+const estimatedStartMs = (
   state: CoreState,
   job: Job,
   { machine: m, type }: ServiceCapacity,
   now: Instant,
 ): number => {
-  const checkIn = m.ticket ? 0 : Math.max(0, m.lastSeen + state.config.reportMs - now);
+  const checkIn = m.pendingReply
+    ? 0
+    : Math.max(0, m.lastHeartbeatAt + state.config.heartbeatIntervalMs - now);
   const there = new Set<ImageName>();
   const fetching = new Map<ImageName, number>();
   for (const p of m.placements.values()) {
@@ -141,13 +160,15 @@
   now: Instant,
 ): Generator<T> {
   const there = new Map<Machine, number>();
-  for (const held of job.held.values()) {
+  for (const held of job.attemptsByTask.values()) {
     for (const p of held) there.set(p.machine, (there.get(p.machine) ?? 0) + 1);
   }
   const tiers = new Map<number, { capacity: T; startsIn: number; there: number }[]>();
   for (const capacity of capacities) {
-    const startsIn = startsInMs(state, job, capacity, now);
-    const tier = job.failedOn.has(capacity.machine.id) ? FAILED : Math.floor(startsIn / AS_SOON_MS);
+    const startsIn = estimatedStartMs(state, job, capacity, now);
+    const tier = job.failedMachines.has(capacity.machine.id)
+      ? FAILED
+      : Math.floor(startsIn / AS_SOON_MS);
     const item = {
       capacity,
       startsIn: Math.floor(startsIn / 1000),
@@ -183,21 +204,21 @@
 }
 
 /** A replica may be stopped once room is held for it elsewhere: it starts there when it is proven gone. */
-export const moveAway = (p: Placement): void => {
-  const { checkpointS, saveS } = p.job!.spec;
-  p.kill ??= { graceS: checkpointS > 0 ? saveS + 5 : 0, sentAt: null };
+export const requestEviction = (p: Placement): void => {
+  const { checkpointIntervalS, checkpointWriteS } = p.job!.spec;
+  p.stopRequest ??= { graceS: checkpointIntervalS > 0 ? checkpointWriteS + 5 : 0, sentAt: null };
 };
 
 /** Replicas on machines that are about to go, of services that may be placed now. */
-export const replicasToMove = (state: CoreState, now: Instant): Placement[] => {
+export const replicasToEvict = (state: CoreState, now: Instant): Placement[] => {
   const leaving: Placement[] = [];
   for (const m of state.machines.values()) {
-    if (!isLeaving(m)) continue;
+    if (!isBeingVacated(m)) continue;
     for (const p of m.placements.values()) {
       if (!isReplica(p) || now < p.job!.retryAt || failsEverywhere(p.job!)) continue;
       // A notice leaves no choice; all other moves need the extensions' consent.
-      const voluntary = m.noticeUntil === null && p.kill === null;
-      if (voluntary && state.extensions && !state.extensions.mayMove(p)) continue;
+      const voluntary = m.reclaimAt === null && p.stopRequest === null;
+      if (voluntary && state.extensions && !state.extensions.mayEvictReplica(p)) continue;
       leaving.push(p);
     }
   }
--- a/src/service/batch-writer.ts
+++ b/src/service/batch-writer.ts
@@ -1,32 +1,33 @@
 /** Stores the leader's batches, one after the other, each guarded by the leader key and by its keys' versions. */
 
 import type {
-  Guard,
-  StateClient,
-  Write,
+  KeyValueStoreClient,
+  Mutation,
+  Precondition,
 } from '../adapters/key-value-store/key-value-store-client.js';
 import type { Log } from '../adapters/logging/log.js';
 import { sleep } from '../adapters/runtime/clock.js';
 import type { Jitter } from '../adapters/runtime/random.js';
 import type { RecordWrite } from '../core/extensions/extension.js';
-import type { Revision, SaveOp, SegmentKey, Term } from '../core/types.js';
+import type { FencingToken, Revision, SegmentKey } from '../core/model/ids.js';
+import type { StoreOperation } from '../core/model/ledger-record.js';
 import {
+  completionKey,
+  encodeCompletion,
+  encodeSegment,
   extensionKey,
-  finalKey,
   jobKey,
   LEADER_KEY,
-  writeFinal,
-  writeSegment,
 } from './stored-records.js';
 
 const NONE = 0 as Revision;
 
 interface Unit {
-  readonly op: SaveOp;
-  readonly writes: readonly Write[];
+  readonly op: StoreOperation;
+  readonly writes: readonly Mutation[];
 }
 
-type SegmentOp = Extract<SaveOp, { kind: 'segment' }>;
+type SegmentOp = Extract<StoreOperation, { kind: 'write-segment' }>;
 
 /** Two records that say together what one did, under names of their own; null for one that is a single row. */
 const halve = (op: SegmentOp): [SegmentOp, SegmentOp] | null => {
@@ -38,8 +39,8 @@
     a: Pick<SegmentOp, 'machines' | 'progress'>,
     b: Pick<SegmentOp, 'machines' | 'progress'>,
   ): [SegmentOp, SegmentOp] => [
-    { kind: 'segment', key: `${op.key}.0` as SegmentKey, ...a },
-    { kind: 'segment', key: `${op.key}.1` as SegmentKey, ...b },
+    { kind: 'write-segment', key: `${op.key}.0` as SegmentKey, ...a },
+    { kind: 'write-segment', key: `${op.key}.1` as SegmentKey, ...b },
   ];
   const { machines, progress } = op;
   if (machines.length > 0 && progress.length > 0)
@@ -61,9 +62,9 @@
   );
 };
 
-export class Persister {
+export class BatchWriter {
   /** Version of each key that this leader has read or written. */
-  readonly stamps = new Map<string, Revision>();
+  readonly keyRevisions = new Map<string, Revision>();
   /** Records that had to be cut, by the name the core knows. */
   private readonly pieces = new Map<SegmentKey, SegmentKey[]>();
   private cuts = 0;
@@ -73,8 +74,8 @@
   lastRevision: Revision;
 
   constructor(
-    private readonly state: StateClient,
-    private readonly term: Term,
+    private readonly state: KeyValueStoreClient,
+    private readonly term: FencingToken,
     private readonly log: Log,
     private readonly jitter: Jitter,
     /** Changes that the service takes at once, by the settings; should it refuse them, fewer. */
@@ -88,31 +89,31 @@
   }
 
   /** null for a deletion of what is not there. */
-  private extensionWrite(extension: string, { key, value }: RecordWrite): Write | null {
+  private extensionWrite(extension: string, { key, value }: RecordWrite): Mutation | null {
     const stored = extensionKey(extension, key);
     if (value !== null) return { put: stored, value };
-    return this.stamps.has(stored) ? { del: stored } : null;
+    return this.keyRevisions.has(stored) ? { del: stored } : null;
   }
 
   /** What must be written together; each unit may be written apart from the others, in their order. */
-  private unitsOf(ops: readonly SaveOp[]): Unit[] {
+  private unitsOf(ops: readonly StoreOperation[]): Unit[] {
     const units: Unit[] = [];
     for (const op of ops) {
-      if (op.kind === 'final') {
-        const writes: Write[] = [
-          { put: finalKey(op.job), value: writeFinal(op) },
+      if (op.kind === 'job-completion') {
+        const writes: Mutation[] = [
+          { put: completionKey(op.job), value: encodeCompletion(op) },
           { del: jobKey(op.job) },
         ];
         units.push({ op, writes });
-      } else if (op.kind === 'extension') {
+      } else if (op.kind === 'write-extension-records') {
         const writes = op.writes.map((write) => this.extensionWrite(op.extension, write));
         const changes = writes.filter((write) => write !== null);
         if (changes.length > 0) units.push({ op, writes: changes });
-      } else if (op.kind === 'segment') {
-        units.push({ op, writes: [{ put: op.key, value: writeSegment(op) }] });
+      } else if (op.kind === 'write-segment') {
+        units.push({ op, writes: [{ put: op.key, value: encodeSegment(op) }] });
       } else {
         for (const key of this.pieces.get(op.key) ?? [op.key]) {
-          if (this.stamps.has(key)) units.push({ op, writes: [{ del: key }] });
+          if (this.keyRevisions.has(key)) units.push({ op, writes: [{ del: key }] });
         }
         this.pieces.delete(op.key);
       }
@@ -124,8 +125,8 @@
    * Null when the right to write is lost; else what the state service takes in no size, while all the rest is stored. Until
    * it knows, it goes on trying.
    */
-  async save(ops: readonly SaveOp[]): Promise<readonly SaveOp[] | null> {
-    const refused: SaveOp[] = [];
+  async storeBatch(ops: readonly StoreOperation[]): Promise<readonly StoreOperation[] | null> {
+    const refused: StoreOperation[] = [];
     const rest = this.unitsOf(ops);
     while (rest.length > 0) {
       // As much as the service is known to take at once.
@@ -143,7 +144,7 @@
    * Stores these in one transaction, or in smaller ones where the service refuses it as too large: its limits may have fallen
    * below what any setting said. What was refused is never sent again unchanged. False when the right to write is lost.
    */
-  private async store(units: readonly Unit[], refused: SaveOp[]): Promise<boolean> {
+  private async store(units: readonly Unit[], refused: StoreOperation[]): Promise<boolean> {
     const outcome = await this.write(units.flatMap((unit) => unit.writes));
     if (outcome !== 'too-large') return outcome === 'stored';
     if (!this.toldTooLarge) {
@@ -169,17 +170,17 @@
     }
     this.cuts += 1;
     const { op } = units[0]!;
-    const halves = op.kind === 'segment' ? halve(op) : null;
+    const halves = op.kind === 'write-segment' ? halve(op) : null;
     if (!halves) {
       this.log.error({ op: op.kind }, 'the state service takes a change in no size');
       refused.push(op);
       return true;
     }
-    const whole = op.kind === 'segment' ? op.key : null;
+    const whole = op.kind === 'write-segment' ? op.key : null;
     for (const half of halves) {
       if (
         !(await this.store(
-          [{ op: half, writes: [{ put: half.key, value: writeSegment(half) }] }],
+          [{ op: half, writes: [{ put: half.key, value: encodeSegment(half) }] }],
           refused,
         ))
       )
@@ -198,12 +199,14 @@
   }
 
   /** Tries until it is known whether these were written. */
-  private async write(writes: readonly Write[]): Promise<'stored' | 'lost' | 'too-large'> {
+  private async write(writes: readonly Mutation[]): Promise<'stored' | 'lost' | 'too-large'> {
     const keys = writes.map((w) => ('del' in w ? w.del : w.put));
     for (let tries = 0; !this.stopped; tries += 1) {
-      const guards: Guard[] = [{ key: LEADER_KEY, revision: this.term as number as Revision }];
-      for (const key of keys) guards.push({ key, revision: this.stamps.get(key) ?? NONE });
-      const result = await this.state.txn(guards, writes, 5000);
+      const guards: Precondition[] = [
+        { key: LEADER_KEY, revision: this.term as number as Revision },
+      ];
+      for (const key of keys) guards.push({ key, revision: this.keyRevisions.get(key) ?? NONE });
+      const result = await this.state.compareAndSwap(guards, writes, 5000);
       if (typeof result === 'object') {
         this.remember(writes, result.revision);
         return 'stored';
@@ -216,7 +219,7 @@
       }
       await sleep(
         this.jitter.around(
-          result === 'refused' && !this.state.down
+          result === 'refused' && !this.state.isDown
             ? 120
             : Math.min(1000, 60 * 2 ** Math.min(tries, 4)),
         ),
@@ -225,16 +228,16 @@
     return 'lost';
   }
 
-  private remember(writes: readonly Write[], revision: Revision): void {
+  private remember(writes: readonly Mutation[], revision: Revision): void {
     this.lastRevision = Math.max(this.lastRevision, revision) as Revision;
     for (const w of writes) {
-      if ('del' in w) this.stamps.delete(w.del);
-      else if (!w.put.startsWith('f/')) this.stamps.set(w.put, revision);
+      if ('del' in w) this.keyRevisions.delete(w.del);
+      else if (!w.put.startsWith('f/')) this.keyRevisions.set(w.put, revision);
     }
   }
 
   private async readBack(
-    writes: readonly Write[],
+    writes: readonly Mutation[],
     keys: readonly string[],
   ): Promise<'stored' | 'lost' | 'not-yet'> {
     const leader = await this.state.get(LEADER_KEY);
@@ -244,15 +247,15 @@
     const first = await this.state.get(keys[0]!);
     if (typeof first === 'string' && first !== 'absent') return 'not-yet';
     const now = first === 'absent' ? NONE : (first as { revision: Revision }).revision;
-    if (now !== (this.stamps.get(keys[0]!) ?? NONE)) {
+    if (now !== (this.keyRevisions.get(keys[0]!) ?? NONE)) {
       this.remember(writes, now);
       return 'stored';
     }
     // Not carried out: make sure of the versions we hold before the next try.
     for (const key of keys) {
       const item = await this.state.get(key);
-      if (item === 'absent') this.stamps.delete(key);
-      else if (typeof item === 'object') this.stamps.set(key, item.revision);
+      if (item === 'absent') this.keyRevisions.delete(key);
+      else if (typeof item === 'object') this.keyRevisions.set(key, item.revision);
     }
     return 'not-yet';
   }
--- a/src/service/command-loop.ts
+++ b/src/service/command-loop.ts
@@ -5,9 +5,11 @@
  * third of the share and answers have the rest.
  */
 import { steadyNow } from '../adapters/runtime/clock.js';
-import { step } from '../core/apply-commands.js';
-import type { CoreState } from '../core/state.js';
-import type { Authority, Command, Effect, Instant } from '../core/types.js';
+import { applyCommands } from '../core/apply-commands.js';
+import type { CoreState } from '../core/core-state.js';
+import type { Command } from '../core/model/command.js';
+import type { Authority, Effect } from '../core/model/effect.js';
+import type { Instant } from '../core/model/time.js';
 
 const MAX_PAUSE_MS = 250;
 /**
@@ -18,7 +20,7 @@
 const DECISIONS_SHARE = 0.35;
 const LEAST_PAUSE_FACTOR = 2.5;
 
-export class Owner {
+export class CommandLoop {
   private queue: Command[] = [];
   private timer: NodeJS.Timeout | null = null;
   private nextAt = 0;
@@ -33,7 +35,7 @@
   constructor(
     readonly core: CoreState,
     private readonly authority: () => Authority,
-    private readonly carryOut: (effect: Effect) => void,
+    private readonly runEffect: (effect: Effect) => void,
     private readonly clock: () => Instant = steadyNow,
     cores = 1,
   ) {
@@ -77,8 +79,8 @@
     const commands = this.queue;
     this.queue = [];
     const before = this.clock();
-    const effects = step(this.core, commands, before, this.authority());
-    for (const effect of effects) this.carryOut(effect);
+    const effects = applyCommands(this.core, commands, before, this.authority());
+    for (const effect of effects) this.runEffect(effect);
     this.running = false;
     const after = this.clock();
     this.nextAt = after + Math.min(MAX_PAUSE_MS, (after - before) * this.pauseFactor);
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -2,7 +2,7 @@
 
 import { CloudClient } from '../adapters/cloud/cloud-client.js';
 import type { Settings } from '../adapters/configuration/settings.js';
-import { StateClient } from '../adapters/key-value-store/key-value-store-client.js';
+import { KeyValueStoreClient } from '../adapters/key-value-store/key-value-store-client.js';
 import { type Log, Once } from '../adapters/logging/log.js';
 import { Peer, type Question } from '../adapters/peers/peer-link.js';
 import { sleep } from '../adapters/runtime/clock.js';
@@ -13,26 +13,20 @@
   OperatorAnswer,
   OperatorCall,
 } from '../core/extensions/extension.js';
-import type {
-  Authority,
-  Instant,
-  JobId,
-  MachineType,
-  NodeId,
-  Order,
-  Policy,
-  Report,
-  Revision,
-  TeamName,
-  Term,
-} from '../core/types.js';
+import type { Authority } from '../core/model/effect.js';
+import type { Heartbeat } from '../core/model/heartbeat.js';
+import type { FencingToken, JobId, NodeId, Revision, TeamName } from '../core/model/ids.js';
+import type { MachineType } from '../core/model/machine.js';
+import type { Policy } from '../core/model/policy.js';
+import type { Instant } from '../core/model/time.js';
+import type { WorkerCommand } from '../core/model/worker-command.js';
 import type { Dependencies } from './dependencies.js';
-import { Election } from './leader-election.js';
-import { BATCH_WRITES, Leadership } from './leader-term.js';
+import { LeaderElection } from './leader-election.js';
+import { BATCH_WRITES, LeaderTerm } from './leader-term.js';
 import { readOperatorAnswer } from './operator-answer.js';
-import { Gossip } from './peer-monitor.js';
-import { readJob, readTypes, TYPES_KEY } from './stored-records.js';
-import { Users } from './user-requests.js';
+import { PeerMonitor } from './peer-monitor.js';
+import { decodeJob, decodeMachineTypes, MACHINE_TYPES_KEY } from './stored-records.js';
+import { UserRequests } from './user-requests.js';
 
 /**
  * How the state service's limits are shared. Admissions may go beyond what the leader's batches leave: users come
@@ -47,11 +41,11 @@
 const ORDER_SOCKETS = 0.08;
 
 export class Controller {
-  readonly election: Election;
-  readonly users: Users;
-  private readonly gossip: Gossip;
-  private readonly parts: Dependencies;
-  private leading: Leadership | null = null;
+  readonly election: LeaderElection;
+  readonly users: UserRequests;
+  private readonly peerMonitor: PeerMonitor;
+  private readonly dependencies: Dependencies;
+  private leaderTerm: LeaderTerm | null = null;
   private stopped = false;
 
   constructor(
@@ -73,77 +67,77 @@
       if (odd.first(`${of} ${asked}`)) log.info({ of, asked }, 'answer of an unknown form');
     };
     const admissions = share(READS_OF_ALL / nodes, ADMISSIONS_OF_ALL / nodes);
-    const state = new StateClient(settings.state, admissions, onOdd('state service'));
+    const state = new KeyValueStoreClient(settings.state, admissions, onOdd('state service'));
     const batches = share(BATCH_READS, BATCH_WRITES);
-    const batchState = new StateClient(settings.state, batches, onOdd('state service'));
+    const batchState = new KeyValueStoreClient(settings.state, batches, onOdd('state service'));
     const orderSockets = Math.max(10, Math.floor(settings.quota.maxConnections * ORDER_SOCKETS));
-    this.parts = {
+    this.dependencies = {
       settings,
       policy,
       log,
       jitter,
-      state,
-      batchState,
+      store: state,
+      batchStore: batchState,
       cloud: new CloudClient(settings.cloud, settings.cloudLimits.rps, onOdd('cloud')),
       workers: new WorkerClient(orderSockets),
       peers: new Map(settings.peers.map((peer) => [peer.node, new Peer(peer.node, peer.at)])),
       extensions,
-      types: null,
+      machineTypes: null,
       spawn: (name, work) => this.spawn(name, work),
     };
-    this.election = new Election(
+    this.election = new LeaderElection(
       settings.node,
       state,
       policy.leaderLeaseMs,
-      { acquired: (term, at) => this.lead(term, at), lost: () => this.follow() },
+      { onElected: (term, at) => this.startLeading(term, at), onDeposed: () => this.stopLeading() },
       log,
       jitter,
     );
-    const leading = () => this.leading;
-    this.gossip = new Gossip(this.parts, this.election, leading);
-    this.users = new Users(this.parts, this.election, this.gossip, leading);
+    const leading = () => this.leaderTerm;
+    this.peerMonitor = new PeerMonitor(this.dependencies, this.election, leading);
+    this.users = new UserRequests(this.dependencies, this.election, this.peerMonitor, leading);
   }
 
   start(): void {
     this.spawn('election', () => this.election.run());
     this.spawn('types', () => this.readTypes());
-    this.spawn('gossip', () => this.gossip.run());
+    this.spawn('gossip', () => this.peerMonitor.run());
   }
 
   stop(): void {
     this.stopped = true;
     this.election.stop();
-    this.gossip.stop();
-    this.follow();
-    this.parts.state.close();
-    this.parts.batchState.close();
-    this.parts.cloud.close();
-    for (const peer of this.parts.peers.values()) peer.close();
+    this.peerMonitor.stop();
+    this.stopLeading();
+    this.dependencies.store.close();
+    this.dependencies.batchStore.close();
+    this.dependencies.cloud.close();
+    for (const peer of this.dependencies.peers.values()) peer.close();
   }
 
   private spawn(name: string, work: () => Promise<void>): void {
     work().catch((error: Error) => {
       // A loop that ends takes its duty with it: better to start afresh than to limp on.
-      this.parts.log.error({ err: error, loop: name }, 'loop ended');
+      this.dependencies.log.error({ err: error, loop: name }, 'loop ended');
       if (!this.stopped) process.exit(1);
     });
   }
 
   authority(): Authority {
-    return this.leading?.authority() ?? 'none';
+    return this.leaderTerm?.authority() ?? 'none';
   }
 
-  private lead(term: Term, acquiredAt: Instant): void {
-    this.leading = new Leadership(this.parts, term, acquiredAt, this.election, {
-      over: (id, final) => this.users.remember(id, final),
-      isIsolated: () => this.gossip.isIsolated(),
+  private startLeading(term: FencingToken, acquiredAt: Instant): void {
+    this.leaderTerm = new LeaderTerm(this.dependencies, term, acquiredAt, this.election, {
+      onJobEnded: (id, final) => this.users.rememberCompletion(id, final),
+      isIsolated: () => this.peerMonitor.isIsolated(),
     });
-    this.leading.start();
+    this.leaderTerm.start();
   }
 
-  private follow(): void {
-    const was = this.leading;
-    this.leading = null;
+  private stopLeading(): void {
+    const was = this.leaderTerm;
+    this.leaderTerm = null;
     was?.stop();
   }
 
@@ -152,60 +146,65 @@
    * so that a node that starts while one of them is away need not wait for it.
    */
   private async readTypes(): Promise<void> {
-    const { parts } = this;
+    const { dependencies: parts } = this;
     const use = (types: readonly MachineType[]) => {
-      parts.types = types;
-      this.leading?.owner.submit({ kind: 'types', types });
+      parts.machineTypes = types;
+      this.leaderTerm?.commandLoop.submit({ kind: 'machine-types', types });
     };
-    while (!this.stopped && !parts.types) {
-      const stored = parts.state.get(TYPES_KEY).then((item) => {
-        const types = typeof item === 'object' ? readTypes(item.value) : null;
-        if (types && !parts.types) use(types);
+    while (!this.stopped && !parts.machineTypes) {
+      const stored = parts.store.get(MACHINE_TYPES_KEY).then((item) => {
+        const types = typeof item === 'object' ? decodeMachineTypes(item.value) : null;
+        if (types && !parts.machineTypes) use(types);
         return item;
       });
-      const fresh = await parts.cloud.types();
+      const fresh = await parts.cloud.listMachineTypes();
       if (fresh) use(fresh);
       // Larger than a value may be, it is left out: the cloud tells it too.
       const small =
         Buffer.byteLength(JSON.stringify(fresh)) <= parts.settings.stateLimits.valueBytes;
       if (fresh && small && (await stored) === 'absent') {
-        await parts.state.txn(
-          [{ key: TYPES_KEY, revision: 0 as Revision }],
-          [{ put: TYPES_KEY, value: fresh }],
+        await parts.store.compareAndSwap(
+          [{ key: MACHINE_TYPES_KEY, revision: 0 as Revision }],
+          [{ put: MACHINE_TYPES_KEY, value: fresh }],
         );
       }
       await stored;
-      if (!parts.types) await sleep(parts.jitter.around(700));
+      if (!parts.machineTypes) await sleep(parts.jitter.around(700));
     }
   }
 
   /** A node that reaches neither the state service nor a peer can do nothing for users. */
-  ready(): boolean {
-    return this.parts.types !== null && !this.gossip.isIsolated();
+  isReady(): boolean {
+    return this.dependencies.machineTypes !== null && !this.peerMonitor.isIsolated();
   }
 
   /** The orders for a worker; or the leader to turn to; or null for "not now". */
-  async checkIn(
-    report: Report,
-  ): Promise<
-    | { readonly kind: 'orders'; readonly term: Term; readonly orders: readonly Order[] }
+  async handleHeartbeat(report: Heartbeat): Promise<
+    | {
+        readonly kind: 'orders';
+        readonly term: FencingToken;
+        readonly orders: readonly WorkerCommand[];
+      }
     | { readonly kind: 'elsewhere'; readonly leader: NodeId | null }
     | { readonly kind: 'later' }
   > {
-    const leading = this.leading;
+    const leading = this.leaderTerm;
     if (!leading) {
-      this.gossip.turnsAway(report.machine);
+      this.peerMonitor.recordRedirect(report.machine);
       const leader = this.election.leaderNode;
-      return { kind: 'elsewhere', leader: leader === this.parts.settings.node ? null : leader };
+      return {
+        kind: 'elsewhere',
+        leader: leader === this.dependencies.settings.node ? null : leader,
+      };
     }
-    const orders = await leading.checkIn(report);
+    const orders = await leading.handleHeartbeat(report);
     if (orders === 'elsewhere') return { kind: 'elsewhere', leader: null };
-    return orders ? { kind: 'orders', term: leading.term, orders } : { kind: 'later' };
+    return orders ? { kind: 'orders', term: leading.fencingToken, orders } : { kind: 'later' };
   }
 
   /** Answers an operator's call to an extension: here when this node leads, else by the leader; null when neither can. */
-  async operate(extension: string, call: OperatorCall): Promise<OperatorAnswer | null> {
-    if (this.leading) return this.leading.operate(extension, call);
+  async handleOperatorCall(extension: string, call: OperatorCall): Promise<OperatorAnswer | null> {
+    if (this.leaderTerm) return this.leaderTerm.handleOperatorCall(extension, call);
     const answer = await this.users
       .leaderPeer()
       ?.ask({ ask: 'operate', extension, call }, OPERATE_MS);
@@ -213,9 +212,12 @@
   }
 
   /** A peer's question on behalf of an operator. It is never passed on a second time. */
-  private operateHere({ extension, call }: Question): Promise<OperatorAnswer | null> | null {
-    if (!this.leading || extension === undefined || call === undefined) return null;
-    return this.leading.operate(extension, call);
+  private handleOperatorCallLocally({
+    extension,
+    call,
+  }: Question): Promise<OperatorAnswer | null> | null {
+    if (!this.leaderTerm || extension === undefined || call === undefined) return null;
+    return this.leaderTerm.handleOperatorCall(extension, call);
   }
 
   async respond(question: Question): Promise<unknown> {
@@ -224,20 +226,20 @@
       case 'status':
         return job ? this.users.localView(job) : null;
       case 'abort':
-        return job && this.leading ? this.users.abortHere(job) : 'later';
+        return job && this.leaderTerm ? this.users.cancelLocally(job) : 'later';
       case 'explain':
-        return job ? this.users.explainHere(job) : null;
+        return job ? this.users.explainLocally(job) : null;
       case 'list':
-        return question.team ? this.users.listHere(question.team as TeamName) : null;
+        return question.team ? this.users.listLocally(question.team as TeamName) : null;
       case 'operate':
-        return this.operateHere(question);
+        return this.handleOperatorCallLocally(question);
       case 'health':
-        return this.gossip.health();
+        return this.peerMonitor.health();
       case 'look':
         return job ? (this.users.localView(job) ?? this.users.storedView(job)) : null;
       case 'admit': {
-        const record = readJob(question.record);
-        return record && !this.parts.state.down ? this.users.admit(record, false) : null;
+        const record = decodeJob(question.record);
+        return record && !this.dependencies.store.isDown ? this.users.admit(record, false) : null;
       }
     }
   }
--- a/src/service/leader-election.ts
+++ b/src/service/leader-election.ts
@@ -1,53 +1,54 @@
 /** Who leads: the holder of the leader key, which hangs on a lease of the state service. */
 
 import type {
+  KeyValueStoreClient,
   LeaseId,
-  StateClient,
-  Write,
+  Mutation,
 } from '../adapters/key-value-store/key-value-store-client.js';
 import type { Log } from '../adapters/logging/log.js';
 import { sleep, steadyNow } from '../adapters/runtime/clock.js';
 import type { Jitter } from '../adapters/runtime/random.js';
-import type { Instant, NodeId, Revision, Term } from '../core/types.js';
-import { LEADER_KEY, readLeader } from './stored-records.js';
+import type { FencingToken, NodeId, Revision } from '../core/model/ids.js';
+import type { Instant } from '../core/model/time.js';
+import { decodeLeader, LEADER_KEY } from './stored-records.js';
 
 const FOLLOW_MS = 10_000;
 const DRIFT = 0.001;
 const SLACK_MS = 50;
 
-export interface ElectionEvents {
-  acquired(term: Term, at: Instant): void;
-  lost(): void;
+export interface LeaderElectionEvents {
+  onElected(term: FencingToken, at: Instant): void;
+  onDeposed(): void;
 }
 
 /** A lease under renewal. */
-interface Holding {
+interface HeldLease {
   readonly lease: LeaseId;
   /** Until when it is surely alive. */
   until: Instant;
   over: boolean;
 }
 
-export class Election {
+export class LeaderElection {
   /** Names this run of the process: what an earlier run of the node claimed is not ours. Read together with a lease's id. */
-  readonly life: string;
-  term: Term | null = null;
-  private holding: Holding | null = null;
+  readonly incarnation: string;
+  fencingToken: FencingToken | null = null;
+  private heldLease: HeldLease | null = null;
   leaderNode: NodeId | null = null;
   /** The term of the leader last heard of. */
-  knownTerm = 0 as Term;
-  private notBefore = 0;
+  highestKnownToken = 0 as FencingToken;
+  private campaignNotBefore = 0;
   private stopped = false;
 
   constructor(
     private readonly node: NodeId,
-    private readonly state: StateClient,
+    private readonly state: KeyValueStoreClient,
     private readonly leaseMs: number,
-    private readonly events: ElectionEvents,
+    private readonly events: LeaderElectionEvents,
     private readonly log: Log,
     private readonly jitter: Jitter,
   ) {
-    this.life = `${Date.now()}-${process.hrtime.bigint()}`;
+    this.incarnation = `${Date.now()}-${process.hrtime.bigint()}`;
   }
 
   stop(): void {
@@ -55,8 +56,8 @@
   }
 
   /** Until when this leader's lease is surely alive. */
-  get validUntil(): Instant {
-    return this.holding?.until ?? (0 as Instant);
+  get leaseValidUntil(): Instant {
+    return this.heldLease?.until ?? (0 as Instant);
   }
 
   async run(): Promise<void> {
@@ -64,28 +65,28 @@
       const item = await this.state.get(LEADER_KEY);
       if (item === 'absent') {
         this.leaderNode = null;
-        if (steadyNow() < this.notBefore) await sleep(this.jitter.around(200));
+        if (steadyNow() < this.campaignNotBefore) await sleep(this.jitter.around(200));
         else await this.campaign(0 as Revision);
       } else if (typeof item === 'object') {
-        const leader = readLeader(item.value);
+        const leader = decodeLeader(item.value);
         if (leader?.node === this.node) {
           // Left behind by an earlier life of this node, which is over; guarded by its version.
           await this.campaign(item.revision);
         } else {
           this.leaderNode = (leader?.node ?? null) as NodeId | null;
-          this.knownTerm = item.revision as number as Term;
+          this.highestKnownToken = item.revision as number as FencingToken;
           // What the watch tells need not be asked for again: each round trip saved shortens the time without a leader.
-          if (!(await this.sawItGo(item.revision))) continue;
+          if (!(await this.awaitLeaderKeyDeletion(item.revision))) continue;
           this.leaderNode = null;
-          if (steadyNow() >= this.notBefore) await this.campaign(0 as Revision);
+          if (steadyNow() >= this.campaignNotBefore) await this.campaign(0 as Revision);
         }
       } else await sleep(this.jitter.around(250));
     }
   }
 
   /** True when the leader key has gone, and nothing has come in its place as far as the watch tells. */
-  private async sawItGo(since: Revision): Promise<boolean> {
-    const result = await this.state.follow(LEADER_KEY, since, FOLLOW_MS);
+  private async awaitLeaderKeyDeletion(since: Revision): Promise<boolean> {
+    const result = await this.state.watch(LEADER_KEY, since, FOLLOW_MS);
     if (typeof result === 'object') {
       const last = result.changes.filter((c) => c.key === LEADER_KEY).at(-1);
       return last !== undefined && 'deleted' in last;
@@ -95,27 +96,28 @@
   }
 
   /** Step down: a worker has seen a higher term, or a write was refused. */
-  deposed(): void {
-    if (this.term === null) return;
-    this.term = null;
-    if (this.holding) this.holding.over = true;
-    this.holding = null;
+  stepDown(): void {
+    if (this.fencingToken === null) return;
+    this.fencingToken = null;
+    if (this.heldLease) this.heldLease.over = true;
+    this.heldLease = null;
     this.leaderNode = null;
-    this.events.lost();
+    this.events.onDeposed();
   }
 
   /** What a peer says of the leader, for a node that cannot see the state service itself. */
-  hear(node: NodeId, term: Term): void {
-    if (term <= this.knownTerm || (this.term !== null && term <= this.term)) return;
-    this.deposed();
-    this.knownTerm = term;
+  learnLeaderFromPeer(node: NodeId, term: FencingToken): void {
+    if (term <= this.highestKnownToken || (this.fencingToken !== null && term <= this.fencingToken))
+      return;
+    this.stepDown();
+    this.highestKnownToken = term;
     this.leaderNode = node;
   }
 
   /** Gives leadership up for a peer that the workers can reach, and leaves it the time to take over. */
   resign(pauseMs: number): void {
-    this.notBefore = steadyNow() + pauseMs;
-    this.deposed();
+    this.campaignNotBefore = steadyNow() + pauseMs;
+    this.stepDown();
   }
 
   private async campaign(guard: Revision): Promise<void> {
@@ -126,13 +128,13 @@
       return;
     }
     // Renewed from the start: where the key is slow to be written, the lease must not run out meanwhile.
-    const holding: Holding = { lease, until: this.validity(sentAt), over: false };
-    const renewing = this.keep(holding);
-    const value = { node: this.node, life: this.life, lease };
-    const writes: Write[] = [{ put: LEADER_KEY, value, lease }];
-    const result = await this.state.txn([{ key: LEADER_KEY, revision: guard }], writes);
-    let term: Term | null = null;
-    if (typeof result === 'object') term = result.revision as number as Term;
+    const holding: HeldLease = { lease, until: this.leaseValidityFrom(sentAt), over: false };
+    const renewing = this.keepRenewing(holding);
+    const value = { node: this.node, life: this.incarnation, lease };
+    const writes: Mutation[] = [{ put: LEADER_KEY, value, lease }];
+    const result = await this.state.compareAndSwap([{ key: LEADER_KEY, revision: guard }], writes);
+    let term: FencingToken | null = null;
+    if (typeof result === 'object') term = result.revision as number as FencingToken;
     else if (result === 'unknown') term = await this.readBack(lease);
     if (term === null || holding.over) {
       holding.over = true;
@@ -140,24 +142,24 @@
       await sleep(this.jitter.around(50));
       return;
     }
-    this.term = term;
-    this.holding = holding;
+    this.fencingToken = term;
+    this.heldLease = holding;
     this.leaderNode = this.node;
-    this.knownTerm = term;
+    this.highestKnownToken = term;
     this.log.info({ term }, 'leading');
-    this.events.acquired(term, steadyNow());
+    this.events.onElected(term, steadyNow());
     await renewing;
     if (!this.stopped) await this.state.revoke(lease);
   }
 
-  private async readBack(lease: LeaseId): Promise<Term | null> {
+  private async readBack(lease: LeaseId): Promise<FencingToken | null> {
     for (let i = 0; i < 5; i += 1) {
       const item = await this.state.get(LEADER_KEY);
       if (item === 'absent') return null;
       if (typeof item === 'object') {
         const value = item.value as { life?: unknown; lease?: unknown } | null;
-        const ours = value?.life === this.life && value?.lease === lease;
-        return ours ? (item.revision as number as Term) : null;
+        const ours = value?.life === this.incarnation && value?.lease === lease;
+        return ours ? (item.revision as number as FencingToken) : null;
       }
       await sleep(this.jitter.around(200));
     }
@@ -165,7 +167,7 @@
   }
 
   /** A lease counts from before its renewal was sent, less what the clocks may drift apart. */
-  private validity(sentAt: Instant): Instant {
+  private leaseValidityFrom(sentAt: Instant): Instant {
     return (sentAt + this.leaseMs * (1 - DRIFT) - SLACK_MS) as Instant;
   }
 
@@ -173,7 +175,7 @@
    * Renewals overlap: one that is slow to be answered holds up none after it, so that a state service which takes
    * whole seconds for an answer does not cost the leader its lease.
    */
-  private async keep(holding: Holding): Promise<void> {
+  private async keepRenewing(holding: HeldLease): Promise<void> {
     const every = this.leaseMs / 4;
     while (!this.stopped && !holding.over) {
       const sentAt = steadyNow();
@@ -183,17 +185,17 @@
     }
   }
 
-  private async renewOnce(holding: Holding): Promise<string> {
+  private async renewOnce(holding: HeldLease): Promise<string> {
     const sentAt = steadyNow();
     const result = await this.state.renew(holding.lease);
     if (holding.over) return 'over';
     if (result === 'gone') {
-      this.log.info({ term: this.term }, 'lease ended');
+      this.log.info({ term: this.fencingToken }, 'lease ended');
       holding.over = true;
-      if (this.holding === holding) this.deposed();
+      if (this.heldLease === holding) this.stepDown();
     } else if (result === 'ok') {
       // The key hangs on the lease: while the lease lives, nobody else has taken it. Answers may come in any order.
-      holding.until = Math.max(holding.until, this.validity(sentAt)) as Instant;
+      holding.until = Math.max(holding.until, this.leaseValidityFrom(sentAt)) as Instant;
     }
     return result;
   }
--- a/src/service/leader-term.ts
+++ b/src/service/leader-term.ts
@@ -1,44 +1,35 @@
 /** One term of leadership: the takeover, what the leader watches, and what its decisions set in motion. */
 import { fromTimeOfDay, sleep, steadyNow } from '../adapters/runtime/clock.js';
+import { createCore } from '../core/core-state.js';
 import type {
   ExtensionRecord,
   OperatorAnswer,
   OperatorCall,
 } from '../core/extensions/extension.js';
 import { ExtensionHost } from '../core/extensions/extension-host.js';
-import { keepAliveFor } from '../core/lifecycle/worker-leases.js';
-import { createCore } from '../core/state.js';
-import {
-  type Authority,
-  type Command,
-  type Effect,
-  type Instant,
-  type JobId,
-  type MachineId,
-  type Millis,
-  type Order,
-  type Outcome,
-  type Report,
-  type Revision,
-  type SegmentKey,
-  seconds,
-  type Term,
-} from '../core/types.js';
-import { Persister } from './batch-writer.js';
-import { Owner } from './command-loop.js';
+import { graceAfterLeaseLoss } from '../core/lifecycle/worker-leases.js';
+import type { Command } from '../core/model/command.js';
+import type { Authority, Effect } from '../core/model/effect.js';
+import type { Heartbeat } from '../core/model/heartbeat.js';
+import type { FencingToken, JobId, MachineId, Revision, SegmentKey } from '../core/model/ids.js';
+import type { JobOutcome } from '../core/model/job.js';
+import { type Instant, type Millis, seconds } from '../core/model/time.js';
+import type { WorkerCommand } from '../core/model/worker-command.js';
+import { BatchWriter } from './batch-writer.js';
+import { CommandLoop } from './command-loop.js';
 import type { Dependencies } from './dependencies.js';
-import type { Election } from './leader-election.js';
-import { PendingAnswers, TicketCounter } from './pending-replies.js';
+import type { LeaderElection } from './leader-election.js';
+import { PendingReplies, TicketCounter } from './pending-replies.js';
 import {
+  decodeJob,
+  decodeSegment,
   extensionPrefix,
-  type FinalRecord,
-  JOBS,
+  FIRST_VERSION_LEDGER_PREFIX,
+  JOB_PREFIX,
+  type JobCompletion,
   type JobRecord,
   jobKey,
-  LEDGER,
-  OLD_LEDGER,
-  readJob,
-  readSegment,
+  LEDGER_PREFIX,
 } from './stored-records.js';
 
 /** Attempts on one machine: its report must fit a request of 64 KiB. */
@@ -58,34 +49,34 @@
 const MOST_BATCH_WRITES = 0.85;
 const JOBS_FOLLOW_MS = 15_000;
 
-export interface LeadershipEvents {
+export interface LeaderTermEvents {
   /** A job's end is stored. */
-  over(id: JobId, final: FinalRecord): void;
+  onJobEnded(id: JobId, final: JobCompletion): void;
   /** Neither the state service nor any peer answers this node. */
   isIsolated(): boolean;
 }
 
-export class Leadership {
-  readonly owner: Owner;
-  private readonly persister: Persister;
+export class LeaderTerm {
+  readonly commandLoop: CommandLoop;
+  private readonly persister: BatchWriter;
   private readonly tickets = new TicketCounter();
-  private readonly checkIns = new PendingAnswers<readonly Order[] | null>(
+  private readonly checkIns = new PendingReplies<readonly WorkerCommand[] | null>(
     this.tickets,
     TICKET_MS,
     null,
   );
-  private readonly operatorCalls = new PendingAnswers<OperatorAnswer | null>(
+  private readonly operatorCalls = new PendingReplies<OperatorAnswer | null>(
     this.tickets,
     OPERATE_MS,
     null,
   );
-  private readonly aborts = new PendingAnswers<Outcome | null | 'late'>(
+  private readonly aborts = new PendingReplies<JobOutcome | null | 'late'>(
     this.tickets,
     ABORT_MS,
     'late',
   );
   /** Workers turned away while this node was cut off from all but them, and when. */
-  private readonly released = new Map<MachineId, number>();
+  private readonly redirectedWorkers = new Map<MachineId, number>();
   /** When jobs came in, of late. */
   private arrivals: Instant[] = [];
   private current = true;
@@ -93,26 +84,26 @@
 
   constructor(
     private readonly parts: Dependencies,
-    readonly term: Term,
+    readonly fencingToken: FencingToken,
     acquiredAt: Instant,
-    private readonly election: Election,
-    private readonly events: LeadershipEvents,
+    private readonly election: LeaderElection,
+    private readonly events: LeaderTermEvents,
   ) {
     const { workers, cloudLimits, stateLimits, teams, quota } = parts.settings;
-    this.keepAliveMs = keepAliveFor(seconds(workers.cancelS), seconds(workers.leaseS));
+    this.keepAliveMs = graceAfterLeaseLoss(seconds(workers.cancelS), seconds(workers.leaseS));
     const core = createCore({
-      term,
+      fencingToken,
       acquiredAt,
       teams,
       policy: parts.policy,
-      reportMs: seconds(workers.reportS),
-      leaseMs: seconds(workers.leaseS),
-      keepAliveMs: this.keepAliveMs,
+      heartbeatIntervalMs: seconds(workers.reportS),
+      workerLeaseMs: seconds(workers.leaseS),
+      graceAfterLeaseLossMs: this.keepAliveMs,
       listLagMs: seconds(cloudLimits.listLagS),
-      txnOps: stateLimits.txnOps,
-      writeRps: stateLimits.nextWriteRps,
-      valueBytes: stateLimits.valueBytes,
-      maxPerMachine: MAX_PER_MACHINE,
+      maxTransactionOperations: stateLimits.txnOps,
+      storeWritesPerSecond: stateLimits.nextWriteRps,
+      maxValueBytes: stateLimits.valueBytes,
+      maxAttemptsPerMachine: MAX_PER_MACHINE,
       timeOfDayOffsetMs: Date.now() - steadyNow(),
     });
     if (parts.extensions.length > 0) {
@@ -121,16 +112,16 @@
         parts.extensions.map((module) => module.create()),
       );
     }
-    this.owner = new Owner(
+    this.commandLoop = new CommandLoop(
       core,
       () => this.authority(),
-      (effect) => this.carryOut(effect),
+      (effect) => this.runEffect(effect),
       steadyNow,
       quota.cores,
     );
-    this.persister = new Persister(
-      parts.batchState,
-      term,
+    this.persister = new BatchWriter(
+      parts.batchStore,
+      fencingToken,
       parts.log,
       parts.jitter,
       stateLimits.txnOps,
@@ -138,12 +129,12 @@
   }
 
   start(): void {
-    this.parts.spawn('takeover', () => this.takeOver());
+    this.parts.spawn('takeover', () => this.recoverState());
   }
 
   stop(): void {
     this.current = false;
-    this.owner.stop();
+    this.commandLoop.stop();
     this.persister.stop();
     this.checkIns.close();
     this.aborts.close();
@@ -151,44 +142,52 @@
   }
 
   authority(): Authority {
-    if (!this.current || this.election.term !== this.term) return 'none';
+    if (!this.current || this.election.fencingToken !== this.fencingToken) return 'none';
     const now = steadyNow();
-    if (now < this.election.validUntil) return 'lead';
-    return now < this.election.validUntil + this.keepAliveMs ? 'keep-alive' : 'none';
+    if (now < this.election.leaseValidUntil) return 'lead';
+    return now < this.election.leaseValidUntil + this.keepAliveMs ? 'keep-alive' : 'none';
   }
 
   // ---- takeover and watches ----------------------------------------------------------------------
 
   private async readAll(prefix: string) {
     while (this.current) {
-      const all = await this.parts.batchState.listAll(prefix);
+      const all = await this.parts.batchStore.listAll(prefix);
       if (typeof all === 'object') return all;
       await sleep(this.parts.jitter.around(200));
     }
     return null;
   }
 
-  private async takeOver(): Promise<void> {
-    const { stamps } = this.persister;
+  private async recoverState(): Promise<void> {
+    const { keyRevisions: stamps } = this.persister;
     // Only a leader writes the ledger, and none but this one can any more; of jobs accepted meanwhile the watch tells.
-    const all = await Promise.all([JOBS, LEDGER, OLD_LEDGER].map((prefix) => this.readAll(prefix)));
+    const all = await Promise.all(
+      [JOB_PREFIX, LEDGER_PREFIX, FIRST_VERSION_LEDGER_PREFIX].map((prefix) =>
+        this.readAll(prefix),
+      ),
+    );
     const [jobs, ledger, old] = all;
     if (!jobs || !ledger || !old || !this.current) return;
     const commands: Command[] = [];
-    if (this.parts.types) commands.push({ kind: 'types', types: this.parts.types });
-    for (const item of jobs.items) this.jobFrom(item.key, item.value, item.revision, commands);
+    if (this.parts.machineTypes)
+      commands.push({ kind: 'machine-types', types: this.parts.machineTypes });
+    for (const item of jobs.items)
+      this.addJobFromRecord(item.key, item.value, item.revision, commands);
     const entered: Command[] = [];
     for (const { key, value, revision } of [...ledger.items, ...old.items]) {
       stamps.set(key, revision);
       const segment = key as SegmentKey;
-      const record = readSegment(value);
+      const record = decodeSegment(value);
       if (!record) {
         this.parts.log.error({ key }, 'unreadable record');
-        commands.push({ kind: 'unreadable', segment });
+        commands.push({ kind: 'unreadable-segment', segment });
         continue;
       }
-      for (const row of record.progress) commands.push({ kind: 'progress', segment, ...row });
-      for (const row of record.machines) entered.push({ kind: 'ledger', segment, ...row });
+      for (const row of record.progress)
+        commands.push({ kind: 'recovered-progress', segment, ...row });
+      for (const row of record.machines)
+        entered.push({ kind: 'recovered-attempts', segment, ...row });
     }
     // What is done first: an attempt of a task that is done needs no second look.
     commands.push(...entered);
@@ -197,9 +196,9 @@
       if (!records) return;
       commands.push({ kind: 'extension-records', extension: name, records });
     }
-    commands.push({ kind: 'loaded' });
+    commands.push({ kind: 'recovery-completed' });
     this.parts.log.info({ jobs: jobs.items.length, records: ledger.items.length }, 'took over');
-    this.owner.start(commands);
+    this.commandLoop.start(commands);
     this.parts.spawn('jobs', () => this.watchJobs(jobs.revision));
     this.parts.spawn('ticks', () => this.ticks());
     this.parts.spawn('machines', () => this.watchMachines());
@@ -210,73 +209,74 @@
     const stored = await this.readAll(prefix);
     if (!stored || !this.current) return null;
     return stored.items.map(({ key, value, revision }) => {
-      this.persister.stamps.set(key, revision);
+      this.persister.keyRevisions.set(key, revision);
       return { key: key.slice(prefix.length), value };
     });
   }
 
-  private jobFrom(key: string, value: unknown, revision: Revision, out: Command[]): void {
-    const record = readJob(value);
+  private addJobFromRecord(key: string, value: unknown, revision: Revision, out: Command[]): void {
+    const record = decodeJob(value);
     if (!record || key !== jobKey(record.spec.id)) {
       this.parts.log.error({ key }, 'unreadable record');
       return;
     }
-    this.know(record, revision, out);
+    this.addJobCommand(record, revision, out);
   }
 
   /** It may be older than the job's end, which the core knows. */
-  private know(record: JobRecord, revision: Revision, out: Command[]): void {
-    this.persister.stamps.set(jobKey(record.spec.id), revision);
+  private addJobCommand(record: JobRecord, revision: Revision, out: Command[]): void {
+    this.persister.keyRevisions.set(jobKey(record.spec.id), revision);
     this.arrivals.push(steadyNow());
-    out.push({ kind: 'job', spec: record.spec, submittedAt: fromTimeOfDay(record.at) });
+    out.push({ kind: 'job', spec: record.spec, submittedAt: fromTimeOfDay(record.acceptedAt) });
   }
 
   /** A job that this very node has just stored. */
-  admitted(record: JobRecord, revision: Revision): void {
+  addAdmittedJob(record: JobRecord, revision: Revision): void {
     const commands: Command[] = [];
-    this.know(record, revision, commands);
-    for (const command of commands) this.owner.submit(command);
+    this.addJobCommand(record, revision, commands);
+    for (const command of commands) this.commandLoop.submit(command);
   }
 
   /** A job that the state service holds and this leader did not know yet. */
-  found(key: string, value: unknown, revision: Revision): void {
+  addStoredJob(key: string, value: unknown, revision: Revision): void {
     const commands: Command[] = [];
-    this.jobFrom(key, value, revision, commands);
-    for (const command of commands) this.owner.submit(command);
+    this.addJobFromRecord(key, value, revision, commands);
+    for (const command of commands) this.commandLoop.submit(command);
   }
 
   /** Jobs that other nodes accept show up as changes under their prefix. */
   private async watchJobs(from: Revision): Promise<void> {
     let revision = from;
     while (this.current) {
-      const result = await this.parts.batchState.follow(JOBS, revision, JOBS_FOLLOW_MS);
+      const result = await this.parts.batchStore.watch(JOB_PREFIX, revision, JOBS_FOLLOW_MS);
       if (!this.current) return;
       const commands: Command[] = [];
       if (typeof result === 'object') {
         revision = result.revision;
         for (const c of result.changes) {
-          if ('value' in c) this.jobFrom(c.key, c.value, c.revision, commands);
+          if ('value' in c) this.addJobFromRecord(c.key, c.value, c.revision, commands);
         }
       } else if (result === 'too-old') {
-        const all = await this.readAll(JOBS);
+        const all = await this.readAll(JOB_PREFIX);
         if (!all) return;
         revision = all.revision;
-        for (const item of all.items) this.jobFrom(item.key, item.value, item.revision, commands);
+        for (const item of all.items)
+          this.addJobFromRecord(item.key, item.value, item.revision, commands);
       } else await sleep(this.parts.jitter.around(200));
-      for (const command of commands) this.owner.submit(command);
+      for (const command of commands) this.commandLoop.submit(command);
     }
   }
 
   private async ticks(): Promise<void> {
     while (this.current) {
-      this.shareWrites();
-      this.owner.submit({ kind: 'tick' });
+      this.adjustWriteShare();
+      this.commandLoop.submit({ kind: 'tick' });
       await sleep(TICK_MS);
     }
   }
 
   /** What admissions leave of the write limit, by the jobs that came in of late, is the batches'. */
-  private shareWrites(): void {
+  private adjustWriteShare(): void {
     const now = steadyNow();
     this.arrivals = this.arrivals.filter((at) => now - at < ARRIVALS_MS);
     const { writeRps } = this.parts.settings.stateLimits;
@@ -285,7 +285,7 @@
       MOST_BATCH_WRITES,
       Math.max(BATCH_WRITES, MOST_BATCH_WRITES - admissions),
     );
-    this.parts.batchState.scaleWrites(share / BATCH_WRITES);
+    this.parts.batchStore.scaleWrites(share / BATCH_WRITES);
   }
 
   private async watchMachines(): Promise<void> {
@@ -293,14 +293,14 @@
     while (this.current) {
       const askedAt = steadyNow();
       if (this.authority() === 'lead') {
-        const machines = await this.parts.cloud.list();
-        if (machines) this.owner.submit({ kind: 'listed', askedAt, machines });
-        if (steadyNow() - typesAt > TYPES_EVERY_MS || !this.parts.types) {
-          const types = await this.parts.cloud.types();
+        const machines = await this.parts.cloud.listMachines();
+        if (machines) this.commandLoop.submit({ kind: 'machines-listed', askedAt, machines });
+        if (steadyNow() - typesAt > TYPES_EVERY_MS || !this.parts.machineTypes) {
+          const types = await this.parts.cloud.listMachineTypes();
           if (types) {
             typesAt = steadyNow();
-            this.parts.types = types;
-            this.owner.submit({ kind: 'types', types });
+            this.parts.machineTypes = types;
+            this.commandLoop.submit({ kind: 'machine-types', types });
           }
         }
       }
@@ -310,56 +310,74 @@
 
   // ---- effects -----------------------------------------------------------------------------------
 
-  private carryOut(effect: Effect): void {
+  private runEffect(effect: Effect): void {
     if (!this.current) return;
     const entitled = () => this.current && this.authority() === 'lead';
     switch (effect.kind) {
-      case 'answer':
-        return this.checkIns.answer(effect.ticket, effect.orders);
+      case 'reply-to-heartbeat':
+        return this.checkIns.settle(effect.ticket, effect.commands);
       case 'operator-answer':
-        return this.operatorCalls.answer(effect.ticket, effect.answer);
-      case 'settled':
-        return this.aborts.answer(effect.ticket, effect.outcome);
-      case 'final':
-        this.events.over(effect.job, effect);
+        return this.operatorCalls.settle(effect.ticket, effect.answer);
+      case 'cancellation-settled':
+        return this.aborts.settle(effect.ticket, effect.outcome);
+      case 'job-ended':
+        this.events.onJobEnded(effect.job, effect);
         this.parts.log.info({ job: effect.job, outcome: effect.outcome }, 'job over');
         return;
-      case 'save':
+      case 'store-batch':
         this.parts.spawn('save', async () => {
-          const refused = await this.persister.save(effect.ops);
+          const refused = await this.persister.storeBatch(effect.ops);
           if (!this.current) return;
           const revision = this.persister.lastRevision;
-          if (refused) this.owner.submit({ kind: 'saved', batch: effect.batch, refused, revision });
-          else this.election.deposed();
+          if (refused)
+            this.commandLoop.submit({
+              kind: 'batch-stored',
+              batch: effect.batch,
+              refused,
+              revision,
+            });
+          else this.election.stepDown();
         });
         return;
-      case 'rent':
+      case 'provision':
         this.parts.spawn('rent', async () => {
           const { request, type, zone, spot, count } = effect;
-          const result = await this.parts.cloud.rent(request, type, zone, spot, count, entitled);
+          const result = await this.parts.cloud.provision(
+            request,
+            type,
+            zone,
+            spot,
+            count,
+            entitled,
+          );
           const outcome = typeof result === 'string' ? result : 'ok';
           const machines = typeof result === 'string' ? [] : result;
           this.parts.log.info({ request, type, zone, spot, count, outcome, machines }, 'rent');
-          this.owner.submit({ kind: 'rented', request, result: outcome, machines });
+          this.commandLoop.submit({ kind: 'provision-result', request, result: outcome, machines });
         });
         return;
-      case 'delete':
+      case 'delete-machines':
         this.parts.spawn('delete', async () => {
-          const ok = await this.parts.cloud.delete(effect.machines, entitled);
+          const ok = await this.parts.cloud.deleteMachines(effect.machines, entitled);
           this.parts.log.info({ machines: effect.machines, ok }, 'return machines');
-          this.owner.submit({ kind: 'deleted', machines: effect.machines, ok });
+          this.commandLoop.submit({ kind: 'deletion-result', machines: effect.machines, ok });
         });
         return;
-      case 'orders':
+      case 'send-commands':
         this.parts.spawn('orders', async () => {
-          const { endpoint, session, orders } = effect;
-          const report = await this.parts.workers.orders(endpoint, this.term, session, orders);
+          const { endpoint, agentEpoch: session, commands: orders } = effect;
+          const report = await this.parts.workers.sendCommands(
+            endpoint,
+            this.fencingToken,
+            session,
+            orders,
+          );
           if (!report || !this.current || report.machine !== effect.machine) return;
-          if (report.term > this.term) this.election.deposed();
-          else this.owner.submit({ kind: 'report', report, ticket: null });
+          if (report.fencingToken > this.fencingToken) this.election.stepDown();
+          else this.commandLoop.submit({ kind: 'heartbeat', heartbeat: report, ticket: null });
         });
         return;
-      case 'note':
+      case 'log':
         this.parts.log[effect.level](effect.fields, effect.text);
     }
   }
@@ -367,13 +385,13 @@
   // ---- workers -----------------------------------------------------------------------------------
 
   /** The orders for a worker; 'elsewhere' when it should turn to another node; null for "not now". */
-  async checkIn(report: Report): Promise<readonly Order[] | 'elsewhere' | null> {
-    if (report.term > this.term) {
+  async handleHeartbeat(report: Heartbeat): Promise<readonly WorkerCommand[] | 'elsewhere' | null> {
+    if (report.fencingToken > this.fencingToken) {
       this.parts.log.info(
-        { machine: report.machine, term: report.term },
+        { machine: report.machine, term: report.fencingToken },
         'a worker has seen a higher term',
       );
-      this.election.deposed();
+      this.election.stepDown();
       return 'elsewhere';
     }
     const authority = this.authority();
@@ -381,11 +399,11 @@
     if (
       authority === 'keep-alive' &&
       this.events.isIsolated() &&
-      this.sendsElsewhere(report.machine)
+      this.shouldRedirect(report.machine)
     )
       return 'elsewhere';
-    const orders = await this.checkIns.ask((ticket) =>
-      this.owner.submit({ kind: 'report', report, ticket }),
+    const orders = await this.checkIns.request((ticket) =>
+      this.commandLoop.submit({ kind: 'heartbeat', heartbeat: report, ticket }),
     );
     if (!orders || !this.current) return null;
     // The process may have stood still since the orders were decided: right and time are looked at again as they go out.
@@ -399,26 +417,26 @@
    * soon will: it holds no worker that can go there. One that comes back well within its lease has found nobody, and is
    * kept alive here.
    */
-  private sendsElsewhere(machine: MachineId): boolean {
+  private shouldRedirect(machine: MachineId): boolean {
     const now = steadyNow();
-    const last = this.released.get(machine);
+    const last = this.redirectedWorkers.get(machine);
     if (last !== undefined && now - last < this.parts.settings.workers.leaseS * 750) return false;
-    this.released.set(machine, now);
+    this.redirectedWorkers.set(machine, now);
     return true;
   }
 
   /** How many workers a leader has heard of late, when they are suspiciously few. */
-  hearing(): { recent: number; known: number } | null {
-    const { core } = this.owner;
+  heartbeatCoverage(): { recent: number; known: number } | null {
+    const { core } = this.commandLoop;
     const now = steadyNow();
     const span = this.parts.settings.workers.reportS * 2500;
     if (now - core.config.acquiredAt < 2 * span) return null;
     let recent = 0;
     let known = 0;
     for (const m of core.machines.values()) {
-      if (!m.everSeen) continue;
+      if (!m.hasReported) continue;
       known += 1;
-      if (now - m.lastSeen < span) recent += 1;
+      if (now - m.lastHeartbeatAt < span) recent += 1;
     }
     return known >= 2 && recent * 3 < known ? { recent, known } : null;
   }
@@ -426,17 +444,19 @@
   // ---- operators ---------------------------------------------------------------------------------
 
   /** An extension's answer to a call, or null when none comes in time. */
-  operate(extension: string, call: OperatorCall): Promise<OperatorAnswer | null> {
+  handleOperatorCall(extension: string, call: OperatorCall): Promise<OperatorAnswer | null> {
     if (this.authority() !== 'lead') return Promise.resolve(null);
-    return this.operatorCalls.ask((ticket) =>
-      this.owner.submit({ kind: 'operator-call', extension, call, ticket }),
+    return this.operatorCalls.request((ticket) =>
+      this.commandLoop.submit({ kind: 'operator-call', extension, call, ticket }),
     );
   }
 
   // ---- users -------------------------------------------------------------------------------------
 
   /** How an abort ended: the job's final state, null when the job is not known here, or 'late'. */
-  abort(id: JobId): Promise<Outcome | null | 'late'> {
-    return this.aborts.ask((ticket) => this.owner.submit({ kind: 'abort', job: id, ticket }));
+  cancelJob(id: JobId): Promise<JobOutcome | null | 'late'> {
+    return this.aborts.request((ticket) =>
+      this.commandLoop.submit({ kind: 'cancel-job', job: id, ticket }),
+    );
   }
 }
--- a/src/service/peer-monitor.ts
+++ b/src/service/peer-monitor.ts
@@ -5,10 +5,11 @@
 import * as v from 'valibot';
 import type { Peer } from '../adapters/peers/peer-link.js';
 import { sleep, steadyNow } from '../adapters/runtime/clock.js';
-import type { Instant, MachineId, NodeId, Term } from '../core/types.js';
+import type { FencingToken, MachineId, NodeId } from '../core/model/ids.js';
+import type { Instant } from '../core/model/time.js';
 import type { Dependencies } from './dependencies.js';
-import type { Election } from './leader-election.js';
-import type { Leadership } from './leader-term.js';
+import type { LeaderElection } from './leader-election.js';
+import type { LeaderTerm } from './leader-term.js';
 
 const GOSSIP_MS = 800;
 /** After stepping aside for a peer, how long before campaigning again. */
@@ -25,7 +26,7 @@
 
 interface Health {
   readonly leader: NodeId | null;
-  readonly term: Term;
+  readonly term: FencingToken;
   readonly workers: number;
   /** The state service answers it. */
   readonly state: boolean;
@@ -36,19 +37,19 @@
   return r.success ? (r.output as Health) : null;
 };
 
-export class Gossip {
+export class PeerMonitor {
   /** Workers that have turned to this node while it did not lead, and when. */
-  private readonly turnedAway = new Map<MachineId, number>();
+  private readonly redirectedWorkers = new Map<MachineId, number>();
   /** Peers that the state service answered when they were last heard of, while it does not answer this node. */
-  private helpers: readonly Peer[] = [];
+  private peersReachingStore: readonly Peer[] = [];
   /** Since when neither the state service nor any peer answers. */
-  private aloneSince: Instant | null = null;
+  private isolatedSince: Instant | null = null;
   private stopped = false;
 
   constructor(
     private readonly parts: Dependencies,
-    private readonly election: Election,
-    private readonly leading: () => Leadership | null,
+    private readonly election: LeaderElection,
+    private readonly leading: () => LeaderTerm | null,
   ) {}
 
   stop(): void {
@@ -56,18 +57,18 @@
   }
 
   /** A worker came here while another node leads. */
-  turnsAway(machine: MachineId): void {
-    this.turnedAway.set(machine, steadyNow());
+  recordRedirect(machine: MachineId): void {
+    this.redirectedWorkers.set(machine, steadyNow());
   }
 
   /** The leader if it can help, since it knows best; else any peer that can. */
-  helper(): Peer | null {
-    const leader = this.helpers.find((peer) => peer.node === this.election.leaderNode);
-    return leader ?? this.helpers[0] ?? null;
+  reachablePeer(): Peer | null {
+    const leader = this.peersReachingStore.find((peer) => peer.node === this.election.leaderNode);
+    return leader ?? this.peersReachingStore[0] ?? null;
   }
 
   isIsolated(): boolean {
-    return this.aloneSince !== null && steadyNow() - this.aloneSince > ALONE_MS;
+    return this.isolatedSince !== null && steadyNow() - this.isolatedSince > ALONE_MS;
   }
 
   /**
@@ -79,23 +80,24 @@
       await sleep(this.parts.jitter.around(GOSSIP_MS));
       const leading = this.leading();
       const leads = leading?.authority() === 'lead';
-      if (!this.parts.state.down) this.aloneSince = null;
-      if (!leading && !this.parts.state.down) continue;
-      const heard = leads ? leading.hearing() : null;
-      if (leads && !heard && !this.parts.state.down) continue;
+      if (!this.parts.store.isDown) this.isolatedSince = null;
+      if (!leading && !this.parts.store.isDown) continue;
+      const heard = leads ? leading.heartbeatCoverage() : null;
+      if (leads && !heard && !this.parts.store.isDown) continue;
       const peers = [...this.parts.peers.values()];
       const answers = await Promise.all(peers.map((peer) => peer.ask({ ask: 'health' }, PEER_MS)));
       const told = answers.map(readHealth);
-      this.helpers = peers.filter((_, i) => told[i]?.state);
+      this.peersReachingStore = peers.filter((_, i) => told[i]?.state);
       const alone = told.length > 0 && told.every((health) => health === null);
-      if (this.parts.state.down && alone) this.aloneSince ??= steadyNow();
-      else this.aloneSince = null;
+      if (this.parts.store.isDown && alone) this.isolatedSince ??= steadyNow();
+      else this.isolatedSince = null;
       if (this.leading() !== leading) continue;
       let most = 0;
       for (const health of told) {
         if (!health) continue;
         most = Math.max(most, health.workers);
-        if (!leads && health.leader !== null) this.election.hear(health.leader, health.term);
+        if (!leads && health.leader !== null)
+          this.election.learnLeaderFromPeer(health.leader, health.term);
       }
       if (heard && most > heard.recent) {
         this.parts.log.info(
@@ -110,12 +112,13 @@
   health(): Health {
     const now = steadyNow();
     const span = this.parts.settings.workers.reportS * 2500;
-    for (const [id, at] of this.turnedAway) if (now - at > span) this.turnedAway.delete(id);
+    for (const [id, at] of this.redirectedWorkers)
+      if (now - at > span) this.redirectedWorkers.delete(id);
     return {
       leader: this.election.leaderNode,
-      term: this.election.knownTerm,
-      workers: this.turnedAway.size,
-      state: !this.parts.state.down,
+      term: this.election.highestKnownToken,
+      workers: this.redirectedWorkers.size,
+      state: !this.parts.store.isDown,
     };
   }
 }
--- a/src/service/pending-replies.ts
+++ b/src/service/pending-replies.ts
@@ -1,19 +1,19 @@
 /** Callers that wait for the core to answer, each under a ticket and for a bounded time. */
-import type { Ticket } from '../core/types.js';
+import type { ReplyTicket } from '../core/model/ids.js';
 
 /** Numbers tickets; one counter serves all kinds, so that a ticket names one caller. */
 export class TicketCounter {
   private next = 1;
 
-  take(): Ticket {
-    const ticket = this.next as Ticket;
+  take(): ReplyTicket {
+    const ticket = this.next as ReplyTicket;
     this.next += 1;
     return ticket;
   }
 }
 
-export class PendingAnswers<T> {
-  private readonly waiting = new Map<Ticket, (answer: T) => void>();
+export class PendingReplies<T> {
+  private readonly waiting = new Map<ReplyTicket, (answer: T) => void>();
 
   constructor(
     private readonly tickets: TicketCounter,
@@ -23,10 +23,10 @@
   ) {}
 
   /** Waits for the answer to what is sent with the ticket. */
-  ask(send: (ticket: Ticket) => void): Promise<T> {
+  request(send: (ticket: ReplyTicket) => void): Promise<T> {
     const ticket = this.tickets.take();
     return new Promise((resolve) => {
-      const timer = setTimeout(() => this.answer(ticket, this.late), this.timeoutMs);
+      const timer = setTimeout(() => this.settle(ticket, this.late), this.timeoutMs);
       this.waiting.set(ticket, (answer) => {
         clearTimeout(timer);
         resolve(answer);
@@ -36,7 +36,7 @@
   }
 
   /** Answers a caller, if it still waits. */
-  answer(ticket: Ticket, answer: T): void {
+  settle(ticket: ReplyTicket, answer: T): void {
     const resolve = this.waiting.get(ticket);
     this.waiting.delete(ticket);
     resolve?.(answer);
@@ -44,6 +44,6 @@
 
   /** Nobody will answer any more. */
   close(): void {
-    for (const ticket of [...this.waiting.keys()]) this.answer(ticket, this.late);
+    for (const ticket of [...this.waiting.keys()]) this.settle(ticket, this.late);
   }
 }
--- a/src/service/stored-records.ts
+++ b/src/service/stored-records.ts
@@ -1,46 +1,43 @@
 /** What the state service holds, and under which keys. Every record read back is checked. */
 import * as v from 'valibot';
-import { EXTENSIONS } from '../core/extensions/extension-host.js';
-import { SEGMENTS } from '../core/ledger/segments.js';
-import { BLOCK_TASKS } from '../core/lifecycle/job-tasks.js';
+import { EXTENSION_PREFIX } from '../core/extensions/extension-host.js';
+import { SEGMENT_PREFIX } from '../core/ledger/segments.js';
+import { TASKS_PER_BLOCK } from '../core/lifecycle/job-tasks.js';
 import type {
-  Attempt,
+  AttemptId,
+  ImageName,
   JobId,
-  JobSpec,
-  LedgerEntry,
-  LedgerRow,
   MachineId,
-  MachineType,
-  Outcome,
-  ProgressRow,
-  Shape,
+  MachineTypeName,
   TaskIndex,
   TeamName,
-  TypeName,
   ZoneName,
-} from '../core/types.js';
+} from '../core/model/ids.js';
+import type { JobOutcome, JobShape, JobSpec } from '../core/model/job.js';
+import type { LedgerEntry, LedgerRow, ProgressRow } from '../core/model/ledger-record.js';
+import type { MachineType } from '../core/model/machine.js';
 
 export const LEADER_KEY = 'leader';
-export const TYPES_KEY = 'c/types';
-export const JOBS = 'j/';
-export const FINALS = 'f/';
+export const MACHINE_TYPES_KEY = 'c/types';
+export const JOB_PREFIX = 'j/';
+export const COMPLETION_PREFIX = 'f/';
 /** The placement ledger: see `Segment` in the core. */
-export const LEDGER = SEGMENTS;
+export const LEDGER_PREFIX = SEGMENT_PREFIX;
 /** Where the first version kept its ledger, a key for each machine: what stands there is taken as unreadable. */
-export const OLD_LEDGER = 'm/';
+export const FIRST_VERSION_LEDGER_PREFIX = 'm/';
 
 /** Each extension's records stand under a prefix of its own; versions without the extension never look there. */
-export const extensionPrefix = (extension: string): string => `${EXTENSIONS}${extension}/`;
+export const extensionPrefix = (extension: string): string => `${EXTENSION_PREFIX}${extension}/`;
 export const extensionKey = (extension: string, key: string): string =>
   extensionPrefix(extension) + key;
 
-export const jobKey = (id: JobId): string => `${JOBS}${id}`;
-export const finalKey = (id: JobId): string => `${FINALS}${id}`;
+export const jobKey = (id: JobId): string => `${JOB_PREFIX}${id}`;
+export const completionKey = (id: JobId): string => `${COMPLETION_PREFIX}${id}`;
 
 const leaderSchema = v.object({ node: v.string(), life: v.string() });
 export type LeaderRecord = v.InferOutput<typeof leaderSchema>;
 
-export const readLeader = (value: unknown): LeaderRecord | null => {
+export const decodeLeader = (value: unknown): LeaderRecord | null => {
   const r = v.safeParse(leaderSchema, value);
   return r.success ? r.output : null;
 };
@@ -76,27 +73,77 @@
 
 export interface JobRecord {
   /** Time of day at which it was accepted. */
-  readonly at: number;
+  readonly acceptedAt: number;
   readonly spec: JobSpec;
 }
 
-export const writeJob = ({ at, spec }: JobRecord) => {
-  const { shape, ...rest } = spec;
-  return shape === 'service' ? { at, service: rest } : { at, spec: rest };
+type StoredSpec = v.InferOutput<typeof specSchema>;
+
+/** The stored names of a job's fields; their order is that of the first version. */
+const encodeSpec = (spec: JobSpec): StoredSpec => ({
+  id: spec.id,
+  lane: spec.jobClass,
+  team: spec.team,
+  priority: spec.priority,
+  tasks: spec.tasks,
+  cpus: spec.cpus,
+  gpus: spec.gpus,
+  memoryGb: spec.memoryGb,
+  types: spec.machineTypes === null ? null : [...spec.machineTypes],
+  zone: spec.zone,
+  oneZone: spec.singleZone,
+  scatter: spec.spreadZones,
+  spotOk: spec.allowsSpot,
+  image: spec.image,
+  imageGb: spec.imageGb,
+  estimateS: spec.estimateS,
+  checkpointS: spec.checkpointIntervalS,
+  saveS: spec.checkpointWriteS,
+  deadlineS: spec.deadlineS,
+});
+
+const decodeSpec = (stored: StoredSpec, shape: JobShape): JobSpec => ({
+  id: stored.id as JobId,
+  shape,
+  jobClass: stored.lane,
+  team: stored.team as TeamName,
+  priority: stored.priority,
+  tasks: stored.tasks,
+  cpus: stored.cpus,
+  gpus: stored.gpus,
+  memoryGb: stored.memoryGb,
+  machineTypes: stored.types as readonly MachineTypeName[] | null,
+  zone: stored.zone as ZoneName | null,
+  singleZone: stored.oneZone,
+  spreadZones: stored.scatter,
+  allowsSpot: stored.spotOk,
+  image: stored.image as ImageName,
+  imageGb: stored.imageGb,
+  estimateS: stored.estimateS,
+  checkpointIntervalS: stored.checkpointS,
+  checkpointWriteS: stored.saveS,
+  deadlineS: stored.deadlineS,
+});
+
+/** The stored form of an accepted job. */
+export const encodeJob = ({ acceptedAt, spec }: JobRecord) => {
+  const stored = encodeSpec(spec);
+  return spec.shape === 'service'
+    ? { at: acceptedAt, service: stored }
+    : { at: acceptedAt, spec: stored };
 };
 
-export const readJob = (value: unknown): JobRecord | null => {
+/** null for a record that cannot be read. */
+export const decodeJob = (value: unknown): JobRecord | null => {
   const array = v.safeParse(arraySchema, value);
-  if (array.success) return jobRecord(array.output.at, 'array', array.output.spec);
+  if (array.success) {
+    return { acceptedAt: array.output.at, spec: decodeSpec(array.output.spec, 'array') };
+  }
   const service = v.safeParse(serviceSchema, value);
-  return service.success ? jobRecord(service.output.at, 'service', service.output.service) : null;
+  if (!service.success) return null;
+  return { acceptedAt: service.output.at, spec: decodeSpec(service.output.service, 'service') };
 };
 
-const jobRecord = (at: number, shape: Shape, spec: object): JobRecord => ({
-  at,
-  spec: { ...spec, shape } as JobSpec,
-});
-
 const typesSchema = v.array(
   v.object({
     name: v.string(),
@@ -110,7 +157,7 @@
     zones: v.array(v.string()),
   }),
 );
-export const readTypes = (value: unknown): MachineType[] | null => {
+export const decodeMachineTypes = (value: unknown): MachineType[] | null => {
   const r = v.safeParse(typesSchema, value);
   return r.success ? (r.output as unknown as MachineType[]) : null;
 };
@@ -121,14 +168,14 @@
   t: v.string(),
 });
 
-export interface FinalRecord {
-  readonly outcome: Outcome;
+export interface JobCompletion {
+  readonly outcome: JobOutcome;
   readonly tasks: number;
   readonly team: TeamName;
 }
 
-export const writeFinal = (f: FinalRecord) => ({ o: f.outcome, n: f.tasks, t: f.team });
-export const readFinal = (value: unknown): FinalRecord | null => {
+export const encodeCompletion = (f: JobCompletion) => ({ o: f.outcome, n: f.tasks, t: f.team });
+export const decodeCompletion = (value: unknown): JobCompletion | null => {
   const r = v.safeParse(finalSchema, value);
   return r.success
     ? { outcome: r.output.o, tasks: r.output.n, team: r.output.t as TeamName }
@@ -165,7 +212,7 @@
   readonly progress: readonly ProgressRow[];
 }
 
-export const writeSegment = ({ machines, progress }: SegmentRecord): Segment => {
+export const encodeSegment = ({ machines, progress }: SegmentRecord): Segment => {
   const rows = new Map<JobId, number>();
   const j: Segment['j'] = [];
   const rowOf = (e: LedgerEntry): number => {
@@ -177,37 +224,37 @@
     return row;
   };
   const bits = (p: ProgressRow) => Buffer.from(p.bits).toString('base64');
-  const atBlock = (p: ProgressRow) => p.from % BLOCK_TASKS === 0;
+  const atBlock = (p: ProgressRow) => p.firstTask % TASKS_PER_BLOCK === 0;
   const parts = progress.filter((p) => !atBlock(p));
   return {
     j,
-    m: machines.map(({ machine, at, entries }) => [
+    m: machines.map(({ machine, attributes: at, entries }) => [
       machine,
       at.type,
       at.zone,
       at.spot,
       entries.map((e) => [rowOf(e), e.index, e.attempt]),
     ]),
-    d: progress.filter(atBlock).map((p) => [p.job, p.from / BLOCK_TASKS, bits(p)]),
-    ...(parts.length > 0 ? { e: parts.map((p) => [p.job, p.from, bits(p)]) } : {}),
+    d: progress.filter(atBlock).map((p) => [p.job, p.firstTask / TASKS_PER_BLOCK, bits(p)]),
+    ...(parts.length > 0 ? { e: parts.map((p) => [p.job, p.firstTask, bits(p)]) } : {}),
   };
 };
 
 /** null for a record that is not wholly as written: what it spoke of may then be anywhere. */
-export const readSegment = (value: unknown): SegmentRecord | null => {
+export const decodeSegment = (value: unknown): SegmentRecord | null => {
   const r = v.safeParse(segmentSchema, value);
   if (!r.success) return null;
   const { j, m, d, e } = r.output;
   if (m.some(([, , , , entries]) => entries.some(([row]) => row >= j.length))) return null;
   const machines = m.map(([machine, type, zone, spot, entries]) => ({
     machine: machine as MachineId,
-    at: { type: type as TypeName, zone: zone as ZoneName, spot },
+    attributes: { type: type as MachineTypeName, zone: zone as ZoneName, spot },
     entries: entries.map(([row, index, attempt]): LedgerEntry => {
       const [job, team, cpus, gpus, memoryGb] = j[row]!;
       return {
         job: job as JobId,
         index: index as TaskIndex,
-        attempt: attempt as Attempt,
+        attempt: attempt as AttemptId,
         team: team as TeamName,
         cpus,
         gpus,
@@ -217,11 +264,11 @@
   }));
   const row = (job: string, from: number, bits: string): ProgressRow => ({
     job: job as JobId,
-    from,
+    firstTask: from,
     bits: new Uint8Array(Buffer.from(bits, 'base64')),
   });
   const progress = [
-    ...d.map(([job, block, bits]) => row(job, block * BLOCK_TASKS, bits)),
+    ...d.map(([job, block, bits]) => row(job, block * TASKS_PER_BLOCK, bits)),
     ...e.map(([job, from, bits]) => row(job, from, bits)),
   ];
   return { machines, progress };
--- a/src/service/user-requests.ts
+++ b/src/service/user-requests.ts
@@ -1,30 +1,24 @@
 /** What users ask of a controller: submissions, questions and cancellations; and what it may say by itself. */
 import * as v from 'valibot';
-import type { Guard, Write } from '../adapters/key-value-store/key-value-store-client.js';
+import type { Mutation, Precondition } from '../adapters/key-value-store/key-value-store-client.js';
 import type { Peer } from '../adapters/peers/peer-link.js';
 import { sleep, steadyNow } from '../adapters/runtime/clock.js';
 import type { JobView } from '../adapters/wire.js';
 import { explainJob, viewJob } from '../core/lifecycle/job-view.js';
-import {
-  isService,
-  type JobId,
-  type JobSpec,
-  type Revision,
-  type TeamName,
-  type ZoneName,
-} from '../core/types.js';
+import type { JobId, Revision, TeamName, ZoneName } from '../core/model/ids.js';
+import { isService, type JobSpec } from '../core/model/job.js';
 import type { Dependencies } from './dependencies.js';
-import type { Election } from './leader-election.js';
-import type { Leadership } from './leader-term.js';
-import type { Gossip } from './peer-monitor.js';
+import type { LeaderElection } from './leader-election.js';
+import type { LeaderTerm } from './leader-term.js';
+import type { PeerMonitor } from './peer-monitor.js';
 import {
-  type FinalRecord,
-  finalKey,
+  completionKey,
+  decodeCompletion,
+  decodeJob,
+  encodeJob,
+  type JobCompletion,
   type JobRecord,
   jobKey,
-  readFinal,
-  readJob,
-  writeJob,
 } from './stored-records.js';
 
 /** Final states kept in memory; older ones are read from the state service again. */
@@ -36,12 +30,12 @@
 const ADMIT_WAIT_MS = 500;
 const ADMIT_MS = 1500;
 
-export type Submitted =
+export type SubmissionResult =
   | { readonly kind: 'accepted' | 'known'; readonly view: JobView }
   | { readonly kind: 'malformed' | 'impossible'; readonly reason: string }
   | { readonly kind: 'later'; readonly reason: string };
 
-export type Lookup = JobView | 'absent' | 'later';
+export type LookupResult = JobView | 'absent' | 'later';
 
 const viewSchema = v.object({
   id: v.string(),
@@ -63,7 +57,7 @@
 
 const admittedSchema = v.object({ kind: v.picklist(['accepted', 'known']), view: viewSchema });
 
-const finalView = (id: JobId, f: FinalRecord): JobView => ({
+const finalView = (id: JobId, f: JobCompletion): JobView => ({
   id,
   team: f.team,
   status: f.outcome,
@@ -86,28 +80,28 @@
   reason: 'the description is larger than what the state service takes',
 } as const;
 
-export class Users {
-  private readonly finals = new Map<JobId, FinalRecord>();
+export class UserRequests {
+  private readonly completions = new Map<JobId, JobCompletion>();
   private turn = 0;
 
   constructor(
     private readonly parts: Dependencies,
-    private readonly election: Election,
-    private readonly gossip: Gossip,
-    private readonly leading: () => Leadership | null,
+    private readonly election: LeaderElection,
+    private readonly gossip: PeerMonitor,
+    private readonly leading: () => LeaderTerm | null,
   ) {}
 
-  remember(id: JobId, { outcome, tasks, team }: FinalRecord): void {
-    this.finals.set(id, { outcome, tasks, team });
-    if (this.finals.size > MAX_FINALS) {
-      const oldest = this.finals.keys().next().value;
-      if (oldest !== undefined) this.finals.delete(oldest);
+  rememberCompletion(id: JobId, { outcome, tasks, team }: JobCompletion): void {
+    this.completions.set(id, { outcome, tasks, team });
+    if (this.completions.size > MAX_FINALS) {
+      const oldest = this.completions.keys().next().value;
+      if (oldest !== undefined) this.completions.delete(oldest);
     }
   }
 
   // ---- submissions -------------------------------------------------------------------------------
 
-  private fault(spec: JobSpec): { kind: 'impossible'; reason: string } | null {
+  private validateFeasibility(spec: JobSpec): { kind: 'impossible'; reason: string } | null {
     const team = this.parts.settings.teams.get(spec.team);
     const no = (reason: string) => ({ kind: 'impossible' as const, reason });
     if (!team) return no(`unknown team ${spec.team}`);
@@ -117,52 +111,52 @@
     if (spec.cpus * replicas > team.cpusMax || spec.gpus * replicas > team.gpusMax)
       return no("all replicas together exceed the team's limit");
     const zones = new Set<ZoneName>();
-    for (const t of this.parts.types ?? []) {
-      const allowed = !spec.types || spec.types.includes(t.name);
+    for (const t of this.parts.machineTypes ?? []) {
+      const allowed = !spec.machineTypes || spec.machineTypes.includes(t.name);
       const fits = spec.cpus <= t.cpus && spec.gpus <= t.gpus && spec.memoryGb <= t.memoryGb;
       if (!allowed || !fits) continue;
       for (const zone of t.zones) if (spec.zone === null || spec.zone === zone) zones.add(zone);
     }
     if (zones.size === 0) return no('no allowed machine type fits a task');
     // An array's tasks can go one after the other; replicas run side by side, for good.
-    const spread = replicas > 1 && spec.scatter;
-    if (spread && (spec.oneZone || zones.size < 2))
+    const spread = replicas > 1 && spec.spreadZones;
+    if (spread && (spec.singleZone || zones.size < 2))
       return no('its replicas must be spread over zones, and only one is allowed');
     return null;
   }
 
   /** `parsed` is the job, or what is wrong with the body; an accepted id is answered as known either way. */
-  async submit(id: JobId, parsed: JobSpec | { readonly fault: string }): Promise<Submitted> {
+  async submit(id: JobId, parsed: JobSpec | { readonly fault: string }): Promise<SubmissionResult> {
     const known = this.localView(id);
     if (known) return { kind: 'known', view: known };
     if ('fault' in parsed) return this.refuse(id, { kind: 'malformed', reason: parsed.fault });
-    if (!this.parts.types) return { kind: 'later', reason: 'machine types not known yet' };
-    const fault = this.fault(parsed);
+    if (!this.parts.machineTypes) return { kind: 'later', reason: 'machine types not known yet' };
+    const fault = this.validateFeasibility(parsed);
     if (fault) return this.refuse(id, fault);
-    const record: JobRecord = { at: Date.now(), spec: parsed };
+    const record: JobRecord = { acceptedAt: Date.now(), spec: parsed };
     if (
-      Buffer.byteLength(JSON.stringify(writeJob(record))) >
+      Buffer.byteLength(JSON.stringify(encodeJob(record))) >
       this.parts.settings.stateLimits.valueBytes
     ) {
       return this.refuse(id, TOO_LARGE);
     }
-    return this.parts.state.down
-      ? this.admitElsewhere(record, this.gossip.helper())
+    return this.parts.store.isDown
+      ? this.admitElsewhere(record, this.gossip.reachablePeer())
       : this.admit(record, true);
   }
 
-  async admit(record: JobRecord, mayAsk: boolean): Promise<Submitted> {
+  async admit(record: JobRecord, mayAsk: boolean): Promise<SubmissionResult> {
     const { id } = record.spec;
     const key = jobKey(id);
     const none = 0 as Revision;
-    const guards: Guard[] = [
+    const guards: Precondition[] = [
       { key, revision: none },
-      { key: finalKey(id), revision: none },
+      { key: completionKey(id), revision: none },
     ];
-    const writes: Write[] = [{ put: key, value: writeJob(record) }];
-    const write = () => this.parts.state.txn(guards, writes, ADMIT_WAIT_MS, ADMIT_MS);
+    const writes: Mutation[] = [{ put: key, value: encodeJob(record) }];
+    const write = () => this.parts.store.compareAndSwap(guards, writes, ADMIT_WAIT_MS, ADMIT_MS);
     let result = await write();
-    for (let i = 1; i < ADMIT_TRIES && result === 'refused' && !this.parts.state.down; i += 1) {
+    for (let i = 1; i < ADMIT_TRIES && result === 'refused' && !this.parts.store.isDown; i += 1) {
       // The load balancer does not spread users evenly: a peer may have some of its share of the rate left.
       if (mayAsk && i === 1) {
         const peers = [...this.parts.peers.values()];
@@ -173,12 +167,12 @@
       result = await write();
     }
     if (typeof result === 'object') {
-      this.leading()?.admitted(record, result.revision);
+      this.leading()?.addAdmittedJob(record, result.revision);
       return { kind: 'accepted', view: waitingView(record.spec) };
     }
     // The limits have fallen below what any setting said.
     if (result === 'too-large') return this.refuse(id, TOO_LARGE);
-    if (result === 'conflict' || (result === 'unknown' && !this.parts.state.down)) {
+    if (result === 'conflict' || (result === 'unknown' && !this.parts.store.isDown)) {
       const view = await this.storedView(id);
       if (typeof view === 'object') return { kind: 'known', view };
     }
@@ -186,10 +180,10 @@
   }
 
   /** Cut off from the state service alone, a node has a peer write the job; it says 201 only on that peer's word. */
-  private async admitElsewhere(record: JobRecord, helper: Peer | null): Promise<Submitted> {
-    const answer = await helper?.ask({ ask: 'admit', record: writeJob(record) }, ADMIT_MS);
+  private async admitElsewhere(record: JobRecord, helper: Peer | null): Promise<SubmissionResult> {
+    const answer = await helper?.ask({ ask: 'admit', record: encodeJob(record) }, ADMIT_MS);
     const r = v.safeParse(admittedSchema, answer);
-    if (r.success && r.output.view.id === record.spec.id) return r.output as Submitted;
+    if (r.success && r.output.view.id === record.spec.id) return r.output as SubmissionResult;
     return { kind: 'later', reason: 'state service away' };
   }
 
@@ -197,7 +191,7 @@
   private async refuse(
     id: JobId,
     answer: { kind: 'malformed' | 'impossible'; reason: string },
-  ): Promise<Submitted> {
+  ): Promise<SubmissionResult> {
     const view = await this.lookUp(id);
     if (view === 'later') return { kind: 'later', reason: 'state service away' };
     return view === 'absent' ? answer : { kind: 'known', view };
@@ -207,38 +201,38 @@
 
   /** What this node may say by itself: final states, and as leader with a valid lease all it knows. */
   localView(id: JobId): JobView | null {
-    const final = this.finals.get(id);
+    const final = this.completions.get(id);
     if (final) return finalView(id, final);
     const leading = this.leading();
     if (leading?.authority() === 'lead') {
-      const view = viewJob(leading.owner.core, id, steadyNow());
+      const view = viewJob(leading.commandLoop.core, id, steadyNow());
       if (view) return view;
     }
     return null;
   }
 
-  async storedView(id: JobId): Promise<Lookup> {
+  async storedView(id: JobId): Promise<LookupResult> {
     // In this order: a job's record and its final one change places in a single transaction.
-    const job = await this.parts.state.get(jobKey(id));
+    const job = await this.parts.store.get(jobKey(id));
     if (typeof job === 'object') {
-      const record = readJob(job.value);
+      const record = decodeJob(job.value);
       const waiting = 'no leader to ask';
       if (record) return { ...waitingView(record.spec), id, waiting };
       // A record that cannot be read still says that the job was accepted.
       return { id, team: '' as TeamName, status: 'queued', done: 0, running: 0, waiting };
     }
     if (job !== 'absent') return 'later';
-    const final = await this.parts.state.get(finalKey(id));
+    const final = await this.parts.store.get(completionKey(id));
     if (typeof final === 'object') {
-      const record = readFinal(final.value);
+      const record = decodeCompletion(final.value);
       if (!record) return 'later';
-      this.remember(id, record);
+      this.rememberCompletion(id, record);
       return finalView(id, record);
     }
     return final === 'absent' ? 'absent' : 'later';
   }
 
-  async lookUp(id: JobId): Promise<Lookup> {
+  async lookUp(id: JobId): Promise<LookupResult> {
     const local = this.localView(id);
     if (local) return local;
     const leader = this.leaderPeer();
@@ -246,13 +240,17 @@
       const answer = readView(await leader.ask({ ask: 'status', job: id }, PEER_MS));
       if (answer?.id === id) {
         if (answer.status === 'done' || answer.status === 'cancelled') {
-          this.remember(id, { outcome: answer.status, tasks: answer.done, team: answer.team });
+          this.rememberCompletion(id, {
+            outcome: answer.status,
+            tasks: answer.done,
+            team: answer.team,
+          });
         }
         return answer;
       }
     }
-    if (!this.parts.state.down) return this.storedView(id);
-    const elsewhere = await this.gossip.helper()?.ask({ ask: 'look', job: id }, PEER_MS);
+    if (!this.parts.store.isDown) return this.storedView(id);
+    const elsewhere = await this.gossip.reachablePeer()?.ask({ ask: 'look', job: id }, PEER_MS);
     if (elsewhere === 'absent') return 'absent';
     const view = readView(elsewhere);
     return view?.id === id ? view : 'later';
@@ -265,15 +263,19 @@
 
   // ---- cancellations -----------------------------------------------------------------------------
 
-  async abort(id: JobId): Promise<Lookup> {
-    const final = this.finals.get(id);
+  async cancel(id: JobId): Promise<LookupResult> {
+    const final = this.completions.get(id);
     if (final) return finalView(id, final);
-    if (this.leading()) return this.abortHere(id);
+    if (this.leading()) return this.cancelLocally(id);
     const leader = this.leaderPeer();
     if (leader) {
       const answer = readView(await leader.ask({ ask: 'abort', job: id }, ABORT_MS));
       if (answer?.id === id && (answer.status === 'done' || answer.status === 'cancelled')) {
-        this.remember(id, { outcome: answer.status, tasks: answer.done, team: answer.team });
+        this.rememberCompletion(id, {
+          outcome: answer.status,
+          tasks: answer.done,
+          team: answer.team,
+        });
         return answer;
       }
     }
@@ -283,20 +285,20 @@
     return view;
   }
 
-  async abortHere(id: JobId): Promise<Lookup> {
+  async cancelLocally(id: JobId): Promise<LookupResult> {
     const leading = this.leading();
     if (leading?.authority() !== 'lead') return 'later';
     for (let round = 0; round < 2; round += 1) {
-      const outcome = await leading.abort(id);
+      const outcome = await leading.cancelJob(id);
       if (outcome === 'late') return 'later';
       if (outcome !== null) {
-        const record = this.finals.get(id);
+        const record = this.completions.get(id);
         return record ? finalView(id, record) : this.storedView(id);
       }
       // Not known here: over, never accepted, or accepted elsewhere a moment ago.
-      const item = await this.parts.state.get(jobKey(id));
+      const item = await this.parts.store.get(jobKey(id));
       if (typeof item !== 'object') break;
-      leading.found(item.key, item.value, item.revision);
+      leading.addStoredJob(item.key, item.value, item.revision);
     }
     const view = await this.storedView(id);
     return typeof view === 'object' && view.status === 'queued' ? 'later' : view;
@@ -304,17 +306,17 @@
 
   // ---- why a job waits ---------------------------------------------------------------------------
 
-  explainHere(id: JobId) {
+  explainLocally(id: JobId) {
     const leading = this.leading();
     if (leading?.authority() !== 'lead') return null;
-    const told = explainJob(leading.owner.core, id, steadyNow());
-    return told ? { ...told, cloud: this.parts.cloud.away ? 'away' : 'ok', state: 'ok' } : null;
+    const told = explainJob(leading.commandLoop.core, id, steadyNow());
+    return told ? { ...told, cloud: this.parts.cloud.isAway ? 'away' : 'ok', state: 'ok' } : null;
   }
 
-  listHere(team: TeamName): JobView[] | null {
+  listLocally(team: TeamName): JobView[] | null {
     const leading = this.leading();
     if (leading?.authority() !== 'lead') return null;
-    const { core } = leading.owner;
+    const { core } = leading.commandLoop;
     const views: JobView[] = [];
     for (const job of core.jobs.values()) {
       if (job.spec.team !== team || views.length >= 200) continue;
@@ -325,11 +327,11 @@
   }
 
   async explain(id: JobId): Promise<unknown> {
-    const here = this.explainHere(id);
+    const here = this.explainLocally(id);
     if (here) return here;
     const answer = await this.leaderPeer()?.ask({ ask: 'explain', job: id }, PEER_MS);
     if (answer) return answer;
-    if (!this.parts.state.down) return null;
+    if (!this.parts.store.isDown) return null;
     return {
       id,
       waiting: 'the state service is away: nothing starts until it is back',
@@ -338,7 +340,7 @@
   }
 
   async list(team: TeamName): Promise<readonly JobView[] | null> {
-    const here = this.listHere(team);
+    const here = this.listLocally(team);
     if (here) return here;
     const answer = await this.leaderPeer()?.ask({ ask: 'list', team }, PEER_MS);
     return Array.isArray(answer) ? answer.map(readView).filter((view) => view !== null) : null;
--- a/test/api-limits.test.ts
+++ b/test/api-limits.test.ts
@@ -3,8 +3,9 @@
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { parseSettings } from '../src/adapters/configuration/settings.js';
 import { MAX_IN_FLIGHT, makeApi, serveApi } from '../src/adapters/http/api-server.js';
-import type { Instant, JobId, Ticket } from '../src/core/types.js';
-import { Owner } from '../src/service/command-loop.js';
+import type { JobId, ReplyTicket } from '../src/core/model/ids.js';
+import type { Instant } from '../src/core/model/time.js';
+import { CommandLoop } from '../src/service/command-loop.js';
 import type { Controller } from '../src/service/controller.js';
 import { core } from './model/build.js';
 import { post } from './stand-ins/cloud.js';
@@ -70,11 +71,11 @@
     cleanups.push(() => vi.useRealTimers());
     let clock = 0;
     let settled = 0;
-    const owner = new Owner(
+    const owner = new CommandLoop(
       core(),
       () => 'lead',
       (effect) => {
-        if (effect.kind === 'settled') settled += 1;
+        if (effect.kind === 'cancellation-settled') settled += 1;
       },
       () => clock as Instant,
     );
@@ -82,7 +83,7 @@
     vi.advanceTimersByTime(1);
     // No timer fires while the turn lasts.
     for (let i = 0; i < 500; i += 1) {
-      owner.submit({ kind: 'abort', job: 'job-1' as JobId, ticket: 1 as Ticket });
+      owner.submit({ kind: 'cancel-job', job: 'job-1' as JobId, ticket: 1 as ReplyTicket });
       clock += 8;
     }
     expect(settled).toBeGreaterThan(400);
@@ -96,7 +97,7 @@
     const steps: number[] = [];
     const state = core();
     let cost = 0;
-    const owner = new Owner(
+    const owner = new CommandLoop(
       state,
       () => {
         // Stands for a costly decision: the clock moves on while it is made.
@@ -105,21 +106,22 @@
         return 'lead';
       },
       (effect) => {
-        if (effect.kind === 'settled') steps[steps.length - 1]! += 1;
+        if (effect.kind === 'cancellation-settled') steps[steps.length - 1]! += 1;
       },
       () => clock as Instant,
     );
     let clock = 0;
-    const abort = () => owner.submit({ kind: 'abort', job: 'job-1' as JobId, ticket: 1 as Ticket });
+    const abort = () =>
+      owner.submit({ kind: 'cancel-job', job: 'job-1' as JobId, ticket: 1 as ReplyTicket });
     const load = (every: number, count: number) => {
       steps.length = 0;
       for (let i = 0; i < count; i += 1) {
         abort();
         clock += every;
-        const before = state.lastTick;
+        const before = state.lastTickAt;
         steps.push(0);
         vi.advanceTimersByTime(every);
-        expect(state.lastTick).toBe(before);
+        expect(state.lastTickAt).toBe(before);
       }
       return Math.max(...steps);
     };
--- a/test/backfill.test.ts
+++ b/test/backfill.test.ts
@@ -1,22 +1,21 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { DEFAULT_POLICY } from '../src/adapters/configuration/settings.js';
-import { newMachine } from '../src/core/fleet/machine-health.js';
-import { addPlacement, release } from '../src/core/lifecycle/attempts.js';
-import { newJob, takePending } from '../src/core/lifecycle/job-tasks.js';
-import { runRound } from '../src/core/scheduling/backfill.js';
+import { createMachine } from '../src/core/fleet/machine-health.js';
+import { addPlacement, releasePlacement } from '../src/core/lifecycle/attempts.js';
+import { createJob, takePendingTask } from '../src/core/lifecycle/job-tasks.js';
+import type { Placement } from '../src/core/model/entities.js';
+import type {
+  AttemptId,
+  MachineId,
+  MachineTypeName,
+  ReplyTicket,
+  ZoneName,
+} from '../src/core/model/ids.js';
+import { isService, PRIORITY_LEVEL } from '../src/core/model/job.js';
+import type { Instant } from '../src/core/model/time.js';
+import { runSchedulingRound } from '../src/core/scheduling/backfill.js';
 import { deadlineScore } from '../src/core/scheduling/scoring.js';
-import type { Placement } from '../src/core/state.js';
-import {
-  type Attempt,
-  type Instant,
-  isService,
-  type MachineId,
-  PRIORITY_LEVEL,
-  type Ticket,
-  type TypeName,
-  type ZoneName,
-} from '../src/core/types.js';
 import { core, job, team, type } from './model/build.js';
 import { type PlainWorld, plainRound } from './model/plain-backfill.js';
 
@@ -42,11 +41,11 @@
   cpus: fc.constantFrom(1, 2, 4),
   gpus: fc.constantFrom(0, 0, 0, 1),
   memoryGb: fc.constantFrom(1, 4, 9),
-  types: fc.constantFrom<string[] | null>(null, null, ['big', 'gpu'], ['small']),
+  machineTypes: fc.constantFrom<string[] | null>(null, null, ['big', 'gpu'], ['small']),
   zone: fc.constantFrom(null, null, null, 'a'),
-  oneZone: fc.boolean(),
-  scatter: fc.boolean(),
-  spotOk: fc.boolean(),
+  singleZone: fc.boolean(),
+  spreadZones: fc.boolean(),
+  allowsSpot: fc.boolean(),
   estimateS: fc.integer({ min: 1, max: 90 }),
   deadlineS: fc.option(fc.integer({ min: 10, max: 900 })),
   imageGb: fc.constantFrom(0, 0, 1.5, 3),
@@ -89,7 +88,7 @@
     limits,
     head: drawn.head === null ? null : `job-${drawn.head}`,
   };
-  state.head = world.head as never;
+  state.queueHead = world.head as never;
   drawn.jobs.forEach(({ age, idle, ...rest }, i) => {
     const submittedAt = NOW - age * 1000;
     const idleSince = NOW - Math.min(age, idle) * 1000;
@@ -101,43 +100,48 @@
       ...rest,
     });
     const spec = job(`job-${i}`, { ...rest, image: `img-${i}` });
-    const waits = newJob(spec, submittedAt as Instant);
+    const waits = createJob(spec, submittedAt as Instant);
     waits.idleSince = idleSince as Instant;
     state.jobs.set(spec.id, waits);
   });
   drawn.machines.forEach((m, i) => {
     const t = TYPES.find((x) => x.name === m.type)!;
     const id = `n-${i}`;
-    const checkInMs = m.waits ? 0 : Math.max(0, state.config.reportMs - m.heardAgoMs);
+    const checkInMs = m.waits ? 0 : Math.max(0, state.config.heartbeatIntervalMs - m.heardAgoMs);
     const { cpus, gpus, memoryGb, fetchGbPerS } = t;
     world.machines.push({ id, ...m, cpus, gpus, memoryGb, fetchGbPerS, checkInMs });
-    const at = { endpoint: '', type: m.type as TypeName, zone: m.zone as ZoneName, spot: m.spot };
-    const made = newMachine(id as MachineId, at, 0 as Instant, NOW as Instant);
-    made.ready = true;
-    made.everSeen = true;
-    made.kept = m.kept;
-    made.lastSeen = (NOW - m.heardAgoMs) as Instant;
-    if (m.waits) made.ticket = { ticket: 1 as Ticket, since: NOW as Instant };
+    const at = {
+      endpoint: '',
+      type: m.type as MachineTypeName,
+      zone: m.zone as ZoneName,
+      spot: m.spot,
+    };
+    const made = createMachine(id as MachineId, at, 0 as Instant, NOW as Instant);
+    made.isReady = true;
+    made.hasReported = true;
+    made.isReservedForServices = m.kept;
+    made.lastHeartbeatAt = (NOW - m.heardAgoMs) as Instant;
+    if (m.waits) made.pendingReply = { ticket: 1 as ReplyTicket, since: NOW as Instant };
     state.machines.set(made.id, made);
   });
   drawn.running.forEach((r, i) => {
     const j = [...state.jobs.values()][r.job % state.jobs.size]!;
     const m = [...state.machines.values()][r.machine % state.machines.size]!;
-    const index = takePending(j);
+    const index = takePendingTask(j);
     if (index === null) return;
     const startedAt = (NOW - r.startedAgo * 1000) as Instant;
     const { id, team: owner, cpus, gpus, memoryGb, estimateS } = j.spec;
     const p: Placement = {
-      entry: { job: id, index, attempt: (i + 1) as Attempt, team: owner, cpus, gpus, memoryGb },
+      entry: { job: id, index, attempt: (i + 1) as AttemptId, team: owner, cpus, gpus, memoryGb },
       machine: m,
       job: j,
       placedAt: startedAt,
       phase: 'running',
       startedAt,
-      sentIn: null,
-      kill: null,
-      superseded: false,
-      needs: null,
+      dispatchedEpoch: null,
+      stopRequest: null,
+      isSuperseded: false,
+      requiredProgress: null,
       segment: null,
     };
     addPlacement(state, p);
@@ -160,19 +164,21 @@
       fc.property(drawnWorld, (drawn) => {
         const { state, world } = worldOf(drawn);
         const plain = plainRound(world);
-        const real = runRound(state, NOW as Instant);
+        const real = runSchedulingRound(state, NOW as Instant);
         const placed = real.placed.map((p) => `${p.entry.job}@${p.machine.id}`);
         expect(placed).toEqual(plain.starts);
-        expect(state.head).toBe(plain.head);
+        expect(state.queueHead).toBe(plain.head);
         const stopped = [...state.machines.values()].flatMap((m) =>
-          [...m.placements.values()].filter((p) => p.kill).map((p) => `${p.entry.job}@${m.id}`),
+          [...m.placements.values()]
+            .filter((p) => p.stopRequest)
+            .map((p) => `${p.entry.job}@${m.id}`),
         );
         expect(stopped.sort()).toEqual(plain.stopped.sort());
         stops += stopped.length;
         replicas += real.placed.filter((p) => isService(p.job!)).length;
-        kept += [...state.machines.values()].filter((m) => m.kept).length;
+        kept += [...state.machines.values()].filter((m) => m.isReservedForServices).length;
         starts += placed.length;
-        if (state.shadowAt !== null) reservations += 1;
+        if (state.shadowTime !== null) reservations += 1;
       }),
       { seed: 20261, numRuns: 3000 },
     );
@@ -204,11 +210,11 @@
         cpus: i % 3 === 1 ? 4 : 1,
         gpus: 0,
         memoryGb: 1,
-        types: null,
+        machineTypes: null,
         zone: null,
-        oneZone: false,
-        scatter: false,
-        spotOk: true,
+        singleZone: false,
+        spreadZones: false,
+        allowsSpot: true,
         estimateS: 10 + ((i * 13) % 60),
         deadlineS: i % 3 === 0 ? 60 : null,
         imageGb: ([0, 1.5, 3] as const)[i % 3]!,
@@ -249,7 +255,7 @@
   it('decides as the plain model on a fleet of 990 machines', () => {
     const { state, world } = fleet(990, 6, 40, 60);
     const plain = plainRound(world);
-    const real = runRound(state, NOW as Instant);
+    const real = runSchedulingRound(state, NOW as Instant);
     expect(real.placed.map((p) => `${p.entry.job}@${p.machine.id}`)).toEqual(plain.starts);
     expect(real.placed.length).toBeGreaterThan(50);
   });
@@ -261,10 +267,10 @@
       const once = fleet(990, 200, 5000, 2970, services);
       const twice = fleet(1980, 400, 10_000, 5940, services);
       const placed = [once, twice].map(
-        ({ state }) => runRound(state, NOW as Instant).placed.length,
+        ({ state }) => runSchedulingRound(state, NOW as Instant).placed.length,
       );
       expect(Math.min(...placed)).toBeGreaterThan(1000);
-      for (const { state } of [once, twice]) expect(state.shadowAt).not.toBeNull();
+      for (const { state } of [once, twice]) expect(state.shadowTime).not.toBeNull();
       expect(twice.looked()).toBeLessThan(2.6 * once.looked());
       // Far from every waiting task with every machine.
       expect(once.looked()).toBeLessThan(60 * 990);
@@ -273,39 +279,39 @@
 
   it('keeps the head at the top until it has started, whatever arrives', () => {
     const state = core();
-    state.types.set('c8' as TypeName, type('c8'));
-    const at = { endpoint: '', type: 'c8' as TypeName, zone: 'a' as ZoneName, spot: false };
-    const m = newMachine('n-1' as MachineId, at, 0 as Instant, 0 as Instant);
-    m.ready = true;
+    state.types.set('c8' as MachineTypeName, type('c8'));
+    const at = { endpoint: '', type: 'c8' as MachineTypeName, zone: 'a' as ZoneName, spot: false };
+    const m = createMachine('n-1' as MachineId, at, 0 as Instant, 0 as Instant);
+    m.isReady = true;
     state.machines.set(m.id, m);
     const add = (id: string, change: object) => {
       const spec = job(id, change);
-      state.jobs.set(spec.id, newJob(spec, 0 as Instant));
+      state.jobs.set(spec.id, createJob(spec, 0 as Instant));
     };
     add('job-1', { cpus: 6, estimateS: 50 });
-    runRound(state, 0 as Instant);
+    runSchedulingRound(state, 0 as Instant);
     add('job-2', { cpus: 4, estimateS: 20 });
-    runRound(state, 0 as Instant);
-    expect(state.head).toBe('job-2');
+    runSchedulingRound(state, 0 as Instant);
+    expect(state.queueHead).toBe('job-2');
     // Shorter, so it scores higher; still it may neither take the head's rank nor outlast its reservation.
     add('job-3', { cpus: 1, estimateS: 1 });
     add('job-4', { cpus: 1, estimateS: 400, tasks: 4 });
-    const round = runRound(state, 0 as Instant);
-    expect(state.head).toBe('job-2');
-    expect(state.shadowAt).toBe(50_000);
+    const round = runSchedulingRound(state, 0 as Instant);
+    expect(state.queueHead).toBe('job-2');
+    expect(state.shadowTime).toBe(50_000);
     const placed = round.placed.map((p) => p.entry.job);
     expect(placed.filter((id) => id === 'job-3')).toHaveLength(1);
     expect(placed.filter((id) => id === 'job-4')).toHaveLength(1);
   });
 
   it('stops lower tasks that save, no more than an urgent head needs, and keeps their room for it', () => {
-    const at = { endpoint: '', type: 'c8' as TypeName, zone: 'a' as ZoneName, spot: false };
+    const at = { endpoint: '', type: 'c8' as MachineTypeName, zone: 'a' as ZoneName, spot: false };
     const play = (victim: object, urgent: object, startedAt = 0, policy = {}) => {
       const state = core({}, policy);
-      state.types.set('c8' as TypeName, type('c8'));
-      const m = newMachine('n-1' as MachineId, at, 0 as Instant, 0 as Instant);
-      m.ready = true;
-      m.lastSeen = 64_000 as Instant;
+      state.types.set('c8' as MachineTypeName, type('c8'));
+      const m = createMachine('n-1' as MachineId, at, 0 as Instant, 0 as Instant);
+      m.isReady = true;
+      m.lastHeartbeatAt = 64_000 as Instant;
       state.machines.set(m.id, m);
       const sweep = job('job-1', {
         priority: 'best_effort',
@@ -314,49 +320,51 @@
         estimateS: 500,
         ...victim,
       });
-      state.jobs.set(sweep.id, newJob(sweep, 0 as Instant));
-      for (const p of runRound(state, 0 as Instant).placed) {
+      state.jobs.set(sweep.id, createJob(sweep, 0 as Instant));
+      for (const p of runSchedulingRound(state, 0 as Instant).placed) {
         p.phase = 'running';
         p.startedAt = startedAt as Instant;
       }
       const head = job('job-2', { priority: 'urgent', cpus: 3, ...urgent });
-      state.jobs.set(head.id, newJob(head, 50_000 as Instant));
+      state.jobs.set(head.id, createJob(head, 50_000 as Instant));
       // Small enough for every hole, it must not take the room that is made for the head.
       const small = job('job-3', { priority: 'standard', tasks: 20, estimateS: 100 });
-      state.jobs.set(small.id, newJob(small, 50_000 as Instant));
-      const round = runRound(state, 60_000 as Instant);
+      state.jobs.set(small.id, createJob(small, 50_000 as Instant));
+      const round = runSchedulingRound(state, 60_000 as Instant);
       expect(round.placed).toEqual([]);
-      const stopped = () => [...m.placements.values()].filter((p) => p.kill);
+      const stopped = () => [...m.placements.values()].filter((p) => p.stopRequest);
       const first = stopped().length;
-      runRound(state, 60_100 as Instant);
+      runSchedulingRound(state, 60_100 as Instant);
       expect(stopped().length).toBe(first);
       return { state, stopped: stopped() };
     };
-    const saving = { checkpointS: 10, saveS: 3 };
+    const saving = { checkpointIntervalS: 10, checkpointWriteS: 3 };
     const { state, stopped } = play(saving, {});
     expect(stopped).toHaveLength(2);
-    expect(stopped[0]?.kill?.graceS).toBeGreaterThan(3);
-    for (const p of stopped) release(state, p, 64_000 as Instant);
-    const placed = runRound(state, 64_000 as Instant).placed.map((p) => p.entry.job as string);
+    expect(stopped[0]?.stopRequest?.graceS).toBeGreaterThan(3);
+    for (const p of stopped) releasePlacement(state, p, 64_000 as Instant);
+    const placed = runSchedulingRound(state, 64_000 as Instant).placed.map(
+      (p) => p.entry.job as string,
+    );
     expect(placed.filter((id) => id === 'job-2')).toHaveLength(1);
     // Not: tasks that lose their work, of equal priority, hardly begun; nor for a head of lower priority, or if told not to.
-    expect(play({ checkpointS: 0 }, {}).stopped).toEqual([]);
+    expect(play({ checkpointIntervalS: 0 }, {}).stopped).toEqual([]);
     expect(play({ ...saving, priority: 'urgent' }, {}).stopped).toEqual([]);
     expect(play(saving, {}, 40_000).stopped).toEqual([]);
     expect(play(saving, { priority: 'standard', estimateS: 1 }).stopped).toEqual([]);
-    expect(play(saving, {}, 0, { makeRoomLevel: 4 }).stopped).toEqual([]);
+    expect(play(saving, {}, 0, { preemptionMinPriority: 4 }).stopped).toEqual([]);
   });
 
   it('never lets a job that fails everywhere reserve', () => {
     const state = core();
     const spec = job('job-1', { cpus: 4 });
-    const failing = newJob(spec, 0 as Instant);
-    for (const id of ['n-1', 'n-2', 'n-3']) failing.failedOn.add(id as MachineId);
+    const failing = createJob(spec, 0 as Instant);
+    for (const id of ['n-1', 'n-2', 'n-3']) failing.failedMachines.add(id as MachineId);
     state.jobs.set(spec.id, failing);
     const other = job('job-2', { estimateS: 500 });
-    state.jobs.set(other.id, newJob(other, 9_000_000 as Instant));
-    runRound(state, 9_000_000 as Instant);
-    expect(state.head).toBe('job-2');
+    state.jobs.set(other.id, createJob(other, 9_000_000 as Instant));
+    runSchedulingRound(state, 9_000_000 as Instant);
+    expect(state.queueHead).toBe('job-2');
   });
 });
 
--- a/test/check-ins.test.ts
+++ b/test/check-ins.test.ts
@@ -3,11 +3,11 @@
 import { afterEach, describe, expect, it } from 'vitest';
 import { parseSettings } from '../src/adapters/configuration/settings.js';
 import { makeApi, serveApi } from '../src/adapters/http/api-server.js';
-import type { CheckInReply } from '../src/adapters/http/heartbeat-connections.js';
-import { makeCheckIn } from '../src/adapters/http/heartbeat-handler.js';
-import { type Framing, frameCheckIn } from '../src/adapters/http/plain-request.js';
-import { parseReport, ReportReader } from '../src/adapters/workers/heartbeat-parser.js';
-import type { Report } from '../src/core/types.js';
+import type { HeartbeatReply } from '../src/adapters/http/heartbeat-connections.js';
+import { makeHeartbeatHandler } from '../src/adapters/http/heartbeat-handler.js';
+import { type Framing, frameHeartbeat } from '../src/adapters/http/plain-request.js';
+import { HeartbeatParser, parseHeartbeat } from '../src/adapters/workers/heartbeat-parser.js';
+import type { Heartbeat } from '../src/core/model/heartbeat.js';
 import type { Controller } from '../src/service/controller.js';
 import { post } from './stand-ins/cloud.js';
 import { cleanUp, cleanups, freePort, log, until } from './stand-ins/cluster.js';
@@ -24,13 +24,13 @@
 ): string =>
   `${[line, 'Host: 10.0.0.1', `Content-Length: ${body.length}`, ...headers].join('\r\n')}\r\n\r\n${body}`;
 
-const kindOf = (text: string): Framing['kind'] => frameCheckIn(Buffer.from(text), MAX_BODY).kind;
+const kindOf = (text: string): Framing['kind'] => frameHeartbeat(Buffer.from(text), MAX_BODY).kind;
 
 describe('framing of a check-in', () => {
   it('needs every byte of it, whatever the cuts', () => {
     const whole = request('{"a":1}');
     for (let n = 1; n < whole.length; n += 1) expect(kindOf(whole.slice(0, n))).toBe('incomplete');
-    const framing = frameCheckIn(Buffer.from(`${whole}POST`), MAX_BODY);
+    const framing = frameHeartbeat(Buffer.from(`${whole}POST`), MAX_BODY);
     if (framing.kind !== 'request') throw new Error(framing.kind);
     expect(whole.slice(framing.bodyStart, framing.bodyEnd)).toBe('{"a":1}');
     expect(framing.close).toBe(false);
@@ -62,7 +62,7 @@
   });
 
   it('sees that the connection is to be closed', () => {
-    const framing = frameCheckIn(Buffer.from(request('{}', ['Connection: Close'])), MAX_BODY);
+    const framing = frameHeartbeat(Buffer.from(request('{}', ['Connection: Close'])), MAX_BODY);
     expect(framing).toMatchObject({ kind: 'request', close: true });
   });
 });
@@ -94,12 +94,12 @@
   const bodies: string[] = [];
   const waiting: (() => void)[] = [];
   const control = { hold: false };
-  const checkIn = async (body: string): Promise<CheckInReply> => {
+  const checkIn = async (body: string): Promise<HeartbeatReply> => {
     bodies.push(body);
     if (control.hold) await new Promise<void>((resolve) => waiting.push(resolve));
     return { status: 200, body: { got: body } };
   };
-  const controller = { ready: () => true } as unknown as Controller;
+  const controller = { isReady: () => true } as unknown as Controller;
   const server = serveApi(settings, makeApi(controller, log, checkIn), log, checkIn);
   cleanups.push(
     () => server.close(),
@@ -189,8 +189,8 @@
     const port = await freePort();
     const settings = parseSettings(settingsText({ api_addr: `127.0.0.1:${port}` }));
     let decision: unknown = { kind: 'later' };
-    const controller = { checkIn: async () => decision } as unknown as Controller;
-    const checkIn = makeCheckIn(controller, log);
+    const controller = { handleHeartbeat: async () => decision } as unknown as Controller;
+    const checkIn = makeHeartbeatHandler(controller, log);
     const server = serveApi(settings, makeApi(controller, log, checkIn), log, checkIn);
     cleanups.push(
       () => server.close(),
@@ -258,22 +258,22 @@
 
 describe('reports', () => {
   it('are checked only where they differ from the last one', () => {
-    const reader = new ReportReader();
+    const reader = new HeartbeatParser();
     const tasks = Array.from({ length: 40 }, (_, n) => running(n));
-    reader.read(fresh(report(1, tasks)));
+    reader.parse(fresh(report(1, tasks)));
     expect(reader.checked).toBe(40);
-    for (let tick = 2; tick < 12; tick += 1) reader.read(fresh(report(tick, tasks)));
+    for (let tick = 2; tick < 12; tick += 1) reader.parse(fresh(report(tick, tasks)));
     expect(reader.checked).toBe(40);
     // One ends, one is gone, one is new.
     const changed = tasks.map((t, n) => (n === 5 ? { ...t, Status: 'ended', Cause: 'done' } : t));
     changed.splice(20, 1);
     changed.push(running(90));
-    reader.read(fresh(report(12, changed)));
+    reader.parse(fresh(report(12, changed)));
     expect(reader.checked).toBe(42);
   });
 
   it('say the same whether remembered or read alone, whatever changes, and malformed ones are refused alike', () => {
-    const reader = new ReportReader();
+    const reader = new HeartbeatParser();
     let seed = 7;
     const draw = (n: number): number => {
       seed = (seed * 1_103_515_245 + 12_345) % 2_147_483_648;
@@ -293,8 +293,8 @@
       if (draw(9) === 0) tasks = [...tasks].reverse();
       const bad = draw(12) === 0;
       const body = report(tick, bad ? [...tasks, { ...running(1), Try: -1 }] : tasks);
-      const alone: Report | null = parseReport(fresh(body));
-      expect(reader.read(fresh(body))).toEqual(alone);
+      const alone: Heartbeat | null = parseHeartbeat(fresh(body));
+      expect(reader.parse(fresh(body))).toEqual(alone);
       if (bad) {
         expect(alone).toBeNull();
         refused += 1;
--- a/test/direct-orders.test.ts
+++ b/test/direct-orders.test.ts
@@ -3,7 +3,7 @@
 import type { AddressInfo } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
 import { WorkerClient } from '../src/adapters/workers/worker-client.js';
-import type { Term } from '../src/core/types.js';
+import type { FencingToken } from '../src/core/model/ids.js';
 import { cleanUp, cleanups } from './stand-ins/cluster.js';
 
 afterEach(cleanUp);
@@ -40,7 +40,7 @@
     const answers = await Promise.all(
       servers.map((server) => {
         const { port } = server.address() as AddressInfo;
-        return client.orders(`127.0.0.1:${port}`, 7 as Term, 1, []);
+        return client.sendCommands(`127.0.0.1:${port}`, 7 as FencingToken, 1, []);
       }),
     );
     expect(answers.filter((report) => report?.machine === 'n-1')).toHaveLength(count);
@@ -67,7 +67,7 @@
     const { port } = server.address() as AddressInfo;
     const client = new WorkerClient(5);
     const orders = Array.from({ length: 40 }, () =>
-      client.orders(`127.0.0.1:${port}`, 7 as Term, 1, []),
+      client.sendCommands(`127.0.0.1:${port}`, 7 as FencingToken, 1, []),
     );
     await Promise.all(orders);
     expect(asked).toBe(40);
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -2,15 +2,15 @@
 import pino from 'pino';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type {
-  Guard,
+  KeyValueStoreClient,
   LeaseId,
-  StateClient,
-  Write,
+  Mutation,
+  Precondition,
 } from '../src/adapters/key-value-store/key-value-store-client.js';
 import { steadyNow } from '../src/adapters/runtime/clock.js';
 import { Jitter } from '../src/adapters/runtime/random.js';
-import type { NodeId, Revision, Term } from '../src/core/types.js';
-import { Election } from '../src/service/leader-election.js';
+import type { FencingToken, NodeId, Revision } from '../src/core/model/ids.js';
+import { LeaderElection } from '../src/service/leader-election.js';
 
 const LEASE_MS = 3000;
 
@@ -45,7 +45,7 @@
     for (const wake of this.watchers.splice(0)) wake();
   }
 
-  client(): StateClient {
+  client(): KeyValueStoreClient {
     return {
       get: () =>
         this.carry(() =>
@@ -70,7 +70,7 @@
           this.ends.delete(lease);
           if (this.key?.lease === lease) this.change(null);
         }),
-      txn: (guards: Guard[], writes: Write[]) =>
+      compareAndSwap: (guards: Precondition[], writes: Mutation[]) =>
         this.carry(() => {
           const write = writes[0]!;
           if (!('put' in write) || guards[0]!.revision !== (this.key?.revision ?? 0))
@@ -79,7 +79,7 @@
           this.change({ value: write.value, lease: write.lease! });
           return { revision: this.revision as Revision };
         }),
-      follow: (_: string, since: Revision, holdMs: number) =>
+      watch: (_: string, since: Revision, holdMs: number) =>
         this.carry(async () => {
           if (this.revision <= since) {
             await Promise.race([
@@ -90,7 +90,7 @@
           }
           return { revision: this.revision, changes: [] };
         }),
-    } as unknown as StateClient;
+    } as unknown as KeyValueStoreClient;
   }
 }
 
@@ -102,10 +102,13 @@
     vi.useRealTimers();
   });
 
-  const start = (state: SlowState, node: string, terms: Term[], seed: number) => {
-    const events = { acquired: (term: Term) => void terms.push(term), lost: () => {} };
+  const start = (state: SlowState, node: string, terms: FencingToken[], seed: number) => {
+    const events = {
+      onElected: (term: FencingToken) => void terms.push(term),
+      onDeposed: () => {},
+    };
     const log = pino({ level: 'silent' });
-    const election = new Election(
+    const election = new LeaderElection(
       node as NodeId,
       state.client(),
       LEASE_MS,
@@ -120,13 +123,13 @@
   it('keeps its lease alive without a gap while every answer takes two seconds', async () => {
     const state = new SlowState();
     state.delayMs = 1000;
-    const terms: Term[] = [];
+    const terms: FencingToken[] = [];
     const election = start(state, 'node-0', terms, 1);
     await vi.advanceTimersByTimeAsync(12_000);
     expect(terms).toHaveLength(1);
     for (let i = 0; i < 300; i += 1) {
       await vi.advanceTimersByTimeAsync(100);
-      expect(election.validUntil).toBeGreaterThan(steadyNow());
+      expect(election.leaseValidUntil).toBeGreaterThan(steadyNow());
     }
     expect(terms).toHaveLength(1);
     election.stop();
@@ -135,14 +138,16 @@
   it('gives each leader a new term, and never two at once, while processes are back within a moment', async () => {
     const state = new SlowState();
     state.delayMs = 3;
-    const terms: Term[] = [];
+    const terms: FencingToken[] = [];
     const running = ['node-0', 'node-1', 'node-2'].map((node, i) =>
       start(state, node, terms, i + 1),
     );
     const draw = new Jitter(77);
     for (let i = 0; i < 200; i += 1) {
       await vi.advanceTimersByTimeAsync(draw.around(300));
-      const valid = running.filter((e) => e.term !== null && e.validUntil > steadyNow());
+      const valid = running.filter(
+        (e) => e.fencingToken !== null && e.leaseValidUntil > steadyNow(),
+      );
       expect(valid.length).toBeLessThanOrEqual(1);
       // One ends, the leader most often, also in mid-election, and is back after anything up to a quarter second.
       const at =
@@ -150,15 +155,17 @@
           ? i % running.length
           : Math.max(
               0,
-              running.findIndex((e) => e.term !== null),
+              running.findIndex((e) => e.fencingToken !== null),
             );
       running[at]!.stop();
-      running[at]!.deposed();
+      running[at]!.stepDown();
       await vi.advanceTimersByTimeAsync(i % 250);
       running[at] = start(state, `node-${at}`, terms, 100 + i);
     }
     await vi.advanceTimersByTimeAsync(10_000);
-    expect(running.filter((e) => e.term !== null && e.validUntil > steadyNow())).toHaveLength(1);
+    expect(
+      running.filter((e) => e.fencingToken !== null && e.leaseValidUntil > steadyNow()),
+    ).toHaveLength(1);
     expect(new Set(terms).size).toBe(terms.length);
     expect(terms.length).toBeGreaterThan(50);
     expect([...terms].sort((a, b) => a - b)).toEqual(terms);
--- a/test/extensions.test.ts
+++ b/test/extensions.test.ts
@@ -8,8 +8,10 @@
   OperatorAnswer,
 } from '../src/core/extensions/extension.js';
 import { ExtensionHost } from '../src/core/extensions/extension-host.js';
-import type { Effect, SaveOp, Ticket } from '../src/core/types.js';
-import { Persister } from '../src/service/batch-writer.js';
+import type { Effect } from '../src/core/model/effect.js';
+import type { ReplyTicket } from '../src/core/model/ids.js';
+import type { StoreOperation } from '../src/core/model/ledger-record.js';
+import { BatchWriter } from '../src/service/batch-writer.js';
 import { core } from './model/build.js';
 import { CoreDriver, ended, running } from './model/core-driver.js';
 import { log } from './stand-ins/cluster.js';
@@ -21,8 +23,8 @@
   observe: () => {},
   decide: () => [],
   call: () => null,
-  mayReturn: () => true,
-  mayMove: () => true,
+  mayScaleIn: () => true,
+  mayEvictReplica: () => true,
   ...change,
 });
 
@@ -36,11 +38,11 @@
 const playDay = (s: CoreDriver): Effect[] => {
   for (const id of ['n-1', 'n-2']) s.up(id);
   s.submit('job-1', { tasks: 6, cpus: 2 });
-  s.submit('job-2', { shape: 'service', tasks: 2, priority: 'critical', spotOk: false });
+  s.submit('job-2', { shape: 'service', tasks: 2, priority: 'critical', allowsSpot: false });
   for (let i = 0; i < 12; i += 1) {
     for (const id of ['n-1', 'n-2']) {
       const starts = s.starts(s.checkIn(id));
-      s.checkIn(id, starts.map(running), i === 9 && id === 'n-1' ? { noticeS: 20 } : {});
+      s.checkIn(id, starts.map(running), i === 9 && id === 'n-1' ? { reclaimNoticeS: 20 } : {});
       const done = starts.map((o) =>
         ended(o, o.job === 'job-2' ? null : i === 3 ? 'error' : 'done'),
       );
@@ -62,17 +64,20 @@
     const plain = playDay(off);
     const withIdle = playDay(on);
     const extra = withIdle.filter(
-      (e) => e.kind === 'save' && e.ops.some((op) => op.kind === 'extension'),
+      (e) => e.kind === 'store-batch' && e.ops.some((op) => op.kind === 'write-extension-records'),
     );
     expect(plain.length).toBeGreaterThan(100);
-    expect(plain.some((e) => e.kind === 'delete')).toBe(true);
-    expect(plain.some((e) => e.kind === 'rent')).toBe(true);
+    expect(plain.some((e) => e.kind === 'delete-machines')).toBe(true);
+    expect(plain.some((e) => e.kind === 'provision')).toBe(true);
     // Only disruptions that nobody chose are written down by the package.
     const comparable = (effects: readonly Effect[]) =>
       effects
         .filter(
           (e) =>
-            e.kind === 'rent' || e.kind === 'delete' || e.kind === 'orders' || e.kind === 'answer',
+            e.kind === 'provision' ||
+            e.kind === 'delete-machines' ||
+            e.kind === 'send-commands' ||
+            e.kind === 'reply-to-heartbeat',
         )
         .map((e) => JSON.stringify(e));
     expect(comparable(withIdle)).toEqual(comparable(plain));
@@ -108,10 +113,10 @@
       'n-1',
       starts.map((o) => ended(o, 'done')),
     );
-    expect(s.effects.some((e) => e.kind === 'final')).toBe(true);
+    expect(s.effects.some((e) => e.kind === 'job-ended')).toBe(true);
     expect(asked).toBeGreaterThan(3);
     const notes = s.effects.filter(
-      (e) => e.kind === 'note' && e.text.startsWith('extension failed'),
+      (e) => e.kind === 'log' && e.text.startsWith('extension failed'),
     );
     expect(notes.length).toBeGreaterThan(3);
   });
@@ -119,7 +124,7 @@
   it('in its gate counts as no consent: replicas stay, idle machines are kept', () => {
     const s = driverWith(
       extension({
-        mayMove: () => {
+        mayEvictReplica: () => {
           throw new Error('broken');
         },
       }),
@@ -132,10 +137,10 @@
       return starts.length > 0;
     })!;
     const machine = s.state.machines.get(holder as never)!;
-    machine.draining = true;
+    machine.isDraining = true;
     const held = [...machine.placements.values()][0]!;
     s.pass(4000);
-    expect(held.kill).toBeNull();
+    expect(held.stopRequest).toBeNull();
   });
 
   it('answers a call with 503', () => {
@@ -147,7 +152,7 @@
       }),
     );
     const call = { route: 'any', subject: '', body: {} };
-    s.send({ kind: 'operator-call', extension: 'probe', call, ticket: 5 as Ticket });
+    s.send({ kind: 'operator-call', extension: 'probe', call, ticket: 5 as ReplyTicket });
     const answers = s.effects.flatMap((e): OperatorAnswer[] =>
       e.kind === 'operator-answer' ? [e.answer] : [],
     );
@@ -177,8 +182,10 @@
       }),
     );
     s.pass(30_000);
-    const batches = s.effects.flatMap((e) => (e.kind === 'save' ? [e.ops] : []));
-    const sizes = batches.map((ops) => ops.filter((op) => op.kind === 'extension').length);
+    const batches = s.effects.flatMap((e) => (e.kind === 'store-batch' ? [e.ops] : []));
+    const sizes = batches.map(
+      (ops) => ops.filter((op) => op.kind === 'write-extension-records').length,
+    );
     expect(Math.max(...sizes)).toBeLessThanOrEqual(6);
     expect(stored).toHaveLength(40);
     expect(stored).toEqual([...stored].sort().reverse());
@@ -187,29 +194,37 @@
   it('are guarded by the leader key and by their own versions, and a deletion of what is not there is left out', async () => {
     const sent: unknown[] = [];
     const state = {
-      down: false,
-      txn: async (guards: unknown, writes: unknown) => {
+      isDown: false,
+      compareAndSwap: async (guards: unknown, writes: unknown) => {
         sent.push({ guards, writes });
         return { revision: 9 };
       },
     };
     const jitter = { around: (ms: number) => ms };
-    const persister = new Persister(state as never, 7 as never, log, jitter as never);
-    const ops: SaveOp[] = [
+    const persister = new BatchWriter(state as never, 7 as never, log, jitter as never);
+    const ops: StoreOperation[] = [
       {
-        kind: 'extension',
+        kind: 'write-extension-records',
         extension: 'drain',
         writes: [
           { key: 'a', value: { n: 1 } },
           { key: 'gone', value: null },
         ],
       },
-      { kind: 'extension', extension: 'drain', writes: [{ key: 'gone', value: null }] },
+      {
+        kind: 'write-extension-records',
+        extension: 'drain',
+        writes: [{ key: 'gone', value: null }],
+      },
     ];
-    expect(await persister.save(ops)).toEqual([]);
+    expect(await persister.storeBatch(ops)).toEqual([]);
     expect(
-      await persister.save([
-        { kind: 'extension', extension: 'drain', writes: [{ key: 'a', value: null }] },
+      await persister.storeBatch([
+        {
+          kind: 'write-extension-records',
+          extension: 'drain',
+          writes: [{ key: 'a', value: null }],
+        },
       ]),
     ).toEqual([]);
     expect(sent).toEqual([
--- a/test/isolated-leader.test.ts
+++ b/test/isolated-leader.test.ts
@@ -1,7 +1,13 @@
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { CloudClient } from '../src/adapters/cloud/cloud-client.js';
 import { parseEndpoint } from '../src/adapters/configuration/settings.js';
-import type { Authority, MachineId, RequestName, TypeName, ZoneName } from '../src/core/types.js';
+import type { Authority, Effect } from '../src/core/model/effect.js';
+import type {
+  MachineId,
+  MachineTypeName,
+  ProvisionRequestId,
+  ZoneName,
+} from '../src/core/model/ids.js';
 import { Cloud, post } from './stand-ins/cloud.js';
 import {
   body,
@@ -99,18 +105,18 @@
     const { at, controller } = nodes[0]!;
     type Inside = {
       authority(): Authority;
-      carryOut(effect: { kind: string; orders?: unknown[] }): void;
+      runEffect(effect: Effect): void;
     };
-    const { leading } = controller as unknown as { leading: Inside };
+    const { leaderTerm: leading } = controller as unknown as { leaderTerm: Inside };
     let frozen = false;
     let decided = 0;
     const authority = leading.authority.bind(leading);
     vi.spyOn(leading, 'authority').mockImplementation(() => (frozen ? 'keep-alive' : authority()));
-    const carryOut = leading.carryOut.bind(leading);
-    vi.spyOn(leading, 'carryOut').mockImplementation((effect) => {
-      carryOut(effect);
-      if (effect.kind !== 'answer' || !effect.orders?.length || decided > 0) return;
-      decided = effect.orders.length;
+    const runEffect = leading.runEffect.bind(leading);
+    vi.spyOn(leading, 'runEffect').mockImplementation((effect) => {
+      runEffect(effect);
+      if (effect.kind !== 'reply-to-heartbeat' || !effect.commands?.length || decided > 0) return;
+      decided = effect.commands.length;
       frozen = true;
     });
     expect((await post(at, '/api/jobs', body('job-1')))?.status).toBe(201);
@@ -129,14 +135,14 @@
     cleanups.push(() => cloud.close());
     const client = new CloudClient(parseEndpoint(await cloud.listen()), 100);
     cleanups.push(() => client.close());
-    const names = ['r-1' as RequestName, 'c8' as TypeName, 'a' as ZoneName] as const;
-    expect(await client.rent(...names, true, 2, () => false)).toBe('refused');
+    const names = ['r-1' as ProvisionRequestId, 'c8' as MachineTypeName, 'a' as ZoneName] as const;
+    expect(await client.provision(...names, true, 2, () => false)).toBe('refused');
     expect(cloud.workers.size).toBe(0);
-    const rented = await client.rent(...names, true, 2, () => true);
+    const rented = await client.provision(...names, true, 2, () => true);
     expect(cloud.workers.size).toBe(2);
-    expect(await client.delete(rented as MachineId[], () => false)).toBe(false);
+    expect(await client.deleteMachines(rented as MachineId[], () => false)).toBe(false);
     expect(cloud.workers.size).toBe(2);
-    expect(await client.delete(rented as MachineId[], () => true)).toBe(true);
+    expect(await client.deleteMachines(rented as MachineId[], () => true)).toBe(true);
     expect(cloud.workers.size).toBe(0);
   });
 });
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -4,10 +4,11 @@
 import { afterEach, describe, expect, it } from 'vitest';
 import { CloudClient } from '../src/adapters/cloud/cloud-client.js';
 import { parseEndpoint } from '../src/adapters/configuration/settings.js';
-import { StateClient } from '../src/adapters/key-value-store/key-value-store-client.js';
-import { ReportReader } from '../src/adapters/workers/heartbeat-parser.js';
+import { KeyValueStoreClient } from '../src/adapters/key-value-store/key-value-store-client.js';
+import { HeartbeatParser } from '../src/adapters/workers/heartbeat-parser.js';
 import { ATTEMPTS_PER_REVISION } from '../src/core/lifecycle/attempts.js';
-import type { MachineId, ReportedTask, Revision } from '../src/core/types.js';
+import type { TaskStatus } from '../src/core/model/heartbeat.js';
+import type { MachineId, Revision } from '../src/core/model/ids.js';
 import { core, team } from './model/build.js';
 import { CoreDriver, running } from './model/core-driver.js';
 import { CountingMap } from './model/counting-map.js';
@@ -20,7 +21,7 @@
 
 describe('a fleet of 4,200 machines', () => {
   it('is remembered whole by the report reader: unchanged tasks are checked once', () => {
-    const reader = new ReportReader();
+    const reader = new HeartbeatParser();
     const body = (name: string, tick: number) => ({
       Berth: name,
       Endpoint: '127.0.0.1:9',
@@ -37,13 +38,13 @@
       ],
     });
     for (let tick = 1; tick <= 20; tick += 1)
-      for (const name of names) reader.read(body(name, tick));
+      for (const name of names) reader.parse(body(name, tick));
     expect(reader.checked).toBe(2 * FLEET);
     expect(reader.remembered).toBe(FLEET);
   });
 
   it('forgets machines that have gone, so that what is remembered follows the fleet', () => {
-    const reader = new ReportReader();
+    const reader = new HeartbeatParser();
     const body = (name: string) => ({
       Berth: name,
       Endpoint: 'e',
@@ -53,21 +54,28 @@
       Tick: 1,
       Baton: 1,
     });
-    for (const name of names) reader.read(body(name));
-    for (let i = 0; i < 12 * FLEET; i += 1) reader.read(body(names[i % 100]!));
+    for (const name of names) reader.parse(body(name));
+    for (let i = 0; i < 12 * FLEET; i += 1) reader.parse(body(names[i % 100]!));
     expect(reader.remembered).toBe(100);
   });
 
   it('is placed on with work that follows the machines, and reports cost no walk over the fleet', () => {
     const teams = new Map([team('blue', 80_000)].map((t) => [t.name, t]));
-    const s = new CoreDriver(core({ teams, writeRps: 4000, txnOps: 1000, valueBytes: 16_384 }));
+    const s = new CoreDriver(
+      core({
+        teams,
+        storeWritesPerSecond: 4000,
+        maxTransactionOperations: 1000,
+        maxValueBytes: 16_384,
+      }),
+    );
     const counting = new CountingMap(s.state.machines);
     Object.assign(s.state, { machines: counting });
     s.checkInAll(new Map(names.map((name) => [name, []])));
     s.checkInAll(new Map(names.map((name) => [name, []])));
     expect(s.state.machines.size).toBe(FLEET);
     for (let i = 0; i < 100; i += 1) s.submit(`job-${i}`, { tasks: 500, cpus: 1 });
-    const told = new Map(names.map((name): [string, ReportedTask[]] => [name, []]));
+    const told = new Map(names.map((name): [string, TaskStatus[]] => [name, []]));
     let started = 0;
     for (let round = 0; round < 40 && started < FLEET * 8; round += 1) {
       for (const [name, orders] of s.checkInAll(told)) {
@@ -83,8 +91,8 @@
     expect(counting.visited / (4 * FLEET)).toBeLessThan(24);
     counting.visited = 0;
     s.send({
-      kind: 'report',
-      report: { ...s.lastReport('n-000001'), seq: 1_000_000 },
+      kind: 'heartbeat',
+      heartbeat: { ...s.lastReport('n-000001'), sequence: 1_000_000 },
       ticket: null,
     });
     expect(counting.visited).toBe(0);
@@ -93,12 +101,12 @@
   it("does not run out of attempt numbers: those of revisions stored under the term are the leader's too", () => {
     const s = new CoreDriver();
     s.up('n-1');
-    s.state.nextAttempt = ATTEMPTS_PER_REVISION - 1;
+    s.state.nextAttemptOffset = ATTEMPTS_PER_REVISION - 1;
     s.submit('job-1', { tasks: 3 });
     const first = s.starts(s.checkIn('n-1'));
     expect(first).toHaveLength(1);
-    const term = s.state.config.term;
-    s.send({ kind: 'saved', batch: -1, revision: (term + 3) as Revision });
+    const term = s.state.config.fencingToken;
+    s.send({ kind: 'batch-stored', batch: -1, revision: (term + 3) as Revision });
     s.pass(2500);
     const more = s.starts(s.checkIn('n-1', first.map(running)));
     expect(more).toHaveLength(2);
@@ -128,7 +136,7 @@
       rps,
     );
     cleanups.push(() => cloud.close());
-    const listed = await cloud.list();
+    const listed = await cloud.listMachines();
     expect(listed?.map((m) => m.id)).toEqual(names as MachineId[]);
     expect(pages).toBe(9);
     expect((pages / cloud.listPauseMs) * 1000).toBeLessThan(rps / 2);
@@ -143,8 +151,8 @@
     cleanups.push(() => server.close());
     const rates = { rps: 100, writeRps: 100 };
     const at = parseEndpoint(`127.0.0.1:${(server.address() as AddressInfo).port}`);
-    const state = new StateClient(at, { ...rates, lowered: rates });
+    const state = new KeyValueStoreClient(at, { ...rates, lowered: rates });
     cleanups.push(() => state.close());
-    expect(await state.follow('j/', 1 as Revision, 100)).toBe('too-old');
+    expect(await state.watch('j/', 1 as Revision, 100)).toBe('too-old');
   });
 });
--- a/test/ledger.test.ts
+++ b/test/ledger.test.ts
@@ -1,29 +1,29 @@
 /** The placement ledger: what it holds, and what becomes of it. */
 import { describe, expect, it } from 'vitest';
-import { step } from '../src/core/apply-commands.js';
+import { applyCommands } from '../src/core/apply-commands.js';
 import { segmentKey } from '../src/core/ledger/segments.js';
+import type { Command } from '../src/core/model/command.js';
+import type { Effect } from '../src/core/model/effect.js';
 import type {
-  Command,
-  Effect,
-  Instant,
+  FencingToken,
   JobId,
   MachineId,
-  SaveOp,
+  ReplyTicket,
   TeamName,
-  Term,
-  Ticket,
-} from '../src/core/types.js';
-import { readSegment, writeSegment } from '../src/service/stored-records.js';
+} from '../src/core/model/ids.js';
+import type { StoreOperation } from '../src/core/model/ledger-record.js';
+import type { Instant } from '../src/core/model/time.js';
+import { decodeSegment, encodeSegment } from '../src/service/stored-records.js';
 import { core, entry, job, recordedAt, report, task, team, type } from './model/build.js';
 import { CoreDriver, ended, running } from './model/core-driver.js';
 
 describe('the placement ledger', () => {
-  const saves = (effects: readonly Effect[]): SaveOp[] =>
-    effects.flatMap((e) => (e.kind === 'save' ? [...e.ops] : []));
+  const saves = (effects: readonly Effect[]): StoreOperation[] =>
+    effects.flatMap((e) => (e.kind === 'store-batch' ? [...e.ops] : []));
 
   it('enters the starts of many machines with few changes, each record within a value', () => {
     const s = new CoreDriver(
-      core({ valueBytes: 2048, teams: new Map([['blue' as TeamName, team('blue', 800)]]) }),
+      core({ maxValueBytes: 2048, teams: new Map([['blue' as TeamName, team('blue', 800)]]) }),
     );
     const ids = Array.from({ length: 60 }, (_, i) => `n-${i}`);
     for (const [seq, term] of [
@@ -32,9 +32,9 @@
     ] as const) {
       for (const [i, id] of ids.entries()) {
         s.send({
-          kind: 'report',
-          report: report(id, seq, term),
-          ticket: (seq * 100 + i) as Ticket,
+          kind: 'heartbeat',
+          heartbeat: report(id, seq, term),
+          ticket: (seq * 100 + i) as ReplyTicket,
         });
       }
       s.pass(2000);
@@ -42,24 +42,28 @@
     s.effects = [];
     s.submit('job-1', { tasks: 480 });
     s.pass(1000);
-    const records = saves(s.effects).filter((op) => op.kind === 'segment');
+    const records = saves(s.effects).filter((op) => op.kind === 'write-segment');
     expect(records.flatMap((r) => r.machines.flatMap((m) => m.entries)).length).toBe(480);
     expect(records.length).toBeLessThan(16);
     for (const r of records)
-      expect(JSON.stringify(writeSegment(r)).length).toBeLessThanOrEqual(2048);
+      expect(JSON.stringify(encodeSegment(r)).length).toBeLessThanOrEqual(2048);
   });
 
   it('enters replicas first where one batch cannot hold all that starts', () => {
     // Four changes a batch, small values, and far more starts than fit.
-    const limits = { valueBytes: 700, txnOps: 4, writeRps: 4 };
+    const limits = { maxValueBytes: 700, maxTransactionOperations: 4, storeWritesPerSecond: 4 };
     const state = core({ ...limits, teams: new Map([['blue' as TeamName, team('blue', 800)]]) });
     const run = (now: number, ...commands: Command[]) =>
-      step(state, commands, now as Instant, 'lead');
-    run(0, { kind: 'types', types: [type('c8')] }, { kind: 'loaded' });
+      applyCommands(state, commands, now as Instant, 'lead');
+    run(0, { kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
     for (let seq = 1; seq < 3; seq += 1) {
       for (let i = 0; i < 60; i += 1) {
         const told = report(`n-${i}`, seq, seq < 2 ? 6 : 7);
-        run(1000 * seq, { kind: 'report', report: told, ticket: (seq * 100 + i) as Ticket });
+        run(1000 * seq, {
+          kind: 'heartbeat',
+          heartbeat: told,
+          ticket: (seq * 100 + i) as ReplyTicket,
+        });
       }
     }
     run(3000, { kind: 'tick' });
@@ -76,9 +80,9 @@
     });
     const effects = run(3500, array, { kind: 'job', spec: replicas, submittedAt: 3500 as Instant });
     const first = saves(effects).flatMap((op) =>
-      op.kind === 'segment' ? op.machines.flatMap((m) => m.entries.map((e) => e.job)) : [],
+      op.kind === 'write-segment' ? op.machines.flatMap((m) => m.entries.map((e) => e.job)) : [],
     );
-    expect(state.toEnter.size).toBeGreaterThan(100);
+    expect(state.awaitingLedgerEntry.size).toBeGreaterThan(100);
     expect(first.filter((id) => id === 'job-2')).toHaveLength(6);
     expect(first.slice(0, 6)).toEqual(Array(6).fill('job-2'));
   });
@@ -90,11 +94,11 @@
     const starts = s.starts(s.up('n-1'));
     s.checkIn('n-1', starts.map(running));
     const progress = () =>
-      saves(s.effects).flatMap((op) => (op.kind === 'segment' ? op.progress : []));
+      saves(s.effects).flatMap((op) => (op.kind === 'write-segment' ? op.progress : []));
     s.effects = [];
     const told = starts.map((o, i) => (i === 0 ? ended(o, 'done') : running(o)));
     const seen = report('n-1', 50, 7, told);
-    s.send({ kind: 'report', report: seen, ticket: 900 as Ticket });
+    s.send({ kind: 'heartbeat', heartbeat: seen, ticket: 900 as ReplyTicket });
     s.now += 300;
     s.send({ kind: 'tick' });
     expect(progress()).toEqual([]);
@@ -104,7 +108,7 @@
     s.effects = [];
     const more = starts.map((o, i) => (i <= 1 ? ended(o, 'done') : running(o)));
     s.send(
-      { kind: 'report', report: report('n-1', 51, 7, more), ticket: 901 as Ticket },
+      { kind: 'heartbeat', heartbeat: report('n-1', 51, 7, more), ticket: 901 as ReplyTicket },
       { kind: 'job', spec: job('job-3'), submittedAt: s.now as Instant },
     );
     expect(progress()).toHaveLength(1);
@@ -115,45 +119,53 @@
       machines: [
         {
           machine: 'n-1' as MachineId,
-          at: recordedAt,
+          attributes: recordedAt,
           entries: [entry(0, 5), entry(3, 6, 'job-2')],
         },
       ],
-      progress: [{ job: 'job-1' as JobId, from: 0, bits: Uint8Array.of(5, 1) }],
+      progress: [{ job: 'job-1' as JobId, firstTask: 0, bits: Uint8Array.of(5, 1) }],
     };
-    const text = JSON.stringify(writeSegment(given));
-    expect(readSegment(JSON.parse(text))).toEqual(given);
+    const text = JSON.stringify(encodeSegment(given));
+    expect(decodeSegment(JSON.parse(text))).toEqual(given);
     const odd = [null, 7, [], {}, { j: [], m: [], d: [['job-1', -1, '']] }];
     odd.push(
       { ...JSON.parse(text), j: [] } as never,
       { ...JSON.parse(text), m: [['n-1']] } as never,
     );
-    for (const value of odd) expect(readSegment(value)).toBeNull();
+    for (const value of odd) expect(decodeSegment(value)).toBeNull();
   });
 
   it('starts nothing before every lease is surely over when a record cannot be read', () => {
     const s = new CoreDriver();
     const state = core();
     const send = (now: number, ...commands: Command[]) =>
-      step(state, commands, now as Instant, 'lead');
+      applyCommands(state, commands, now as Instant, 'lead');
+    send(
+      0,
+      { kind: 'machine-types', types: [type('c8')] },
+      { kind: 'unreadable-segment', segment: segmentKey(6 as FencingToken, 1) },
+    );
     send(
       0,
-      { kind: 'types', types: [type('c8')] },
-      { kind: 'unreadable', segment: segmentKey(6 as Term, 1) },
+      { kind: 'job', spec: job('job-1'), submittedAt: 0 as Instant },
+      { kind: 'recovery-completed' },
     );
-    send(0, { kind: 'job', spec: job('job-1'), submittedAt: 0 as Instant }, { kind: 'loaded' });
     const starts: number[] = [];
     let seq = 0;
     let dropped = 0;
     for (let now = 500; now < 40_000; now += 500) {
       seq += 1;
       const told = report('n-1', seq, seq < 3 ? 6 : 7, []);
-      for (const e of send(now, { kind: 'report', report: told, ticket: seq as Ticket })) {
-        if (e.kind === 'save') {
-          dropped += e.ops.filter((op) => op.kind === 'segment-gone').length;
-          send(now, { kind: 'saved', batch: e.batch });
+      for (const e of send(now, {
+        kind: 'heartbeat',
+        heartbeat: told,
+        ticket: seq as ReplyTicket,
+      })) {
+        if (e.kind === 'store-batch') {
+          dropped += e.ops.filter((op) => op.kind === 'drop-segment').length;
+          send(now, { kind: 'batch-stored', batch: e.batch });
         }
-        if (e.kind === 'answer') starts.push(...s.starts(e.orders).map(() => now));
+        if (e.kind === 'reply-to-heartbeat') starts.push(...s.starts(e.commands).map(() => now));
       }
     }
     // keep-alive 10 s, lease 16 s, and the margins of both.
@@ -180,13 +192,13 @@
       s.pass(500);
     }
     for (const op of saves(s.effects)) {
-      if (op.kind === 'segment') records.add(op.key);
-      if (op.kind === 'segment-gone') records.delete(op.key);
+      if (op.kind === 'write-segment') records.add(op.key);
+      if (op.kind === 'drop-segment') records.delete(op.key);
     }
     expect(records.size).toBeLessThan(15);
     // Whoever reads what is left learns of the long task.
-    expect(s.state.jobs.get('job-999' as JobId)?.held.size).toBe(1);
-    const p = [...s.state.jobs.get('job-999' as JobId)!.held.values()][0]![0]!;
+    expect(s.state.jobs.get('job-999' as JobId)?.attemptsByTask.size).toBe(1);
+    const p = [...s.state.jobs.get('job-999' as JobId)!.attemptsByTask.values()][0]![0]!;
     expect(records.has(p.segment!.key)).toBe(true);
   });
 });
@@ -199,8 +211,8 @@
     const odd = task('job-1', 0, 123);
     s.checkIn('n-9', [odd]);
     s.pass(500);
-    const ops = s.effects.flatMap((e) => (e.kind === 'save' ? [...e.ops] : []));
-    const rows = ops.flatMap((op) => (op.kind === 'segment' ? op.machines : []));
+    const ops = s.effects.flatMap((e) => (e.kind === 'store-batch' ? [...e.ops] : []));
+    const rows = ops.flatMap((op) => (op.kind === 'write-segment' ? op.machines : []));
     expect(rows.find((r) => r.machine === 'n-9')?.entries).toMatchObject([{ attempt: 123 }]);
   });
 });
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -2,24 +2,24 @@
 import pino from 'pino';
 import { afterEach, describe, expect, it } from 'vitest';
 import { parseSettings, SettingsError } from '../src/adapters/configuration/settings.js';
-import { StateClient } from '../src/adapters/key-value-store/key-value-store-client.js';
+import { KeyValueStoreClient } from '../src/adapters/key-value-store/key-value-store-client.js';
 import { Jitter } from '../src/adapters/runtime/random.js';
-import { step } from '../src/core/apply-commands.js';
+import { applyCommands } from '../src/core/apply-commands.js';
+import type { CoreState } from '../src/core/core-state.js';
 import { segmentKey } from '../src/core/ledger/segments.js';
-import type { CoreState } from '../src/core/state.js';
+import type { Command } from '../src/core/model/command.js';
 import type {
-  Command,
-  Instant,
+  FencingToken,
   JobId,
   MachineId,
-  SaveOp,
+  ReplyTicket,
   SegmentKey,
   TeamName,
-  Term,
-  Ticket,
-} from '../src/core/types.js';
-import { Persister } from '../src/service/batch-writer.js';
-import { readSegment, writeSegment } from '../src/service/stored-records.js';
+} from '../src/core/model/ids.js';
+import type { StoreOperation } from '../src/core/model/ledger-record.js';
+import type { Instant } from '../src/core/model/time.js';
+import { BatchWriter } from '../src/service/batch-writer.js';
+import { decodeSegment, encodeSegment } from '../src/service/stored-records.js';
 import { core, entry, job, recordedAt, report, task, team, type } from './model/build.js';
 import { settingsText } from './stand-ins/settings.js';
 import { StateService } from './stand-ins/state-service.js';
@@ -68,13 +68,13 @@
   commands: Command[],
   now: number,
 ): void => {
-  for (const e of step(state, commands, now as Instant, 'lead')) {
-    if (e.kind !== 'save') continue;
+  for (const e of applyCommands(state, commands, now as Instant, 'lead')) {
+    if (e.kind !== 'store-batch') continue;
     for (const op of e.ops) {
-      if (op.kind === 'segment') store.set(op.key, JSON.stringify(writeSegment(op)));
-      if (op.kind === 'segment-gone') store.delete(op.key);
+      if (op.kind === 'write-segment') store.set(op.key, JSON.stringify(encodeSegment(op)));
+      if (op.kind === 'drop-segment') store.delete(op.key);
     }
-    drive(state, store, [{ kind: 'saved', batch: e.batch }], now);
+    drive(state, store, [{ kind: 'batch-stored', batch: e.batch }], now);
   }
 };
 
@@ -87,15 +87,20 @@
     'fits values of %i bytes, %i changes at a time, and a new leader reads all of it',
     (bytes, txnOps) => {
       const small = {
-        valueBytes: bytes,
-        txnOps,
+        maxValueBytes: bytes,
+        maxTransactionOperations: txnOps,
         teams: new Map([['blue' as TeamName, team('blue', 1e6)]]),
       };
       const spec = job('job-1', { tasks: 100_000 });
       const add: Command = { kind: 'job', spec, submittedAt: 0 as Instant };
       const state = core(small);
       const store = new Map<SegmentKey, string>();
-      drive(state, store, [{ kind: 'types', types: [type('c8')] }, add, { kind: 'loaded' }], 0);
+      drive(
+        state,
+        store,
+        [{ kind: 'machine-types', types: [type('c8')] }, add, { kind: 'recovery-completed' }],
+        0,
+      );
       const done = Array.from({ length: 300 }, (_, i) => (i * 331) % 100_000);
       let now = 0;
       for (const [i, index] of done.entries()) {
@@ -104,7 +109,7 @@
         drive(
           state,
           store,
-          [{ kind: 'report', report: report(`n-${i}`, 1, 7, ended), ticket: null }],
+          [{ kind: 'heartbeat', heartbeat: report(`n-${i}`, 1, 7, ended), ticket: null }],
           now,
         );
       }
@@ -112,14 +117,19 @@
         drive(state, store, [{ kind: 'tick' }], now);
       for (const text of store.values()) expect(text.length).toBeLessThanOrEqual(bytes);
       // By turns leaders of the same limits, of larger ones and of the same again: what each moved, the next reads.
-      for (const [i, limits] of [{}, { valueBytes: 8192, txnOps: 16 }, {}].entries()) {
-        const next = core({ ...small, ...limits, term: (8 + i) as Term });
+      for (const [i, limits] of [
+        {},
+        { maxValueBytes: 8192, maxTransactionOperations: 16 },
+        {},
+      ].entries()) {
+        const next = core({ ...small, ...limits, fencingToken: (8 + i) as FencingToken });
         const read: Command[] = [add];
         for (const [segment, text] of store) {
-          const record = readSegment(JSON.parse(text))!;
-          for (const row of record.progress) read.push({ kind: 'progress', segment, ...row });
+          const record = decodeSegment(JSON.parse(text))!;
+          for (const row of record.progress)
+            read.push({ kind: 'recovered-progress', segment, ...row });
         }
-        drive(next, store, [...read, { kind: 'loaded' }], 0);
+        drive(next, store, [...read, { kind: 'recovery-completed' }], 0);
         expect(next.jobs.get(spec.id)?.doneCount).toBe(done.length);
         for (let now = 250; now < 10_000; now += 250) drive(next, store, [{ kind: 'tick' }], now);
       }
@@ -133,21 +143,25 @@
     [20, 10],
     [1000, 32],
   ])('holds no more than half a second’s changes (at %i a second: %i)', (writeRps, most) => {
-    const state = core({ writeRps, txnOps: 32, valueBytes: 300 });
+    const state = core({
+      storeWritesPerSecond: writeRps,
+      maxTransactionOperations: 32,
+      maxValueBytes: 300,
+    });
     const sizes: number[] = [];
     const run = (...commands: Command[]): void => {
-      for (const e of step(state, commands, 0 as Instant, 'lead')) {
-        if (e.kind !== 'save') continue;
+      for (const e of applyCommands(state, commands, 0 as Instant, 'lead')) {
+        if (e.kind !== 'store-batch') continue;
         sizes.push(e.ops.length);
-        run({ kind: 'saved', batch: e.batch });
+        run({ kind: 'batch-stored', batch: e.batch });
       }
     };
     const odd = (n: number): Command => ({
-      kind: 'report',
-      report: report(`n-${n}`, 1, 7, [task(`job-${n}`, 0, n)]),
+      kind: 'heartbeat',
+      heartbeat: report(`n-${n}`, 1, 7, [task(`job-${n}`, 0, n)]),
       ticket: null,
     });
-    run({ kind: 'loaded' }, ...Array.from({ length: 100 }, (_, n) => odd(n)));
+    run({ kind: 'recovery-completed' }, ...Array.from({ length: 100 }, (_, n) => odd(n)));
     expect(Math.max(...sizes)).toBe(most);
   });
 });
@@ -159,32 +173,35 @@
     cleanups.push(() => state.close());
     const [host, port] = (await state.listen()).split(':');
     const rates = { rps: 1000, writeRps: 1000 };
-    const client = new StateClient(
+    const client = new KeyValueStoreClient(
       { host: host!, port: Number(port) },
       { ...rates, lowered: rates },
     );
     cleanups.push(() => client.close());
     state.multi({ Apply: [{ Write: 'leader', Data: {} }] });
-    const persister = new Persister(client, state.epoch as Term, log, new Jitter(3));
+    const persister = new BatchWriter(client, state.epoch as FencingToken, log, new Jitter(3));
     return { state, persister };
   };
-  const key = (n: number) => segmentKey(7 as Term, n);
-  const segment = (n: number, entries: number): Extract<SaveOp, { kind: 'segment' }> => ({
-    kind: 'segment',
+  const key = (n: number) => segmentKey(7 as FencingToken, n);
+  const segment = (
+    n: number,
+    entries: number,
+  ): Extract<StoreOperation, { kind: 'write-segment' }> => ({
+    kind: 'write-segment',
     key: key(n),
     machines: Array.from({ length: 3 }, (_, m) => ({
       machine: `n-${m}` as MachineId,
-      at: recordedAt,
+      attributes: recordedAt,
       entries: Array.from({ length: entries }, (_, i) => entry(i, n * 1000 + m * 100 + i)),
     })),
-    progress: [{ job: 'job-2' as JobId, from: 0, bits: Uint8Array.of(n) }],
+    progress: [{ job: 'job-2' as JobId, firstTask: 0, bits: Uint8Array.of(n) }],
   });
   const stored = (state: StateService) => {
     const attempts: number[] = [];
     let progress = 0;
     for (const [k, { data }] of state.keys) {
       if (!k.startsWith('l/')) continue;
-      const record = readSegment(JSON.parse(JSON.stringify(data)))!;
+      const record = decodeSegment(JSON.parse(JSON.stringify(data)))!;
       for (const { entries } of record.machines) attempts.push(...entries.map((e) => e.attempt));
       progress += record.progress.length;
     }
@@ -201,15 +218,15 @@
       const { state, persister } = await setUp();
       Object.assign(state.limits, limits);
       const ops = [1, 2, 3, 4].map((n) => segment(n, 12));
-      expect(await persister.save(ops)).toEqual([]);
+      expect(await persister.storeBatch(ops)).toEqual([]);
       const wanted = ops.flatMap((op) =>
         op.machines.flatMap((m) => m.entries.map((e) => e.attempt as number)),
       );
       expect(stored(state)).toEqual({ attempts: wanted.sort((a, b) => a - b), progress: 4 });
       expect(state.refused.length).toBeGreaterThan(0);
       expect(new Set(state.refused).size).toBe(state.refused.length);
-      const gone = ops.map(({ key }): SaveOp => ({ kind: 'segment-gone', key }));
-      expect(await persister.save([segment(9, 1), ...gone])).toEqual([]);
+      const gone = ops.map(({ key }): StoreOperation => ({ kind: 'drop-segment', key }));
+      expect(await persister.storeBatch([segment(9, 1), ...gone])).toEqual([]);
       expect(stored(state).attempts).toEqual([9000, 9100, 9200]);
     },
   );
@@ -218,14 +235,14 @@
     const { state, persister } = await setUp();
     state.limits.txnOps = 1;
     // A job's end is two changes or none.
-    const final: SaveOp = {
-      kind: 'final',
+    const final: StoreOperation = {
+      kind: 'job-completion',
       job: 'job-5' as JobId,
       outcome: 'done',
       tasks: 3,
       team: 'blue' as TeamName,
     };
-    expect(await persister.save([final, segment(1, 2)])).toEqual([final]);
+    expect(await persister.storeBatch([final, segment(1, 2)])).toEqual([final]);
     expect(stored(state).attempts).toHaveLength(6);
     expect(state.keys.has('f/job-5')).toBe(false);
   });
@@ -235,19 +252,23 @@
     const sent: number[] = [];
     let refusals = 0;
     const send = (now: number, ...commands: Command[]): void => {
-      for (const e of step(state, commands, now as Instant, 'lead')) {
-        if (e.kind === 'answer')
-          for (const o of e.orders ?? []) if (o.op === 'start') sent.push(now);
-        if (e.kind !== 'save') continue;
+      for (const e of applyCommands(state, commands, now as Instant, 'lead')) {
+        if (e.kind === 'reply-to-heartbeat')
+          for (const o of e.commands ?? []) if (o.op === 'start') sent.push(now);
+        if (e.kind !== 'store-batch') continue;
         const refused = now < 20_000 ? e.ops : [];
         refusals += refused.length;
-        send(now, { kind: 'saved', batch: e.batch, refused });
+        send(now, { kind: 'batch-stored', batch: e.batch, refused });
       }
     };
-    send(0, { kind: 'types', types: [type('c8')] }, { kind: 'loaded' });
+    send(0, { kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
     send(0, { kind: 'job', spec: job('job-1'), submittedAt: 0 as Instant });
     for (let now = 1000, seq = 1; now < 60_000; now += 1000, seq += 1) {
-      send(now, { kind: 'report', report: report('n-1', seq, 7), ticket: seq as Ticket });
+      send(now, {
+        kind: 'heartbeat',
+        heartbeat: report('n-1', seq, 7),
+        ticket: seq as ReplyTicket,
+      });
     }
     expect(refusals).toBe(1);
     expect(sent.length).toBeGreaterThan(0);
--- a/test/model/build.ts
+++ b/test/model/build.ts
@@ -1,68 +1,78 @@
 /** Small builders of core records for the tests. */
 import { DEFAULT_POLICY } from '../../src/adapters/configuration/settings.js';
-import { type CoreConfig, type CoreState, createCore } from '../../src/core/state.js';
+import { type CoreConfig, type CoreState, createCore } from '../../src/core/core-state.js';
+import type { Heartbeat, TaskStatus } from '../../src/core/model/heartbeat.js';
 import type {
-  Attempt,
-  Instant,
+  AttemptId,
+  FencingToken,
+  ImageName,
   JobId,
-  JobSpec,
-  LedgerEntry,
-  LedgerMachine,
   MachineId,
-  MachineType,
-  Millis,
-  Policy,
-  Report,
-  ReportedTask,
+  MachineTypeName,
   TaskIndex,
-  Team,
   TeamName,
-  Term,
-  TypeName,
   ZoneName,
-} from '../../src/core/types.js';
+} from '../../src/core/model/ids.js';
+import type { JobSpec } from '../../src/core/model/job.js';
+import type { LedgerEntry } from '../../src/core/model/ledger-record.js';
+import type { MachineAttributes, MachineType } from '../../src/core/model/machine.js';
+import type { Policy } from '../../src/core/model/policy.js';
+import type { Team } from '../../src/core/model/team.js';
+import type { Instant, Millis } from '../../src/core/model/time.js';
+
+/** The default with some fields replaced; a name that it does not have is a mistake in the test. */
+const override = <T extends object>(base: T, change: Partial<Record<keyof T, unknown>>): T => {
+  for (const name of Object.keys(change)) {
+    if (!Object.hasOwn(base, name)) throw new Error(`no field named ${name}`);
+  }
+  return { ...base, ...change };
+};
 
 export const job = (id: string, change: Partial<Record<keyof JobSpec, unknown>> = {}): JobSpec =>
-  ({
-    id: id as JobId,
-    shape: 'array',
-    lane: 'any',
-    team: 'blue' as TeamName,
-    priority: 'standard',
-    tasks: 1,
-    cpus: 1,
-    gpus: 0,
-    memoryGb: 1,
-    types: null,
-    zone: null,
-    oneZone: false,
-    scatter: false,
-    spotOk: true,
-    image: 'img',
-    imageGb: 0,
-    estimateS: 10,
-    checkpointS: 0,
-    saveS: 0,
-    deadlineS: null,
-    ...change,
-  }) as JobSpec;
+  override<JobSpec>(
+    {
+      id: id as JobId,
+      shape: 'array',
+      jobClass: 'any',
+      team: 'blue' as TeamName,
+      priority: 'standard',
+      tasks: 1,
+      cpus: 1,
+      gpus: 0,
+      memoryGb: 1,
+      machineTypes: null,
+      zone: null,
+      singleZone: false,
+      spreadZones: false,
+      allowsSpot: true,
+      image: 'img' as ImageName,
+      imageGb: 0,
+      estimateS: 10,
+      checkpointIntervalS: 0,
+      checkpointWriteS: 0,
+      deadlineS: null,
+    },
+    change,
+  );
 
 export const type = (
   name: string,
   change: Partial<Record<keyof MachineType, unknown>> = {},
 ): MachineType =>
-  ({
-    name: name as TypeName,
-    cpus: 8,
-    gpus: 0,
-    memoryGb: 64,
-    fetchGbPerS: 1,
-    price: 1,
-    spotPrice: 0.3,
-    bootS: 20,
-    zones: ['a', 'b'] as ZoneName[],
-    ...change,
-  }) as MachineType;
+  override<MachineType>(
+    {
+      name: name as MachineTypeName,
+      cpus: 8,
+      gpus: 0,
+      memoryGb: 64,
+      fetchGbPerS: 1,
+      price: 1,
+      spotPrice: 0.3,
+      bootS: 20,
+      zones: ['a', 'b'] as ZoneName[],
+    },
+    change,
+  );
 
 export const team = (name: string, cpusMax = 64, gpusMax = 0): Team => ({
   name: name as TeamName,
@@ -73,57 +83,64 @@
 });
 
 export const core = (change: Partial<CoreConfig> = {}, policy: Partial<Policy> = {}): CoreState =>
-  createCore({
-    term: 7 as Term,
-    acquiredAt: 0 as Instant,
-    teams: new Map([team('blue'), team('green', 24, 4)].map((t) => [t.name, t])),
-    policy: { ...DEFAULT_POLICY, ...policy },
-    reportMs: 2000 as Millis,
-    leaseMs: 16_000 as Millis,
-    keepAliveMs: 10_000 as Millis,
-    listLagMs: 4000 as Millis,
-    txnOps: 16,
-    writeRps: 100,
-    valueBytes: 8192,
-    maxPerMachine: 64,
-    timeOfDayOffsetMs: 0,
-    ...change,
-  });
+  createCore(
+    override<CoreConfig>(
+      {
+        fencingToken: 7 as FencingToken,
+        acquiredAt: 0 as Instant,
+        teams: new Map([team('blue'), team('green', 24, 4)].map((t) => [t.name, t])),
+        policy: override(DEFAULT_POLICY, policy),
+        heartbeatIntervalMs: 2000 as Millis,
+        workerLeaseMs: 16_000 as Millis,
+        graceAfterLeaseLossMs: 10_000 as Millis,
+        listLagMs: 4000 as Millis,
+        maxTransactionOperations: 16,
+        storeWritesPerSecond: 100,
+        maxValueBytes: 8192,
+        maxAttemptsPerMachine: 64,
+        timeOfDayOffsetMs: 0,
+      },
+      change,
+    ),
+  );
 
 export const task = (
   jobId: string,
   index: number,
   attempt: number,
-  phase: ReportedTask['phase'] = 'running',
-  cause: ReportedTask['cause'] = null,
-): ReportedTask => ({
+  phase: TaskStatus['phase'] = 'running',
+  cause: TaskStatus['cause'] = null,
+): TaskStatus => ({
   job: jobId as JobId,
   index: index as TaskIndex,
-  attempt: attempt as Attempt,
+  attempt: attempt as AttemptId,
   phase,
   cause,
-  saved: false,
+  checkpointSaved: false,
 });
 
 export const report = (
   id: string,
   seq: number,
   term: number,
-  tasks: ReportedTask[] = [],
-  change: Partial<Report> = {},
-): Report => ({
-  machine: id as MachineId,
-  endpoint: '127.0.0.1:9',
-  type: 'c8' as TypeName,
-  zone: 'a' as ZoneName,
-  spot: false,
-  session: 1,
-  seq,
-  term: term as Term,
-  noticeS: null,
-  tasks,
-  ...change,
-});
+  tasks: TaskStatus[] = [],
+  change: Partial<Heartbeat> = {},
+): Heartbeat =>
+  override<Heartbeat>(
+    {
+      machine: id as MachineId,
+      endpoint: '127.0.0.1:9',
+      type: 'c8' as MachineTypeName,
+      zone: 'a' as ZoneName,
+      spot: false,
+      agentEpoch: 1,
+      sequence: seq,
+      fencingToken: term as FencingToken,
+      reclaimNoticeS: null,
+      tasks,
+    },
+    change,
+  );
 
 /** A row of a ledger record. */
 export const entry = (index: number, attempt: number, id = 'job-1') =>
@@ -137,4 +154,4 @@
     memoryGb: 1,
   }) as unknown as LedgerEntry;
 /** What a ledger record says of a machine. */
-export const recordedAt = { type: 'c8', zone: 'a', spot: false } as unknown as LedgerMachine;
+export const recordedAt = { type: 'c8', zone: 'a', spot: false } as unknown as MachineAttributes;
--- a/test/model/core-driver.ts
+++ b/test/model/core-driver.ts
@@ -1,17 +1,13 @@
 /** Drives a core step by step: what is sent to it, what time passes, what machines report. */
 
-import { step } from '../../src/core/apply-commands.js';
-import type { CoreState } from '../../src/core/state.js';
-import type {
-  Authority,
-  Command,
-  Effect,
-  Instant,
-  Order,
-  Report,
-  ReportedTask,
-  Ticket,
-} from '../../src/core/types.js';
+import { applyCommands } from '../../src/core/apply-commands.js';
+import type { CoreState } from '../../src/core/core-state.js';
+import type { Command } from '../../src/core/model/command.js';
+import type { Authority, Effect } from '../../src/core/model/effect.js';
+import type { Heartbeat, TaskStatus } from '../../src/core/model/heartbeat.js';
+import type { ReplyTicket } from '../../src/core/model/ids.js';
+import type { Instant } from '../../src/core/model/time.js';
+import type { WorkerCommand } from '../../src/core/model/worker-command.js';
 import { core, job, report, task, type } from './build.js';
 
 /** Drives a core by hand; saves are stored at once, so that a test states only what matters to it. */
@@ -24,8 +20,8 @@
 
   constructor(state: CoreState = core()) {
     this.state = state;
-    this.send({ kind: 'types', types: [type('c8')] }, { kind: 'loaded' });
-    this.send({ kind: 'listed', askedAt: 0 as Instant, machines: [] });
+    this.send({ kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
+    this.send({ kind: 'machines-listed', askedAt: 0 as Instant, machines: [] });
     this.pass(3000);
   }
 
@@ -34,10 +30,11 @@
   }
 
   run(authority: Authority, commands: Command[]): Effect[] {
-    const effects = step(this.state, commands, this.now as Instant, authority);
+    const effects = applyCommands(this.state, commands, this.now as Instant, authority);
     const all = [...effects];
     for (const e of effects) {
-      if (e.kind === 'save') all.push(...this.run(authority, [{ kind: 'saved', batch: e.batch }]));
+      if (e.kind === 'store-batch')
+        all.push(...this.run(authority, [{ kind: 'batch-stored', batch: e.batch }]));
     }
     this.effects.push(...effects);
     return all;
@@ -55,18 +52,18 @@
   /** A check-in with our term; returns the orders it is answered with. */
   checkIn(
     id: string,
-    tasks: ReportedTask[] = [],
-    change: Partial<Report> = {},
+    tasks: TaskStatus[] = [],
+    change: Partial<Heartbeat> = {},
     authority: Authority = 'lead',
   ) {
     const seq = (this.seqs.get(id) ?? 0) + 1;
     this.seqs.set(id, seq);
-    const ticket = this.ticket++ as Ticket;
-    const told = report(id, seq, this.state.config.term, tasks, change);
-    let effects = this.run(authority, [{ kind: 'report', report: told, ticket }]);
+    const ticket = this.ticket++ as ReplyTicket;
+    const told = report(id, seq, this.state.config.fencingToken, tasks, change);
+    let effects = this.run(authority, [{ kind: 'heartbeat', heartbeat: told, ticket }]);
     for (let i = 0; i < 12; i += 1) {
-      const answer = effects.find((e) => e.kind === 'answer' && e.ticket === ticket);
-      if (answer?.kind === 'answer') return answer.orders;
+      const answer = effects.find((e) => e.kind === 'reply-to-heartbeat' && e.ticket === ticket);
+      if (answer?.kind === 'reply-to-heartbeat') return answer.commands;
       this.now += 250;
       effects = this.run(authority, [{ kind: 'tick' }]);
     }
@@ -75,24 +72,24 @@
 
   /** Check-ins of many machines at a time; the orders with which each is answered. */
   checkInAll(
-    told: ReadonlyMap<string, ReportedTask[]>,
-    change: Record<string, Partial<Report>> = {},
-  ): Map<string, readonly Order[] | null> {
+    told: ReadonlyMap<string, TaskStatus[]>,
+    change: Record<string, Partial<Heartbeat>> = {},
+  ): Map<string, readonly WorkerCommand[] | null> {
     const asked = new Map<number, string>();
-    const answers = new Map<string, readonly Order[] | null>();
+    const answers = new Map<string, readonly WorkerCommand[] | null>();
     let effects: Effect[] = [];
     for (const [id, tasks] of told) {
       const seq = (this.seqs.get(id) ?? 0) + 1;
       this.seqs.set(id, seq);
-      const ticket = this.ticket++ as Ticket;
+      const ticket = this.ticket++ as ReplyTicket;
       asked.set(ticket, id);
-      const sent = report(id, seq, this.state.config.term, tasks, change[id] ?? {});
-      effects.push(...this.send({ kind: 'report', report: sent, ticket }));
+      const sent = report(id, seq, this.state.config.fencingToken, tasks, change[id] ?? {});
+      effects.push(...this.send({ kind: 'heartbeat', heartbeat: sent, ticket }));
     }
     for (let i = 0; i < 16 && answers.size < told.size; i += 1) {
       for (const e of effects) {
-        const id = e.kind === 'answer' ? asked.get(e.ticket) : undefined;
-        if (e.kind === 'answer' && id !== undefined) answers.set(id, e.orders);
+        const id = e.kind === 'reply-to-heartbeat' ? asked.get(e.ticket) : undefined;
+        if (e.kind === 'reply-to-heartbeat' && id !== undefined) answers.set(id, e.commands);
       }
       this.now += 250;
       effects = this.send({ kind: 'tick' });
@@ -101,7 +98,7 @@
   }
 
   /** Two check-ins: after the second the machine is known to obey this term. */
-  up(id: string, change: Partial<Report> = {}): readonly Order[] | null {
+  up(id: string, change: Partial<Heartbeat> = {}): readonly WorkerCommand[] | null {
     this.checkIn(id, [], change);
     return this.checkIn(id, [], change);
   }
@@ -111,19 +108,19 @@
   }
 
   /** What a machine would report if it were asked now. */
-  lastReport(id: string): Report {
-    const m = this.state.machines.get(id as Report['machine'])!;
+  lastReport(id: string): Heartbeat {
+    const m = this.state.machines.get(id as Heartbeat['machine'])!;
     const tasks = [...m.placements.values()].map((p) =>
       task(p.entry.job, p.entry.index, p.entry.attempt),
     );
-    return report(id, (this.seqs.get(id) ?? 0) + 1, this.state.config.term, tasks);
+    return report(id, (this.seqs.get(id) ?? 0) + 1, this.state.config.fencingToken, tasks);
   }
 
-  starts(orders: readonly Order[] | null): Order[] {
+  starts(orders: readonly WorkerCommand[] | null): WorkerCommand[] {
     return (orders ?? []).filter((o) => o.op === 'start');
   }
 }
 
-export const running = (o: Order) => task(o.job, o.index, o.attempt);
-export const ended = (o: Order, cause: ReportedTask['cause']) =>
+export const running = (o: WorkerCommand) => task(o.job, o.index, o.attempt);
+export const ended = (o: WorkerCommand, cause: TaskStatus['cause']) =>
   task(o.job, o.index, o.attempt, 'ended', cause);
