--- a/packages/drain/src/core/budget.ts
+++ b/packages/drain/src/core/budget.ts
@@ -137,8 +137,14 @@
         return { kind: 'budget', scope: scope.name, used: use.open, limit: use.limit };
       const { window } = scope.limits;
       if (window && use.recent !== null && use.recent >= window.count) {
-        const { seconds: withinS, count: limit } = window;
-        return { kind: 'window-budget', scope: scope.name, used: use.recent, limit, withinS };
+        const { seconds, count } = window;
+        return {
+          kind: 'window-budget',
+          scope: scope.name,
+          used: use.recent,
+          limit: count,
+          withinS: seconds,
+        };
       }
     }
     return null;
--- a/packages/drain/src/core/drains.ts
+++ b/packages/drain/src/core/drains.ts
@@ -124,17 +124,20 @@
   }
 
   private onReleased(attempt: AttemptView, how: 'reported' | 'gone', moment: Moment): void {
-    const { job, phase, machine, stopRequest: kill, isSuperseded: superseded } = attempt;
+    const { job, phase, machine, stopRequest, isSuperseded } = attempt;
     const begun =
-      phase === 'fetching' || phase === 'running' || phase === 'saving' || phase === 'recorded';
-    if (!begun || !job || job.terminalState !== 'none' || superseded) return;
+      phase === 'fetching' ||
+      phase === 'running' ||
+      phase === 'checkpointing' ||
+      phase === 'unconfirmed';
+    if (!begun || !job || job.terminalState !== 'none' || isSuperseded) return;
     const taken = machine.reclaimAt !== null || machine.lostAt !== null || machine.isDeleting;
-    if (kill && !taken) {
+    if (stopRequest && !taken) {
       // A stop of this package is known already; one for priority, or of a rival attempt, does not count.
       if (this.budget.disruptions.has(attempt.entry.attempt)) this.budget.suffer(attempt, moment);
       return;
     }
-    if (how === 'gone' || (kill && taken)) this.budget.suffer(attempt, moment);
+    if (how === 'gone' || (stopRequest && taken)) this.budget.suffer(attempt, moment);
     else this.budget.withdraw(attempt.entry.attempt);
   }
 
@@ -185,10 +188,10 @@
   mayMove(attempt: AttemptView): boolean {
     const drain = this.drainOf(attempt.machine.id);
     // A machine that fails jobs leaves whatever becomes of its drain.
-    const { isDraining: draining } = attempt.machine;
-    if (drain && drain.phase !== 'running' && !draining) return false;
+    const { isDraining } = attempt.machine;
+    if (drain && drain.phase !== 'running' && !isDraining) return false;
     if (this.budget.isGranted(attempt.entry.attempt)) return true;
-    if (!drain || draining) this.wishes.set(attempt.entry.attempt, attempt);
+    if (!drain || isDraining) this.wishes.set(attempt.entry.attempt, attempt);
     return false;
   }
 
--- a/packages/drain/src/core/selection.ts
+++ b/packages/drain/src/core/selection.ts
@@ -56,12 +56,12 @@
   let ended = 0;
   let endsInMs = 0;
   for (const attempt of machine.placements.values()) {
-    const { job, stopRequest: kill, phase } = attempt;
+    const { job, stopRequest, phase } = attempt;
     if (phase === 'ended') {
       ended += 1;
       continue;
     }
-    if (kill || !job || job.terminalState !== 'none' || attempt.isSuperseded) {
+    if (stopRequest || !job || job.terminalState !== 'none' || attempt.isSuperseded) {
       stopping += 1;
       continue;
     }
--- a/packages/drain/src/core/step-choice.ts
+++ b/packages/drain/src/core/step-choice.ts
@@ -65,7 +65,8 @@
   const members = membersOf(drain, fleet, moment);
   // Of a machine that has not reported to this leader only a former leader's ledger, or a list that lags, may tell.
   const free = members.filter(
-    (m) => m.hasReported && !isGoing(m) && !m.isCordoned && !context.inUse(m.id),
+    (machine) =>
+      machine.hasReported && !isGoing(machine) && !machine.isCordoned && !context.inUse(machine.id),
   );
   const left = members.length;
   if (free.length === 0)
--- a/packages/drain/test/plain-model.test.ts
+++ b/packages/drain/test/plain-model.test.ts
@@ -20,7 +20,7 @@
 const moment = (now: number): Moment => ({ now, timeOfDay: now }) as Moment;
 
 const attempt = fc.record({
-  phase: fc.constantFrom('offered', 'fetching', 'running', 'saving', 'ended'),
+  phase: fc.constantFrom('dispatched', 'fetching', 'running', 'checkpointing', 'ended'),
   startedAt: fc.option(fc.integer({ min: 0, max: 100_000 })),
   kill: fc.option(fc.constant({ graceS: 5 }), { freq: 8 }),
   superseded: fc.boolean().map((yes) => yes && false),
--- a/src/adapters/http/heartbeat-handler.ts
+++ b/src/adapters/http/heartbeat-handler.ts
@@ -37,9 +37,9 @@
 
   const answer = async (text: string): Promise<HeartbeatReply> => {
     const parsed = parseJson(text);
-    const report = 'json' in parsed ? reader.parse(parsed.json) : null;
-    if (!report) return refuse(parsed);
-    const decision = await controller.handleHeartbeat(report);
+    const heartbeat = 'json' in parsed ? reader.parse(parsed.json) : null;
+    if (!heartbeat) return refuse(parsed);
+    const decision = await controller.handleHeartbeat(heartbeat);
     switch (decision.kind) {
       case 'orders':
         return {
--- a/src/adapters/wire.ts
+++ b/src/adapters/wire.ts
@@ -116,12 +116,12 @@
 
 // ---- workers -------------------------------------------------------------------------------------
 
-export const encodeWorkerCommands = (orders: readonly WorkerCommand[]) =>
-  orders.map((o) => ({
-    Verb: o.op,
-    Piece: `${o.job}/${o.index}`,
-    Try: o.attempt,
-    ...(o.op === 'kill' ? { WindDownS: o.graceS } : {}),
+export const encodeWorkerCommands = (commands: readonly WorkerCommand[]) =>
+  commands.map((command) => ({
+    Verb: command.op,
+    Piece: `${command.job}/${command.index}`,
+    Try: command.attempt,
+    ...(command.op === 'kill' ? { WindDownS: command.graceS } : {}),
   }));
 
 // ---- cloud ---------------------------------------------------------------------------------------
--- a/src/adapters/workers/heartbeat-parser.ts
+++ b/src/adapters/workers/heartbeat-parser.ts
@@ -40,7 +40,7 @@
   pulling: 'fetching',
   gathering: 'fetching',
   running: 'running',
-  saving: 'saving',
+  saving: 'checkpointing',
   ended: 'ended',
 };
 
--- a/src/adapters/workers/worker-client.ts
+++ b/src/adapters/workers/worker-client.ts
@@ -24,12 +24,12 @@
   /** The worker's report after the commands, or null. */
   async sendCommands(
     endpoint: string,
-    term: FencingToken,
+    fencingToken: FencingToken,
     session: number,
-    orders: readonly WorkerCommand[],
+    commands: readonly WorkerCommand[],
   ): Promise<Heartbeat | null> {
     if (!/^[\w.-]+:\d{1,5}$/.test(endpoint)) return null;
-    const body = { Baton: term, Tenure: session, Orders: encodeWorkerCommands(orders) };
+    const body = { Baton: fencingToken, Tenure: session, Orders: encodeWorkerCommands(commands) };
     const reply = await exchange(
       this.agent,
       parseEndpoint(endpoint),
--- a/src/core/apply-commands.ts
+++ b/src/core/apply-commands.ts
@@ -95,7 +95,9 @@
   if (placed.length === 0) return;
   logEvent(effects, 'debug', 'placed', {
     head: state.queueHead,
-    tasks: placed.map((p) => `${p.entry.job}/${p.entry.index}@${p.machine.id}`),
+    tasks: placed.map(
+      (placement) => `${placement.entry.job}/${placement.entry.index}@${placement.machine.id}`,
+    ),
   });
 };
 
@@ -114,7 +116,7 @@
     if (tickDue) {
       state.lastTickAt = now;
       effects.push(...manageFleet(state, now));
-      for (const m of state.machines.values()) dispatchKills(m, effects, now);
+      for (const machine of state.machines.values()) dispatchKills(machine, effects, now);
     }
     const due = state.isRoundDue || now - state.lastRoundAt >= ROUND_EVERY_MS;
     if (due && now >= state.schedulingStartsAt) {
@@ -131,7 +133,8 @@
   }
   if (authority === 'keep-alive' && now - state.lastTickAt >= TICK_MS) {
     state.lastTickAt = now;
-    for (const m of state.machines.values()) dispatchKills(m, effects, now, belongsToEndedJob);
+    for (const machine of state.machines.values())
+      dispatchKills(machine, effects, now, belongsToEndedJob);
   }
   replyToHeartbeats(state, now, authority, effects);
   if (state.extensions) effects.push(...state.extensions.takeEffects());
--- a/src/core/extensions/extension.ts
+++ b/src/core/extensions/extension.ts
@@ -27,7 +27,14 @@
   readonly machine: MachineView;
   /** null when its job is over or unknown. */
   readonly job: JobView | null;
-  readonly phase: 'recorded' | 'entering' | 'offered' | 'fetching' | 'running' | 'saving' | 'ended';
+  readonly phase:
+    | 'unconfirmed'
+    | 'persisting'
+    | 'dispatched'
+    | 'fetching'
+    | 'running'
+    | 'checkpointing'
+    | 'ended';
   readonly startedAt: Instant | null;
   /** It has been told to stop, or will be. */
   readonly stopRequest: { readonly graceS: number } | null;
--- a/src/core/fleet/demand.ts
+++ b/src/core/fleet/demand.ts
@@ -5,18 +5,18 @@
 import type { Instant } from '../model/time.js';
 
 /** A machine that counts as supply: it is there to stay. */
-export const countsAsSupply = (m: Machine): boolean =>
-  !m.isDraining &&
-  !m.isCordoned &&
-  !m.isUnreachable &&
-  !m.isDeleting &&
-  m.lostAt === null &&
-  m.reclaimAt === null;
+export const countsAsSupply = (machine: Machine): boolean =>
+  !machine.isDraining &&
+  !machine.isCordoned &&
+  !machine.isUnreachable &&
+  !machine.isDeleting &&
+  machine.lostAt === null &&
+  machine.reclaimAt === null;
 
 /** Machines of a kind that are being asked for. */
-export const requestedMachines = (option: InstancePool): number => {
+export const requestedMachines = (pool: InstancePool): number => {
   let count = 0;
-  for (const request of option.outstandingRequests.values()) count += request.count;
+  for (const request of pool.outstandingRequests.values()) count += request.count;
   return count;
 };
 
@@ -43,9 +43,10 @@
     guarantees += team.cpus;
   }
   let supply = 0;
-  for (const m of state.machines.values())
-    if (countsAsSupply(m)) supply += state.types.get(m.type)?.cpus ?? 0;
-  for (const o of state.instancePools.values()) supply += requestedMachines(o) * o.type.cpus;
+  for (const machine of state.machines.values())
+    if (countsAsSupply(machine)) supply += state.types.get(machine.type)?.cpus ?? 0;
+  for (const pool of state.instancePools.values())
+    supply += requestedMachines(pool) * pool.type.cpus;
   const busy = now - state.lastDemandAt < policy.scaleInAfterIdleS * 1000;
   const standing = busy ? policy.baselineCapacityShare * guarantees : 0;
   return { cpus: Math.max(demand * policy.capacityHeadroom, standing), supply };
--- a/src/core/fleet/fleet-management.ts
+++ b/src/core/fleet/fleet-management.ts
@@ -72,23 +72,27 @@
   }
   // A list may be older than the one before it: absence counts only for machines known for long enough.
   const grace = 3 * state.config.listLagMs + 2000;
-  for (const m of state.machines.values()) {
-    if (names.has(m.id) || askedAt - m.provisionedAt < grace) continue;
-    if (m.hasReported ? now - m.lastHeartbeatAt > 2 * state.config.heartbeatIntervalMs : true) {
-      m.lostAt ??= now;
-      m.lostReason ||= 'not listed';
-      m.isDraining = true;
+  for (const machine of state.machines.values()) {
+    if (names.has(machine.id) || askedAt - machine.provisionedAt < grace) continue;
+    if (
+      machine.hasReported
+        ? now - machine.lastHeartbeatAt > 2 * state.config.heartbeatIntervalMs
+        : true
+    ) {
+      machine.lostAt ??= now;
+      machine.lostReason ||= 'not listed';
+      machine.isDraining = true;
     }
   }
 };
 
 /** The machine and everything on it is certainly gone. */
-export const removeMachine = (state: CoreState, m: Machine, now: Instant): void => {
-  for (const p of [...m.placements.values()]) releasePlacement(state, p, now);
-  m.placements.clear();
-  state.machines.delete(m.id);
-  state.deletedMachines.add(m.id);
-  state.machinesAwaitingReply.delete(m);
+export const removeMachine = (state: CoreState, machine: Machine, now: Instant): void => {
+  for (const placement of [...machine.placements.values()]) releasePlacement(state, placement, now);
+  machine.placements.clear();
+  state.machines.delete(machine.id);
+  state.deletedMachines.add(machine.id);
+  state.machinesAwaitingReply.delete(machine);
 };
 
 export const handleDeletionResult = (
@@ -109,17 +113,17 @@
 };
 
 const detectLostMachines = (state: CoreState, now: Instant): void => {
-  const { heartbeatIntervalMs: reportMs, workerLeaseMs: leaseMs, policy } = state.config;
-  const limit = policy.missedHeartbeatLimit * reportMs;
+  const { heartbeatIntervalMs, workerLeaseMs, policy } = state.config;
+  const limit = policy.missedHeartbeatLimit * heartbeatIntervalMs;
   let silent = 0;
   let seen = 0;
-  for (const m of state.machines.values()) {
+  for (const machine of state.machines.values()) {
     // A new leader knows some machines from the ledger alone: silent they count too, or those that a cut-off former
     // leader still holds would all be replaced after a few report periods.
-    if (!m.hasReported && m.placements.size === 0) continue;
+    if (!machine.hasReported && machine.placements.size === 0) continue;
     seen += 1;
     // Counted early: of machines that all fall silent within a report period, none must be the first to be deleted.
-    if (now - m.lastHeartbeatAt > limit / 2) silent += 1;
+    if (now - machine.lastHeartbeatAt > limit / 2) silent += 1;
   }
   // Many at once are more likely cut off or hanging than dead, or the fault is ours: they get time to come back, since a
   // replacement has to boot first. Those that died are listed as failed meanwhile.
@@ -127,25 +131,29 @@
   // A replica is missed at once. Machines that hold some are few, so that replacing them is no mass deletion; unless so many
   // are silent that the fault is more likely ours, and the replicas run.
   const ours = silent > Math.max(2, seen * OURS_SHARE);
-  const replicaLimit = Math.min(limit, Math.max(REPLICA_REPORTS * reportMs, REPLICA_SILENT_MS));
-  const patience = (m: Machine): number => {
-    if (!ours && m.hasReported && [...m.placements.values()].some(isReplica)) return replicaLimit;
-    return many ? 2 * leaseMs : limit;
+  const replicaLimit = Math.min(
+    limit,
+    Math.max(REPLICA_REPORTS * heartbeatIntervalMs, REPLICA_SILENT_MS),
+  );
+  const patience = (machine: Machine): number => {
+    if (!ours && machine.hasReported && [...machine.placements.values()].some(isReplica))
+      return replicaLimit;
+    return many ? 2 * workerLeaseMs : limit;
   };
-  for (const m of state.machines.values()) {
-    const quiet = now - m.lastHeartbeatAt;
-    const waits = m.hasReported || m.placements.size > 0;
-    if (waits && m.lostAt === null && quiet > replicaLimit && quiet > patience(m)) {
-      m.lostAt = now;
-      m.lostReason = 'silent';
+  for (const machine of state.machines.values()) {
+    const quiet = now - machine.lastHeartbeatAt;
+    const waits = machine.hasReported || machine.placements.size > 0;
+    if (waits && machine.lostAt === null && quiet > replicaLimit && quiet > patience(machine)) {
+      machine.lostAt = now;
+      machine.lostReason = 'silent';
     }
     // What it held has ended with its lease, whether it comes back or not.
-    if (m.placements.size > 0 && now > workerLeaseExpiresAt(state, m)) {
-      for (const p of [...m.placements.values()]) {
-        releasePlacement(state, p, now);
-        m.placements.delete(p.entry.attempt);
+    if (machine.placements.size > 0 && now > workerLeaseExpiresAt(state, machine)) {
+      for (const placement of [...machine.placements.values()]) {
+        releasePlacement(state, placement, now);
+        machine.placements.delete(placement.entry.attempt);
       }
-      m.isReady = false;
+      machine.isReady = false;
     }
   }
 };
@@ -154,20 +162,26 @@
   const ids: MachineId[] = [];
   const why: Record<string, number> = {};
   const { policy } = state.config;
-  for (const m of state.machines.values()) {
-    if (m.isDeleting || now < m.deleteNotBefore || ids.length >= DELETE_MAX) continue;
-    const bootMs = (state.types.get(m.type)?.bootS ?? 60) * 1000;
+  for (const machine of state.machines.values()) {
+    if (machine.isDeleting || now < machine.deleteNotBefore || ids.length >= DELETE_MAX) continue;
+    const bootMs = (state.types.get(machine.type)?.bootS ?? 60) * 1000;
     // A new leader hears of machines that have been up for long: they get a lease's time to report to it.
-    const overdue = now - m.provisionedAt > policy.bootTimeoutFactor * bootMs + 15_000;
-    const neverUp = !m.hasReported && overdue && now - m.knownAt > state.config.workerLeaseMs;
-    const empty = m.placements.size === 0;
-    if (m.lostAt !== null || m.isUnreachable || neverUp || (m.isDraining && empty)) {
-      m.isDeleting = true;
-      ids.push(m.id);
-      const reason = m.isUnreachable
+    const overdue = now - machine.provisionedAt > policy.bootTimeoutFactor * bootMs + 15_000;
+    const neverUp =
+      !machine.hasReported && overdue && now - machine.knownAt > state.config.workerLeaseMs;
+    const empty = machine.placements.size === 0;
+    if (
+      machine.lostAt !== null ||
+      machine.isUnreachable ||
+      neverUp ||
+      (machine.isDraining && empty)
+    ) {
+      machine.isDeleting = true;
+      ids.push(machine.id);
+      const reason = machine.isUnreachable
         ? 'deaf'
-        : m.lostAt !== null
-          ? m.lostReason
+        : machine.lostAt !== null
+          ? machine.lostReason
           : neverUp
             ? 'never up'
             : 'no longer needed';
@@ -183,7 +197,7 @@
 
 export const manageFleet = (state: CoreState, now: Instant): Effect[] => {
   detectLostMachines(state, now);
-  for (const m of state.machines.values()) evictBeforeReclaim(m, now);
+  for (const machine of state.machines.values()) evictBeforeReclaim(machine, now);
   scaleInIdle(state, now);
   return [...planDeletions(state, now), ...planScaleOut(state, now)];
 };
--- a/src/core/fleet/machine-health.ts
+++ b/src/core/fleet/machine-health.ts
@@ -53,17 +53,17 @@
 /** Without a word for this many report periods a machine gets no more work: it would only wait there. */
 const QUIET_REPORTS = 2;
 
-export const hasMissedHeartbeats = (state: CoreState, m: Machine, now: Instant): boolean =>
-  now - m.lastHeartbeatAt > QUIET_REPORTS * state.config.heartbeatIntervalMs;
+export const hasMissedHeartbeats = (state: CoreState, machine: Machine, now: Instant): boolean =>
+  now - machine.lastHeartbeatAt > QUIET_REPORTS * state.config.heartbeatIntervalMs;
 
-export const isSchedulable = (state: CoreState, m: Machine, now: Instant): boolean =>
-  m.isReady &&
-  !hasMissedHeartbeats(state, m, now) &&
-  !m.isUnreachable &&
-  now >= m.quarantinedUntil &&
-  !m.isDraining &&
-  !m.isCordoned &&
-  !m.isDeleting &&
-  m.lostAt === null &&
-  m.reclaimAt === null &&
-  now >= m.saturatedUntil;
+export const isSchedulable = (state: CoreState, machine: Machine, now: Instant): boolean =>
+  machine.isReady &&
+  !hasMissedHeartbeats(state, machine, now) &&
+  !machine.isUnreachable &&
+  now >= machine.quarantinedUntil &&
+  !machine.isDraining &&
+  !machine.isCordoned &&
+  !machine.isDeleting &&
+  machine.lostAt === null &&
+  machine.reclaimAt === null &&
+  now >= machine.saturatedUntil;
--- a/src/core/fleet/scale-in.ts
+++ b/src/core/fleet/scale-in.ts
@@ -13,45 +13,57 @@
   const need = measureDemand(state, now);
   let spare = need.supply - need.cpus;
   let ordinary = -onDemandCpusForServices(state, now);
-  for (const m of state.machines.values()) {
-    if (!m.spot && countsAsSupply(m)) ordinary += state.types.get(m.type)?.cpus ?? 0;
+  for (const machine of state.machines.values()) {
+    if (!machine.spot && countsAsSupply(machine))
+      ordinary += state.types.get(machine.type)?.cpus ?? 0;
   }
-  for (const m of state.machines.values()) {
+  for (const machine of state.machines.values()) {
     if (spare <= 0) return;
-    if (!countsAsSupply(m) || !m.hasReported || m.placements.size > 0) continue;
-    if (now - m.idleSince < state.config.policy.scaleInAfterIdleS * 1000) continue;
-    const cpus = state.types.get(m.type)?.cpus ?? 0;
-    if (cpus > spare || (!m.spot && cpus > ordinary)) continue;
-    if (state.extensions && !state.extensions.mayScaleIn(m)) continue;
+    if (!countsAsSupply(machine) || !machine.hasReported || machine.placements.size > 0) continue;
+    if (now - machine.idleSince < state.config.policy.scaleInAfterIdleS * 1000) continue;
+    const cpus = state.types.get(machine.type)?.cpus ?? 0;
+    if (cpus > spare || (!machine.spot && cpus > ordinary)) continue;
+    if (state.extensions && !state.extensions.mayScaleIn(machine)) continue;
     spare -= cpus;
-    if (!m.spot) ordinary -= cpus;
-    m.isDraining = true;
+    if (!machine.spot) ordinary -= cpus;
+    machine.isDraining = true;
   }
 };
 
 /** A machine that fails tasks of several jobs is faulty: no more work for it, then it is replaced. */
-export const quarantineFaultyMachine = (state: CoreState, m: Machine, now: Instant): boolean => {
-  if (m.isDraining || m.failedJobs.size < 2) return false;
+export const quarantineFaultyMachine = (
+  state: CoreState,
+  machine: Machine,
+  now: Instant,
+): boolean => {
+  if (machine.isDraining || machine.failedJobs.size < 2) return false;
   let drained = 0;
   for (const other of state.machines.values()) if (other.isDraining) drained += 1;
   if (drained > Math.max(1, state.machines.size * 0.2)) return false;
-  m.isDraining = true;
-  m.deleteNotBefore = now;
+  machine.isDraining = true;
+  machine.deleteNotBefore = now;
   return true;
 };
 
 /** A machine about to be taken: tasks that cannot end in time save or start again elsewhere at once. */
-export const evictBeforeReclaim = (m: Machine, now: Instant): void => {
-  if (m.reclaimAt === null) return;
-  const left = m.reclaimAt - now;
-  for (const p of m.placements.values()) {
+export const evictBeforeReclaim = (machine: Machine, now: Instant): void => {
+  if (machine.reclaimAt === null) return;
+  const left = machine.reclaimAt - now;
+  for (const placement of machine.placements.values()) {
     // Services move once there is room for them elsewhere.
-    if (!occupiesMachine(p.phase) || p.stopRequest || (p.job && isService(p.job))) continue;
-    const estimate = (p.job?.spec.estimateS ?? 0) * 1000;
+    if (
+      !occupiesMachine(placement.phase) ||
+      placement.stopRequest ||
+      (placement.job && isService(placement.job))
+    )
+      continue;
+    const estimate = (placement.job?.spec.estimateS ?? 0) * 1000;
     const end =
-      p.phase === 'running' && p.startedAt !== null ? p.startedAt + estimate : now + estimate;
+      placement.phase === 'running' && placement.startedAt !== null
+        ? placement.startedAt + estimate
+        : now + estimate;
     if (end <= now + left) continue;
-    const saves = (p.job?.spec.checkpointIntervalS ?? 0) > 0;
-    p.stopRequest = { graceS: saves ? Math.max(0, left / 1000 - 0.5) : 0, sentAt: null };
+    const saves = (placement.job?.spec.checkpointIntervalS ?? 0) > 0;
+    placement.stopRequest = { graceS: saves ? Math.max(0, left / 1000 - 0.5) : 0, sentAt: null };
   }
 };
--- a/src/core/fleet/scale-out.ts
+++ b/src/core/fleet/scale-out.ts
@@ -35,37 +35,37 @@
     })
   )
     return;
-  for (const option of state.instancePools.values()) {
-    const count = option.outstandingRequests.get(request)?.count;
+  for (const pool of state.instancePools.values()) {
+    const count = pool.outstandingRequests.get(request)?.count;
     if (count === undefined) continue;
-    option.outstandingRequests.delete(request);
+    pool.outstandingRequests.delete(request);
     if (result === 'ok') {
-      const { type, zone, spot } = option;
+      const { type, zone, spot } = pool;
       for (const id of ids) {
         if (state.deletedMachines.has(id) || state.machines.has(id)) continue;
-        const m = createMachine(id, { endpoint: '', type: type.name, zone, spot }, now, now);
-        m.isProvisionedThisTerm = true;
-        state.machines.set(id, m);
+        const machine = createMachine(id, { endpoint: '', type: type.name, zone, spot }, now, now);
+        machine.isProvisionedThisTerm = true;
+        state.machines.set(id, machine);
       }
     }
-    if (result === 'ok' && ids.length >= count) option.refusals = 0;
+    if (result === 'ok' && ids.length >= count) pool.refusals = 0;
     else {
-      option.refusals = Math.min(option.refusals + 1, 4);
-      option.retryAt = addMillis(now, seconds(4 * option.refusals));
+      pool.refusals = Math.min(pool.refusals + 1, 4);
+      pool.retryAt = addMillis(now, seconds(4 * pool.refusals));
     }
   }
 };
 
 /** Cheapest per processor first; of equals the more powerful. */
 const byPrice = (a: InstancePool, b: InstancePool): number => {
-  const price = (o: InstancePool) =>
-    (o.spot ? o.type.spotPrice : o.type.price) / Math.max(o.type.cpus, 0.1);
+  const price = (pool: InstancePool) =>
+    (pool.spot ? pool.type.spotPrice : pool.type.price) / Math.max(pool.type.cpus, 0.1);
   return price(a) - price(b) || b.type.cpus - a.type.cpus || (a.key < b.key ? -1 : 1);
 };
 
-const suitsPool = (job: Job, option: InstancePool): boolean => {
+const suitsPool = (job: Job, pool: InstancePool): boolean => {
   const { spec } = job;
-  const { type, zone, spot } = option;
+  const { type, zone, spot } = pool;
   if (spec.machineTypes && !spec.machineTypes.includes(type.name)) return false;
   if ((spec.zone !== null && spec.zone !== zone) || (spot && !spec.allowsSpot)) return false;
   return spec.cpus <= type.cpus && spec.gpus <= type.gpus && spec.memoryGb <= type.memoryGb;
@@ -73,40 +73,40 @@
 
 const provisionFrom = (
   state: CoreState,
-  options: readonly InstancePool[],
+  pools: readonly InstancePool[],
   cpus: number,
   now: Instant,
   effects: Effect[],
 ): void => {
   let underWay = effects.length;
-  for (const o of state.instancePools.values()) underWay += o.outstandingRequests.size;
+  for (const pool of state.instancePools.values()) underWay += pool.outstandingRequests.size;
   // Capacity shows only when asked for: several kinds are asked at once, each for its part of what is missing,
   // the cheapest several times over when one request cannot hold its part.
-  const open = options.filter((o) => now >= o.retryAt).slice(0, MAX_CONCURRENT_REQUESTS);
+  const open = pools.filter((pool) => now >= pool.retryAt).slice(0, MAX_CONCURRENT_REQUESTS);
   const part = cpus / Math.max(open.length, 1);
   let missing = cpus;
-  for (const option of open) {
-    const size = Math.max(option.type.cpus, 0.1);
+  for (const pool of open) {
+    const size = Math.max(pool.type.cpus, 0.1);
     let due = Math.min(missing, part);
     // A kind that was refused lately is tried with one request, not with several in vain.
-    const atOnce = option.refusals > 0 ? 1 : MAX_CONCURRENT_REQUESTS;
+    const atOnce = pool.refusals > 0 ? 1 : MAX_CONCURRENT_REQUESTS;
     while (
       due > 0 &&
       underWay < MAX_CONCURRENT_REQUESTS &&
-      option.outstandingRequests.size < atOnce
+      pool.outstandingRequests.size < atOnce
     ) {
       const count = Math.min(MAX_MACHINES_PER_REQUEST, Math.max(1, Math.ceil(due / size)));
       state.nextProvisionRequest += 1;
       const request =
         `r-${state.config.fencingToken}-${state.nextProvisionRequest}` as ProvisionRequestId;
-      option.outstandingRequests.set(request, { count, askedAt: now });
+      pool.outstandingRequests.set(request, { count, askedAt: now });
       underWay += 1;
       effects.push({
         kind: 'provision',
         request,
-        type: option.type.name,
-        zone: option.zone,
-        spot: option.spot,
+        type: pool.type.name,
+        zone: pool.zone,
+        spot: pool.spot,
         count,
       });
       due -= count * size;
@@ -118,37 +118,40 @@
 /** Ordinary machines for what may use no others; cheap ones would be asked for first. */
 const provisionOnDemand = (
   state: CoreState,
-  options: readonly InstancePool[],
+  pools: readonly InstancePool[],
   now: Instant,
 ): Effect[] => {
   const effects: Effect[] = [];
   const need = onDemandCpusForServices(state, now);
   if (need <= 0) return effects;
   let supply = 0;
-  for (const m of state.machines.values()) {
-    if (!m.spot && countsAsSupply(m)) supply += state.types.get(m.type)?.cpus ?? 0;
+  for (const machine of state.machines.values()) {
+    if (!machine.spot && countsAsSupply(machine))
+      supply += state.types.get(machine.type)?.cpus ?? 0;
   }
   const services = [...state.jobs.values()].filter((job) => isService(job) && !job.spec.allowsSpot);
-  const useful = options.filter(
-    (o) => !o.spot && (services.length === 0 || services.some((j) => suitsPool(j, o))),
+  const useful = pools.filter(
+    (pool) => !pool.spot && (services.length === 0 || services.some((job) => suitsPool(job, pool))),
   );
-  for (const o of useful) supply += requestedMachines(o) * o.type.cpus;
+  for (const pool of useful) supply += requestedMachines(pool) * pool.type.cpus;
   if (supply < need) provisionFrom(state, useful, need - supply, now, effects);
   return effects;
 };
 
 /** A service is not tried on other machines while the one that fails it counts as enough; several that do are not to blame. */
-const failedThere = (job: Job, m: Machine): boolean =>
-  isService(job) && job.failedMachines.size < FAILED_MACHINES_LIMIT && job.failedMachines.has(m.id);
+const failedThere = (job: Job, machine: Machine): boolean =>
+  isService(job) &&
+  job.failedMachines.size < FAILED_MACHINES_LIMIT &&
+  job.failedMachines.has(machine.id);
 
 /** Arrays' tasks end and make room; replicas of other services do not. */
-const fitsBesideReplicas = (job: Job, m: Machine, type: MachineType): boolean => {
+const fitsBesideReplicas = (job: Job, machine: Machine, type: MachineType): boolean => {
   let { cpus, gpus, memoryGb } = type;
-  for (const p of m.placements.values()) {
-    if (!isReplica(p)) continue;
-    cpus -= p.entry.cpus;
-    gpus -= p.entry.gpus;
-    memoryGb -= p.entry.memoryGb;
+  for (const placement of machine.placements.values()) {
+    if (!isReplica(placement)) continue;
+    cpus -= placement.entry.cpus;
+    gpus -= placement.entry.gpus;
+    memoryGb -= placement.entry.memoryGb;
   }
   return job.spec.cpus <= cpus && job.spec.gpus <= gpus && job.spec.memoryGb <= memoryGb;
 };
@@ -159,8 +162,9 @@
 /** Processors that are free on machines kept for services. */
 const freeOnKept = (state: CoreState): number => {
   let cpus = 0;
-  for (const m of state.machines.values()) {
-    if (m.isReservedForServices) cpus += (state.types.get(m.type)?.cpus ?? 0) - m.usedCpus;
+  for (const machine of state.machines.values()) {
+    if (machine.isReservedForServices)
+      cpus += (state.types.get(machine.type)?.cpus ?? 0) - machine.usedCpus;
   }
   return cpus;
 };
@@ -169,15 +173,15 @@
 const waitsBesideKept = (state: CoreState, job: Job, now: Instant): boolean => {
   if (isService(job) || !job.spec.allowsSpot || job.waitingReason !== NO_MACHINE) return false;
   if (now - job.submittedAt < BESIDE_KEPT_MS || tasksWithinQuota(state, job) < 1) return false;
-  for (const m of state.machines.values()) {
-    const type = m.isReservedForServices ? state.types.get(m.type) : undefined;
+  for (const machine of state.machines.values()) {
+    const type = machine.isReservedForServices ? state.types.get(machine.type) : undefined;
     if (
       !type ||
-      !satisfiesZoneConstraints(job, m) ||
-      (job.spec.zone !== null && job.spec.zone !== m.zone)
+      !satisfiesZoneConstraints(job, machine) ||
+      (job.spec.zone !== null && job.spec.zone !== machine.zone)
     )
       continue;
-    const room = { cpus: type.cpus - m.usedCpus, gpus: type.gpus - m.usedGpus };
+    const room = { cpus: type.cpus - machine.usedCpus, gpus: type.gpus - machine.usedGpus };
     if (job.spec.cpus <= room.cpus && job.spec.gpus <= room.gpus) return true;
   }
   return false;
@@ -187,16 +191,16 @@
 export const planScaleOut = (state: CoreState, now: Instant): Effect[] => {
   const effects: Effect[] = [];
   if (!state.hasReadMachineList) return effects;
-  for (const option of state.instancePools.values()) {
-    for (const [request, { askedAt }] of option.outstandingRequests) {
-      if (now - askedAt > RENT_ANSWER_MS) option.outstandingRequests.delete(request);
+  for (const pool of state.instancePools.values()) {
+    for (const [request, { askedAt }] of pool.outstandingRequests) {
+      if (now - askedAt > RENT_ANSWER_MS) pool.outstandingRequests.delete(request);
     }
   }
-  const options = [...state.instancePools.values()].sort(byPrice);
-  effects.push(...provisionOnDemand(state, options, now));
+  const pools = [...state.instancePools.values()].sort(byPrice);
+  effects.push(...provisionOnDemand(state, pools, now));
   const need = measureDemand(state, now);
   const jobs = [...state.jobs.values()].filter(
-    (j) => j.terminalState === 'none' && j.pendingTasks > 0,
+    (job) => job.terminalState === 'none' && job.pendingTasks > 0,
   );
   // What is kept for services is no supply for work that may not use it.
   const keptFree = freeOnKept(state);
@@ -204,7 +208,7 @@
   const supply = need.supply - (keptIsMissed ? keptFree : 0);
   if (supply < need.cpus) {
     const useful =
-      jobs.length > 0 ? options.filter((o) => jobs.some((j) => suitsPool(j, o))) : options;
+      jobs.length > 0 ? pools.filter((pool) => jobs.some((job) => suitsPool(job, pool))) : pools;
     provisionFrom(state, useful, need.cpus - supply, now, effects);
   }
   // Jobs that only a few kinds of machine suit: see that at least their own share of those is there.
@@ -219,15 +223,22 @@
     const plain = !job.spec.singleZone && !job.spec.spreadZones;
     if (plain && suited.has(job.requirementsKey)) continue;
     // A service that must be spread waits for good where all machines are in a zone that has its half.
-    let there = options.some(
-      (o) =>
-        o.outstandingRequests.size > 0 && suitsPool(job, o) && satisfiesZoneConstraints(job, o),
+    let there = pools.some(
+      (pool) =>
+        pool.outstandingRequests.size > 0 &&
+        suitsPool(job, pool) &&
+        satisfiesZoneConstraints(job, pool),
     );
-    for (const m of there ? [] : state.machines.values()) {
-      const type = state.types.get(m.type);
-      if (!type || !countsAsSupply(m) || !isFeasible(job, m) || !satisfiesZoneConstraints(job, m))
+    for (const machine of there ? [] : state.machines.values()) {
+      const type = state.types.get(machine.type);
+      if (
+        !type ||
+        !countsAsSupply(machine) ||
+        !isFeasible(job, machine) ||
+        !satisfiesZoneConstraints(job, machine)
+      )
         continue;
-      if (failedThere(job, m) || !fitsBesideReplicas(job, m, type)) continue;
+      if (failedThere(job, machine) || !fitsBesideReplicas(job, machine, type)) continue;
       there = true;
       break;
     }
@@ -235,7 +246,9 @@
       if (plain) suited.add(job.requirementsKey);
       continue;
     }
-    const suits = options.filter((o) => suitsPool(job, o) && satisfiesZoneConstraints(job, o));
+    const suits = pools.filter(
+      (pool) => suitsPool(job, pool) && satisfiesZoneConstraints(job, pool),
+    );
     provisionFrom(state, suits, limit * Math.max(job.spec.cpus, 0.1), now, effects);
   }
   return effects;
--- a/src/core/ledger/batch-builder.ts
+++ b/src/core/ledger/batch-builder.ts
@@ -80,11 +80,11 @@
   }
 
   /** False when the record has no room for it. */
-  enter(state: CoreState, p: Placement, limit: number): boolean {
-    const cost = this.costOf(p);
+  enter(state: CoreState, placement: Placement, limit: number): boolean {
+    const cost = this.costOf(placement);
     if (this.bytes + cost > limit) return false;
     this.bytes += cost;
-    const { entry, machine } = p;
+    const { entry, machine } = placement;
     this.jobs.add(entry.job);
     let at = this.machines.get(machine.id);
     if (!at) {
@@ -94,9 +94,9 @@
       this.machines.set(machine.id, at);
     }
     at.entries.push(entry);
-    detachPlacement(state, p);
-    p.segment = this.segment;
-    this.segment.placements.add(p);
+    detachPlacement(state, placement);
+    placement.segment = this.segment;
+    this.segment.placements.add(placement);
     this.segment.initialSize += 1;
     return true;
   }
@@ -120,7 +120,8 @@
 }
 
 /** Replicas of services stay for as long as their job: records of their own do not grow thin with what ends soon. */
-const isLongLived = (p: Placement): boolean => p.job !== null && isService(p.job);
+const isLongLived = (placement: Placement): boolean =>
+  placement.job !== null && isService(placement.job);
 
 type Put = (lasting: boolean, add: (draft: SegmentDraft) => boolean) => boolean;
 
@@ -141,8 +142,8 @@
     const left = segment.placements.size + segment.chunks.size;
     if (fresh.has(segment) || left > segment.initialSize * THIN_SHARE) continue;
     moved += 1;
-    for (const p of [...segment.placements]) {
-      if (!put(isLongLived(p), (draft) => draft.enter(state, p, limit))) return;
+    for (const placement of [...segment.placements]) {
+      if (!put(isLongLived(placement), (draft) => draft.enter(state, placement, limit))) return;
     }
     for (const { job, number } of [...segment.chunks.values()]) {
       if (
@@ -180,14 +181,10 @@
 /** Gathers one batch; the next waits until this one is known to be stored. */
 export const buildNextBatch = (state: CoreState, now: Instant, effects: Effect[]): void => {
   if (state.pendingBatch) return;
-  const {
-    fencingToken: term,
-    maxTransactionOperations: txnOps,
-    storeWritesPerSecond: writeRps,
-  } = state.config;
+  const { fencingToken, maxTransactionOperations, storeWritesPerSecond } = state.config;
   const most = Math.min(
-    Math.max(txnOps, BATCH_CHANGES),
-    Math.max(LEAST_BATCH_CHANGES, Math.ceil(writeRps * BATCH_S)),
+    Math.max(maxTransactionOperations, BATCH_CHANGES),
+    Math.max(LEAST_BATCH_CHANGES, Math.ceil(storeWritesPerSecond * BATCH_S)),
   );
   const ops: StoreOperation[] = [];
   const batch: Batch = {
@@ -226,7 +223,7 @@
     const draft = open[which];
     if (draft && add(draft)) return true;
     if (changes + 1 > most || bytes + openBytes() > BATCH_BYTES) return false;
-    const key = segmentKey(term, state.nextSegment);
+    const key = segmentKey(fencingToken, state.nextSegment);
     const next = new SegmentDraft({
       key,
       placements: new Set(),
@@ -245,27 +242,26 @@
   };
   // Replicas first: there are few, and somebody waits for each.
   for (const lasting of [true, false]) {
-    for (const p of state.awaitingLedgerEntry) {
-      if (isLongLived(p) !== lasting) continue;
-      if (!put(lasting, (d) => d.enter(state, p, limit))) break;
-      state.awaitingLedgerEntry.delete(p);
-      if (p.phase === 'entering') batch.enteredPlacements.push(p);
+    for (const placement of state.awaitingLedgerEntry) {
+      if (isLongLived(placement) !== lasting) continue;
+      if (!put(lasting, (draft) => draft.enter(state, placement, limit))) break;
+      state.awaitingLedgerEntry.delete(placement);
+      if (placement.phase === 'persisting') batch.enteredPlacements.push(placement);
     }
   }
   // Progress that is not due only fills up what is written anyway: told with every batch, it took most of the changes.
   const progressDue =
     state.unsavedProgressSince !== null && now - state.unsavedProgressSince >= PROGRESS_WAIT_MS;
   if (progressDue || open.short) {
-    for (const [key, { job, chunk: number }] of state.unsavedProgress) {
+    for (const [key, { job, chunk }] of state.unsavedProgress) {
       const over = !state.jobs.has(job.spec.id) || job.terminalState !== 'none';
       // A new leader does not look for attempts of tasks that it reads as done: while another attempt may be on a machine, and counts
       // against its team, the task is not told as done.
       if (!over && job.supersededAttempts > 0) continue;
-      const add = (d: SegmentDraft) => d.record(state, job, number, limit);
+      const add = (draft: SegmentDraft) => draft.record(state, job, chunk, limit);
       if (!over && !(progressDue ? put(false, add) : add(open.short!))) break;
       state.unsavedProgress.delete(key);
-      if (!over)
-        batch.progress.push({ job, chunk: number, version: job.chunks.get(number)!.version });
+      if (!over) batch.progress.push({ job, chunk, version: job.chunks.get(chunk)!.version });
     }
     if (state.unsavedProgress.size === 0) state.unsavedProgressSince = null;
   }
@@ -311,11 +307,11 @@
     for (const row of op.progress) jobs.add(row.job);
   }
   // An attempt that could not be entered was never sent: its task waits again.
-  for (const p of [...batch.enteredPlacements]) {
-    if (!attempts.has(p.entry.attempt) || p.phase !== 'entering') continue;
-    if (p.job) p.job.retryAt = addMillis(now, REFUSED_PAUSE_MS);
-    releasePlacement(state, p, now);
-    p.machine.placements.delete(p.entry.attempt);
+  for (const placement of [...batch.enteredPlacements]) {
+    if (!attempts.has(placement.entry.attempt) || placement.phase !== 'persisting') continue;
+    if (placement.job) placement.job.retryAt = addMillis(now, REFUSED_PAUSE_MS);
+    releasePlacement(state, placement, now);
+    placement.machine.placements.delete(placement.entry.attempt);
   }
   for (const op of refused) {
     if (op.kind !== 'write-extension-records') continue;
@@ -339,7 +335,8 @@
   if (!batch || batch.id !== id) return;
   state.pendingBatch = null;
   if (refused.length > 0) handleRefusedOperations(state, batch, refused, now);
-  for (const p of batch.enteredPlacements) if (p.phase === 'entering') p.phase = 'offered';
+  for (const placement of batch.enteredPlacements)
+    if (placement.phase === 'persisting') placement.phase = 'dispatched';
   for (const { job, chunk, version } of batch.progress) {
     const c = job.chunks.get(chunk);
     if (c) c.storedVersion = Math.max(c.storedVersion, version);
@@ -388,17 +385,23 @@
 ): void => {
   const job = state.jobs.get(command.job);
   const segment = getOrCreateSegment(state, command.segment);
-  const { firstTask: from, bits: row } = command;
+  const { firstTask, bits: row } = command;
   // A service is never done, in no part.
   if (!job || isService(job)) return;
-  if (!Number.isInteger(from) || from < 0 || from % 8 !== 0 || from >= job.spec.tasks) return;
-  const end = Math.min(from + Math.max(1, row.length) * 8, job.spec.tasks);
+  if (
+    !Number.isInteger(firstTask) ||
+    firstTask < 0 ||
+    firstTask % 8 !== 0 ||
+    firstTask >= job.spec.tasks
+  )
+    return;
+  const end = Math.min(firstTask + Math.max(1, row.length) * 8, job.spec.tasks);
   for (
-    let number = Math.floor(from / job.tasksPerChunk);
+    let number = Math.floor(firstTask / job.tasksPerChunk);
     number * job.tasksPerChunk < end;
     number += 1
   ) {
-    readPart(state, job, number, row, (number * job.tasksPerChunk - from) / 8, segment);
+    readPart(state, job, number, row, (number * job.tasksPerChunk - firstTask) / 8, segment);
   }
   let done = 0;
   for (const { bits } of job.chunks.values()) {
@@ -415,12 +418,13 @@
   now: Instant,
 ): void => {
   const segment = getOrCreateSegment(state, command.segment);
-  const m = getOrCreateMachine(state, command.machine, null, now, command.attributes);
+  const machine = getOrCreateMachine(state, command.machine, null, now, command.attributes);
   for (const entry of command.entries) {
     segment.initialSize += 1;
     const job = state.jobs.get(entry.job);
     // A task already recorded as done needs no second look: its result is safe.
     if (job && isTaskDone(job, entry.index)) continue;
-    if (!m.placements.has(entry.attempt)) recoverPlacement(state, m, entry, now, segment);
+    if (!machine.placements.has(entry.attempt))
+      recoverPlacement(state, machine, entry, now, segment);
   }
 };
--- a/src/core/ledger/segments.ts
+++ b/src/core/ledger/segments.ts
@@ -6,13 +6,13 @@
 const RECORD_BYTES = 14_000;
 
 /** What a ledger record may hold, by the settings' bound for a value. */
-export const maxSegmentBytes = ({ maxValueBytes: valueBytes }: CoreConfig): number =>
-  Math.min(valueBytes * 0.96, RECORD_BYTES);
+export const maxSegmentBytes = ({ maxValueBytes }: CoreConfig): number =>
+  Math.min(maxValueBytes * 0.96, RECORD_BYTES);
 
 /** Where ledger records stand in the state service; the term in the name keeps every name new. */
 export const SEGMENT_PREFIX = 'l/';
-export const segmentKey = (term: FencingToken, n: number): SegmentKey =>
-  `${SEGMENT_PREFIX}${term}/${n}` as SegmentKey;
+export const segmentKey = (fencingToken: FencingToken, n: number): SegmentKey =>
+  `${SEGMENT_PREFIX}${fencingToken}/${n}` as SegmentKey;
 
 export const getOrCreateSegment = (state: CoreState, key: SegmentKey): LedgerSegment => {
   let segment = state.segments.get(key);
@@ -36,10 +36,10 @@
 };
 
 /** From now on another record speaks for the attempt, or none needs to. */
-export const detachPlacement = (state: CoreState, p: Placement): void => {
-  const { segment } = p;
-  p.segment = null;
-  if (segment?.placements.delete(p)) dropSegmentIfObsolete(state, segment);
+export const detachPlacement = (state: CoreState, placement: Placement): void => {
+  const { segment } = placement;
+  placement.segment = null;
+  if (segment?.placements.delete(placement)) dropSegmentIfObsolete(state, segment);
 };
 
 export const detachChunk = (state: CoreState, chunk: ProgressChunk): void => {
--- a/src/core/lifecycle/attempts.ts
+++ b/src/core/lifecycle/attempts.ts
@@ -14,19 +14,15 @@
 export const ATTEMPTS_PER_REVISION = 1_000_000;
 
 /** Whether a number is left for another attempt. */
-export const hasAttemptLeft = ({
-  config,
-  nextAttemptOffset: nextAttempt,
-  storedRevision,
-}: CoreState): boolean =>
-  nextAttempt < (storedRevision - config.fencingToken + 1) * ATTEMPTS_PER_REVISION;
+export const hasAttemptLeft = ({ config, nextAttemptOffset, storedRevision }: CoreState): boolean =>
+  nextAttemptOffset < (storedRevision - config.fencingToken + 1) * ATTEMPTS_PER_REVISION;
 
 export const occupiesMachine = (phase: AttemptPhase): boolean => phase !== 'ended';
 
 /** Counts an attempt on its machine, against its team and in its job. */
-export const addPlacement = (state: CoreState, p: Placement): void => {
-  const { entry, machine, job } = p;
-  machine.placements.set(entry.attempt, p);
+export const addPlacement = (state: CoreState, placement: Placement): void => {
+  const { entry, machine, job } = placement;
+  machine.placements.set(entry.attempt, placement);
   machine.attemptCount += 1;
   machine.usedCpus += entry.cpus;
   machine.usedGpus += entry.gpus;
@@ -37,9 +33,9 @@
   state.teamUsage.set(entry.team, usage);
   if (job) {
     const others = job.attemptsByTask.get(entry.index);
-    if (others) others.push(p);
+    if (others) others.push(placement);
     else {
-      job.attemptsByTask.set(entry.index, [p]);
+      job.attemptsByTask.set(entry.index, [placement]);
       if (!isTaskDone(job, entry.index)) job.pendingTasks -= 1;
     }
     job.attemptsByZone.set(machine.zone, (job.attemptsByZone.get(machine.zone) ?? 0) + 1);
@@ -52,16 +48,16 @@
  */
 export const releasePlacement = (
   state: CoreState,
-  p: Placement,
+  placement: Placement,
   now: Instant,
   how: 'reported' | 'gone' = 'gone',
 ): void => {
-  const { entry, machine, job } = p;
-  if (!occupiesMachine(p.phase)) return;
-  state.extensions?.observe({ kind: 'released', attempt: p, how });
-  p.phase = 'ended';
-  state.awaitingLedgerEntry.delete(p);
-  detachPlacement(state, p);
+  const { entry, machine, job } = placement;
+  if (!occupiesMachine(placement.phase)) return;
+  state.extensions?.observe({ kind: 'released', attempt: placement, how });
+  placement.phase = 'ended';
+  state.awaitingLedgerEntry.delete(placement);
+  detachPlacement(state, placement);
   machine.usedCpus -= entry.cpus;
   machine.usedGpus -= entry.gpus;
   machine.usedMemoryGb -= entry.memoryGb;
@@ -70,9 +66,9 @@
     usage.cpus -= entry.cpus;
     usage.gpus -= entry.gpus;
   }
-  if (job && p.isSuperseded) job.supersededAttempts -= 1;
+  if (job && placement.isSuperseded) job.supersededAttempts -= 1;
   if (job) {
-    const left = (job.attemptsByTask.get(entry.index) ?? []).filter((other) => other !== p);
+    const left = (job.attemptsByTask.get(entry.index) ?? []).filter((other) => other !== placement);
     if (left.length > 0) job.attemptsByTask.set(entry.index, left);
     else {
       job.attemptsByTask.delete(entry.index);
--- a/src/core/lifecycle/heartbeat-reconciliation.ts
+++ b/src/core/lifecycle/heartbeat-reconciliation.ts
@@ -26,34 +26,37 @@
 export const getOrCreateMachine = (
   state: CoreState,
   id: MachineId,
-  report: Heartbeat | null,
+  heartbeat: Heartbeat | null,
   now: Instant,
   recorded?: MachineAttributes,
 ): Machine => {
   let m = state.machines.get(id);
   if (!m) {
     const at = {
-      endpoint: report?.endpoint ?? '',
-      type: report?.type ?? recorded?.type ?? ('' as MachineTypeName),
-      zone: report?.zone ?? recorded?.zone ?? ('' as ZoneName),
-      spot: report?.spot ?? recorded?.spot ?? true,
+      endpoint: heartbeat?.endpoint ?? '',
+      type: heartbeat?.type ?? recorded?.type ?? ('' as MachineTypeName),
+      zone: heartbeat?.zone ?? recorded?.zone ?? ('' as ZoneName),
+      spot: heartbeat?.spot ?? recorded?.spot ?? true,
     };
     m = createMachine(id, at, now, now);
     state.machines.set(id, m);
   }
-  if (report) {
-    m.endpoint = report.endpoint;
-    m.type = report.type;
-    m.spot = report.spot;
-    if (m.zone !== report.zone) {
-      for (const p of m.placements.values()) {
-        if (!p.job || !occupiesMachine(p.phase)) continue;
-        const left = (p.job.attemptsByZone.get(m.zone) ?? 1) - 1;
-        if (left > 0) p.job.attemptsByZone.set(m.zone, left);
-        else p.job.attemptsByZone.delete(m.zone);
-        p.job.attemptsByZone.set(report.zone, (p.job.attemptsByZone.get(report.zone) ?? 0) + 1);
+  if (heartbeat) {
+    m.endpoint = heartbeat.endpoint;
+    m.type = heartbeat.type;
+    m.spot = heartbeat.spot;
+    if (m.zone !== heartbeat.zone) {
+      for (const placement of m.placements.values()) {
+        if (!placement.job || !occupiesMachine(placement.phase)) continue;
+        const left = (placement.job.attemptsByZone.get(m.zone) ?? 1) - 1;
+        if (left > 0) placement.job.attemptsByZone.set(m.zone, left);
+        else placement.job.attemptsByZone.delete(m.zone);
+        placement.job.attemptsByZone.set(
+          heartbeat.zone,
+          (placement.job.attemptsByZone.get(heartbeat.zone) ?? 0) + 1,
+        );
       }
-      m.zone = report.zone;
+      m.zone = heartbeat.zone;
     }
   }
   return m;
@@ -62,7 +65,7 @@
 /** An attempt this leader did not place: from a former leader's ledger, or found on a machine. */
 export const recoverPlacement = (
   state: CoreState,
-  m: Machine,
+  machine: Machine,
   entry: LedgerEntry,
   now: Instant,
   segment: LedgerSegment | null,
@@ -70,12 +73,12 @@
   // A task that its job does not have is only counted and killed, like one of an unknown job.
   const named = state.jobs.get(entry.job);
   const job = named && entry.index < named.spec.tasks ? named : null;
-  const p: Placement = {
+  const placement: Placement = {
     entry,
-    machine: m,
+    machine,
     job,
     placedAt: now,
-    phase: 'recorded',
+    phase: 'unconfirmed',
     startedAt: null,
     dispatchedEpoch: null,
     stopRequest: job ? null : { graceS: 0, sentAt: null },
@@ -83,14 +86,14 @@
     requiredProgress: null,
     segment,
   };
-  segment?.placements.add(p);
-  addPlacement(state, p);
-  return p;
+  segment?.placements.add(placement);
+  addPlacement(state, placement);
+  return placement;
 };
 
 const recoverReportedPlacement = (
   state: CoreState,
-  m: Machine,
+  machine: Machine,
   task: TaskStatus,
   now: Instant,
 ): Placement => {
@@ -104,44 +107,45 @@
     gpus: spec?.gpus ?? 0,
     memoryGb: spec?.memoryGb ?? 0,
   };
-  const p = recoverPlacement(state, m, entry, now, null);
-  const rivals = (p.job?.attemptsByTask.get(entry.index) ?? []).length > 1;
-  const doneElsewhere = task.phase !== 'ended' && p.job !== null && isTaskDone(p.job, entry.index);
-  if (rivals || doneElsewhere) p.stopRequest = { graceS: 0, sentAt: null };
-  state.awaitingLedgerEntry.add(p);
-  return p;
+  const placement = recoverPlacement(state, machine, entry, now, null);
+  const rivals = (placement.job?.attemptsByTask.get(entry.index) ?? []).length > 1;
+  const doneElsewhere =
+    task.phase !== 'ended' && placement.job !== null && isTaskDone(placement.job, entry.index);
+  if (rivals || doneElsewhere) placement.stopRequest = { graceS: 0, sentAt: null };
+  state.awaitingLedgerEntry.add(placement);
+  return placement;
 };
 
 const reconcileTask = (
   state: CoreState,
-  p: Placement,
+  placement: Placement,
   task: TaskStatus,
   now: Instant,
   effects: Effect[],
 ): void => {
-  const { job, machine } = p;
-  if (p.phase === 'ended') return;
+  const { job, machine } = placement;
+  if (placement.phase === 'ended') return;
   if (task.phase !== 'ended') {
-    if (task.phase === 'running' && p.startedAt === null) {
-      p.startedAt = now;
+    if (task.phase === 'running' && placement.startedAt === null) {
+      placement.startedAt = now;
       if (job && isService(job)) {
-        const fields = { job: job.spec.id, task: p.entry.index, machine: machine.id };
+        const fields = { job: job.spec.id, task: placement.entry.index, machine: machine.id };
         logEvent(effects, 'debug', 'replica runs', {
           ...fields,
-          afterMs: Math.round(now - p.placedAt),
+          afterMs: Math.round(now - placement.placedAt),
         });
       }
     }
-    p.phase = task.phase;
+    placement.phase = task.phase;
     if (job) machine.images.add(job.spec.image);
     return;
   }
   if (job && isService(job)) {
-    if (!p.stopRequest && (task.cause === 'done' || task.cause === 'error'))
-      recordReplicaExit(state, job, p, task.cause === 'error', now, effects);
+    if (!placement.stopRequest && (task.cause === 'done' || task.cause === 'error'))
+      recordReplicaExit(state, job, placement, task.cause === 'error', now, effects);
   } else if (task.cause === 'done' && job && job.terminalState === 'none')
-    markTaskDone(state, job, p, now);
-  else if (task.cause === 'error' && job && !p.stopRequest)
+    markTaskDone(state, job, placement, now);
+  else if (task.cause === 'error' && job && !placement.stopRequest)
     recordTaskFailure(state, job, machine, now, effects);
   if (task.cause === 'no_room') machine.saturatedUntil = addMillis(now, 1500 as Millis);
   else if (task.cause === 'unknown' && job) job.retryAt = addMillis(now, seconds(2));
@@ -149,13 +153,13 @@
   if (task.cause !== 'done' && job) {
     logEvent(effects, 'debug', 'attempt ended', {
       job: job.spec.id,
-      task: p.entry.index,
+      task: placement.entry.index,
       machine: machine.id,
       cause: task.cause,
       saved: task.checkpointSaved,
     });
   }
-  releasePlacement(state, p, now, 'reported');
+  releasePlacement(state, placement, now, 'reported');
 };
 
 /**
@@ -164,43 +168,58 @@
  */
 const trackReachability = (
   state: CoreState,
-  m: Machine,
-  report: Heartbeat,
+  machine: Machine,
+  heartbeat: Heartbeat,
   now: Instant,
   effects: Effect[],
 ): void => {
-  const { dispatchedStarts: offered } = m;
-  m.dispatchedStarts = null;
-  const before = m.unacknowledgedReplies;
-  if (report.agentEpoch > m.agentEpoch && m.acknowledgedEpoch === m.agentEpoch && m.agentEpoch > 0)
-    m.unacknowledgedReplies += 1;
-  else if (offered && report.agentEpoch === m.agentEpoch && report.sequence > offered.seq) {
-    const shown = new Set<number>(report.tasks.map((t) => t.attempt));
-    m.unacknowledgedReplies = offered.attempts.some((attempt) => shown.has(attempt))
+  const { dispatchedStarts } = machine;
+  machine.dispatchedStarts = null;
+  const before = machine.unacknowledgedReplies;
+  if (
+    heartbeat.agentEpoch > machine.agentEpoch &&
+    machine.acknowledgedEpoch === machine.agentEpoch &&
+    machine.agentEpoch > 0
+  )
+    machine.unacknowledgedReplies += 1;
+  else if (
+    dispatchedStarts &&
+    heartbeat.agentEpoch === machine.agentEpoch &&
+    heartbeat.sequence > dispatchedStarts.seq
+  ) {
+    const shown = new Set<number>(heartbeat.tasks.map((t) => t.attempt));
+    machine.unacknowledgedReplies = dispatchedStarts.attempts.some((attempt) => shown.has(attempt))
       ? 0
-      : m.unacknowledgedReplies + 1;
+      : machine.unacknowledgedReplies + 1;
   }
-  if (m.unacknowledgedReplies > before && m.unacknowledgedReplies >= UNACKNOWLEDGED_LIMIT)
-    m.quarantinedUntil = addMillis(now, state.config.workerLeaseMs);
-  else if (m.unacknowledgedReplies === 0) m.quarantinedUntil = 0 as Instant;
-  const { unverifiedSince: unprovenSince } = m;
-  const unproven = unprovenSince !== null && now - unprovenSince > 1.5 * state.config.workerLeaseMs;
-  if (m.isUnreachable || (m.unacknowledgedReplies < UNHEARD_REPLACES && !unproven)) return;
+  if (
+    machine.unacknowledgedReplies > before &&
+    machine.unacknowledgedReplies >= UNACKNOWLEDGED_LIMIT
+  )
+    machine.quarantinedUntil = addMillis(now, state.config.workerLeaseMs);
+  else if (machine.unacknowledgedReplies === 0) machine.quarantinedUntil = 0 as Instant;
+  const { unverifiedSince } = machine;
+  const unproven =
+    unverifiedSince !== null && now - unverifiedSince > 1.5 * state.config.workerLeaseMs;
+  if (machine.isUnreachable || (machine.unacknowledgedReplies < UNHEARD_REPLACES && !unproven))
+    return;
   let deaf = 0;
   for (const other of state.machines.values())
     if (other.isUnreachable || other.unacknowledgedReplies >= UNACKNOWLEDGED_LIMIT) deaf += 1;
   // When many seem deaf the fault is more likely our own slowness: replacing them would help nobody.
   if (deaf > Math.max(2, state.machines.size * DEAF_SHARE)) {
-    m.unacknowledgedReplies = Math.min(m.unacknowledgedReplies, UNACKNOWLEDGED_LIMIT);
+    machine.unacknowledgedReplies = Math.min(machine.unacknowledgedReplies, UNACKNOWLEDGED_LIMIT);
     return;
   }
-  m.isUnreachable = true;
-  logEvent(effects, 'info', 'machine does not hear our answers, replacing it', { machine: m.id });
+  machine.isUnreachable = true;
+  logEvent(effects, 'info', 'machine does not hear our answers, replacing it', {
+    machine: machine.id,
+  });
 };
 
 export const reconcileHeartbeat = (
   state: CoreState,
-  report: Heartbeat,
+  heartbeat: Heartbeat,
   ticket: ReplyTicket | null,
   now: Instant,
   effects: Effect[],
@@ -208,79 +227,97 @@
   const refuse = () => {
     if (ticket !== null) effects.push({ kind: 'reply-to-heartbeat', ticket, commands: null });
   };
-  if (state.deletedMachines.has(report.machine)) return refuse();
-  const known = state.machines.get(report.machine);
+  if (state.deletedMachines.has(heartbeat.machine)) return refuse();
+  const known = state.machines.get(heartbeat.machine);
   if (
     known &&
-    (report.agentEpoch < known.agentEpoch ||
-      (report.agentEpoch === known.agentEpoch && report.sequence <= known.heartbeatSequence))
+    (heartbeat.agentEpoch < known.agentEpoch ||
+      (heartbeat.agentEpoch === known.agentEpoch && heartbeat.sequence <= known.heartbeatSequence))
   ) {
     return refuse();
   }
-  const m = getOrCreateMachine(state, report.machine, report, now);
-  if (ticket !== null) trackReachability(state, m, report, now, effects);
-  if (m.pendingReply)
-    effects.push({ kind: 'reply-to-heartbeat', ticket: m.pendingReply.ticket, commands: null });
-  m.pendingReply = ticket === null ? null : { ticket, since: now };
-  if (m.pendingReply) state.machinesAwaitingReply.add(m);
-  else state.machinesAwaitingReply.delete(m);
-  const first = !m.hasReported;
+  const machine = getOrCreateMachine(state, heartbeat.machine, heartbeat, now);
+  if (ticket !== null) trackReachability(state, machine, heartbeat, now, effects);
+  if (machine.pendingReply)
+    effects.push({
+      kind: 'reply-to-heartbeat',
+      ticket: machine.pendingReply.ticket,
+      commands: null,
+    });
+  machine.pendingReply = ticket === null ? null : { ticket, since: now };
+  if (machine.pendingReply) state.machinesAwaitingReply.add(machine);
+  else state.machinesAwaitingReply.delete(machine);
+  const first = !machine.hasReported;
   if (first)
-    logEvent(effects, 'debug', 'machine is up', { machine: m.id, type: m.type, zone: m.zone });
-  m.agentEpoch = report.agentEpoch;
-  m.heartbeatSequence = report.sequence;
-  m.hasReported = true;
+    logEvent(effects, 'debug', 'machine is up', {
+      machine: machine.id,
+      type: machine.type,
+      zone: machine.zone,
+    });
+  machine.agentEpoch = heartbeat.agentEpoch;
+  machine.heartbeatSequence = heartbeat.sequence;
+  machine.hasReported = true;
   if (ticket !== null) {
-    if (hasMissedHeartbeats(state, m, now)) state.isRoundDue = true;
-    m.lastHeartbeatAt = now;
+    if (hasMissedHeartbeats(state, machine, now)) state.isRoundDue = true;
+    machine.lastHeartbeatAt = now;
   }
-  if (m.lostAt !== null && !m.isDeleting && !(m.isDraining && m.placements.size === 0)) {
-    m.lostAt = null;
-    m.lostReason = '';
+  if (
+    machine.lostAt !== null &&
+    !machine.isDeleting &&
+    !(machine.isDraining && machine.placements.size === 0)
+  ) {
+    machine.lostAt = null;
+    machine.lostReason = '';
   }
   // Replicas on it are to move.
-  if (report.reclaimNoticeS !== null && m.reclaimAt === null) state.isRoundDue = true;
-  m.reclaimAt =
-    report.reclaimNoticeS === null ? null : addMillis(now, seconds(report.reclaimNoticeS));
+  if (heartbeat.reclaimNoticeS !== null && machine.reclaimAt === null) state.isRoundDue = true;
+  machine.reclaimAt =
+    heartbeat.reclaimNoticeS === null ? null : addMillis(now, seconds(heartbeat.reclaimNoticeS));
   // Only a report that carries our term, on a session we answered, proves what is not on the machine:
   // a report sent before could be older than a start that a former leader's answer still brought.
   // Nor does a reply to direct orders, which may cross the answer to a check-in that is still under way.
   const proof =
     ticket !== null &&
-    report.fencingToken === state.config.fencingToken &&
-    m.acknowledgedEpoch === report.agentEpoch;
-  if (proof && !m.isReady) {
-    m.isReady = true;
+    heartbeat.fencingToken === state.config.fencingToken &&
+    machine.acknowledgedEpoch === heartbeat.agentEpoch;
+  if (proof && !machine.isReady) {
+    machine.isReady = true;
     state.isRoundDue = true;
   }
-  if (proof) m.unverifiedSince = null;
-  else if (ticket !== null && !m.isReady) m.unverifiedSince ??= now;
-  if (m.acknowledgedEpoch !== report.agentEpoch) m.isReady = false;
+  if (proof) machine.unverifiedSince = null;
+  else if (ticket !== null && !machine.isReady) machine.unverifiedSince ??= now;
+  if (machine.acknowledgedEpoch !== heartbeat.agentEpoch) machine.isReady = false;
   // The first word of a machine rented under this term: nothing can be on its way to it, so the answer may start
   // tasks at once. What it takes for an absence to be proof stays the same.
-  if (first && m.isProvisionedThisTerm && report.agentEpoch === 1 && report.tasks.length === 0) {
-    m.isReady = true;
+  if (
+    first &&
+    machine.isProvisionedThisTerm &&
+    heartbeat.agentEpoch === 1 &&
+    heartbeat.tasks.length === 0
+  ) {
+    machine.isReady = true;
     state.isRoundDue = true;
   }
   const seen = new Set<number>();
-  for (const task of report.tasks) {
+  for (const task of heartbeat.tasks) {
     seen.add(task.attempt);
-    const p = m.placements.get(task.attempt) ?? recoverReportedPlacement(state, m, task, now);
-    reconcileTask(state, p, task, now, effects);
+    const placement =
+      machine.placements.get(task.attempt) ?? recoverReportedPlacement(state, machine, task, now);
+    reconcileTask(state, placement, task, now, effects);
   }
   if (proof) {
-    for (const p of [...m.placements.values()]) {
-      if (seen.has(p.entry.attempt) || p.phase === 'entering') continue;
+    for (const placement of [...machine.placements.values()]) {
+      if (seen.has(placement.entry.attempt) || placement.phase === 'persisting') continue;
       // On its way, unless it went out in a session that has ended: what that one held is gone, and answers to its
       // reports are dropped. Sent again, it would run under an attempt that may have run before.
       if (
-        p.phase === 'offered' &&
-        !p.stopRequest &&
-        (p.dispatchedEpoch === null || p.dispatchedEpoch === report.agentEpoch)
+        placement.phase === 'dispatched' &&
+        !placement.stopRequest &&
+        (placement.dispatchedEpoch === null || placement.dispatchedEpoch === heartbeat.agentEpoch)
       )
         continue;
-      releasePlacement(state, p, now);
-      m.placements.delete(p.entry.attempt);
+      releasePlacement(state, placement, now);
+      machine.placements.delete(placement.entry.attempt);
     }
   }
 };
--- a/src/core/lifecycle/job-tasks.ts
+++ b/src/core/lifecycle/job-tasks.ts
@@ -55,7 +55,7 @@
   if (!isService(job)) return job.failedMachines.size >= FAILED_MACHINES_LIMIT;
   if (job.consecutiveFailures < FAILED_MACHINES_LIMIT) return false;
   for (const held of job.attemptsByTask.values())
-    if (held.some((p) => p.phase === 'running')) return false;
+    if (held.some((placement) => placement.phase === 'running')) return false;
   return true;
 };
 
--- a/src/core/lifecycle/job-view.ts
+++ b/src/core/lifecycle/job-view.ts
@@ -24,7 +24,12 @@
 const runningTasks = (job: Job): number => {
   let running = 0;
   for (const placements of job.attemptsByTask.values()) {
-    if (placements.some((p) => p.phase === 'running' || p.phase === 'saving')) running += 1;
+    if (
+      placements.some(
+        (placement) => placement.phase === 'running' || placement.phase === 'checkpointing',
+      )
+    )
+      running += 1;
   }
   return running;
 };
@@ -36,7 +41,7 @@
   if (now < job.retryAt) return 'pausing after failed tasks';
   if (tasksWithinQuota(state, job) < 1) return 'team limit';
   let booting = 0;
-  for (const m of state.machines.values()) if (!m.hasReported) booting += 1;
+  for (const machine of state.machines.values()) if (!machine.hasReported) booting += 1;
   const reason = job.waitingReason || 'next round';
   const head = state.queueHead === job.spec.id ? ' (head of the queue)' : '';
   return booting > 0 ? `${reason}${head}; ${booting} machines booting` : `${reason}${head}`;
@@ -69,7 +74,7 @@
   const ranked = rankWaitingJobs(state, now);
   const at = ranked.findIndex((r) => r.job === job);
   let booting = 0;
-  for (const m of state.machines.values()) if (!m.hasReported) booting += 1;
+  for (const machine of state.machines.values()) if (!machine.hasReported) booting += 1;
   return {
     id,
     team: job.spec.team,
--- a/src/core/lifecycle/jobs.ts
+++ b/src/core/lifecycle/jobs.ts
@@ -59,10 +59,10 @@
 /** Also without a valid lease: see `ofEndedJob` in orders. */
 const killAll = (job: Job, now: Instant, effects: Effect[]): void => {
   for (const placements of job.attemptsByTask.values()) {
-    for (const p of placements)
-      if (p.stopRequest?.graceS !== 0) p.stopRequest = { graceS: 0, sentAt: null };
+    for (const placement of placements)
+      if (placement.stopRequest?.graceS !== 0) placement.stopRequest = { graceS: 0, sentAt: null };
   }
-  for (const m of machinesOf(job)) dispatchKills(m, effects, now);
+  for (const machine of machinesOf(job)) dispatchKills(machine, effects, now);
 };
 
 export const completeStoredJob = (
@@ -89,19 +89,24 @@
   });
   settle(job, effects);
   killAll(job, now, effects);
-  for (const m of state.machines.values()) m.failedJobs.delete(job.spec.id);
+  for (const machine of state.machines.values()) machine.failedJobs.delete(job.spec.id);
   state.isRoundDue = true;
 };
 
 const machinesOf = (job: Job): Set<Machine> => {
   const machines = new Set<Machine>();
   for (const placements of job.attemptsByTask.values())
-    for (const p of placements) machines.add(p.machine);
+    for (const placement of placements) machines.add(placement.machine);
   return machines;
 };
 
-export const markTaskDone = (state: CoreState, job: Job, p: Placement, now: Instant): void => {
-  const { index } = p.entry;
+export const markTaskDone = (
+  state: CoreState,
+  job: Job,
+  placement: Placement,
+  now: Instant,
+): void => {
+  const { index } = placement.entry;
   if (index >= job.spec.tasks) return;
   const chunk = getOrCreateChunk(job, index);
   const number = Math.floor(index / job.tasksPerChunk);
@@ -113,7 +118,7 @@
     state.unsavedProgress.set(`${job.spec.id}/${number}`, { job, chunk: number });
     state.unsavedProgressSince ??= now;
     for (const other of job.attemptsByTask.get(index) ?? []) {
-      if (other === p) continue;
+      if (other === placement) continue;
       other.stopRequest = { graceS: 0, sentAt: null };
       if (!other.isSuperseded) job.supersededAttempts += 1;
       other.isSuperseded = true;
@@ -123,7 +128,7 @@
       state.unsavedCompletions.add(job);
     }
   }
-  p.requiredProgress = { chunk: number, version: chunk.version };
+  placement.requiredProgress = { chunk: number, version: chunk.version };
   job.failedMachines.clear();
   job.consecutiveFailures = 0;
 };
@@ -141,7 +146,7 @@
 export const recordReplicaExit = (
   state: CoreState,
   job: Job,
-  p: Placement,
+  placement: Placement,
   failed: boolean,
   now: Instant,
   effects: Effect[],
@@ -151,27 +156,27 @@
     job.consecutiveFailures = 0;
   }
   job.lastFailureAt = now;
-  const sound = p.startedAt !== null && now - p.startedAt >= SOUND_RUN_MS;
-  if (sound) job.failedMachines.add(p.machine.id);
-  else recordTaskFailure(state, job, p.machine, now, effects);
+  const sound = placement.startedAt !== null && now - placement.startedAt >= SOUND_RUN_MS;
+  if (sound) job.failedMachines.add(placement.machine.id);
+  else recordTaskFailure(state, job, placement.machine, now, effects);
   // With others of it running it is sound, but it need not be tried without a pause where it fails.
   if (!sound && job.consecutiveFailures >= FAILED_MACHINES_LIMIT && !failsEverywhere(job))
     job.retryAt = addMillis(now, SOUND_PAUSE_MS);
   // An end without an error says nothing against the machine.
-  if (!failed) p.machine.failedJobs.delete(job.spec.id);
+  if (!failed) placement.machine.failedJobs.delete(job.spec.id);
 };
 
 export const recordTaskFailure = (
   state: CoreState,
   job: Job,
-  m: Machine,
+  machine: Machine,
   now: Instant,
   effects: Effect[],
 ): void => {
   job.consecutiveFailures += 1;
   job.lastFailureAt = now;
-  job.failedMachines.add(m.id);
-  m.failedJobs.add(job.spec.id);
+  job.failedMachines.add(machine.id);
+  machine.failedJobs.add(job.spec.id);
   if (failsEverywhere(job)) {
     // The job's own mistake: the machines are not to blame, and it must neither hold the head nor burn them.
     for (const other of state.machines.values()) other.failedJobs.delete(job.spec.id);
@@ -185,9 +190,9 @@
       job: job.spec.id,
       pauseS: pause,
     });
-  } else if (quarantineFaultyMachine(state, m, now)) {
+  } else if (quarantineFaultyMachine(state, machine, now)) {
     logEvent(effects, 'info', 'machine fails tasks of several jobs, replacing it', {
-      machine: m.id,
+      machine: machine.id,
     });
   }
 };
--- a/src/core/lifecycle/worker-commands.ts
+++ b/src/core/lifecycle/worker-commands.ts
@@ -19,11 +19,11 @@
 const MAX_ORDERS = 300;
 const KILL_RESEND_MS = 2000;
 
-const canReap = (state: CoreState, p: Placement): boolean => {
-  if (!p.requiredProgress || !p.job) return true;
-  if (!state.jobs.has(p.job.spec.id)) return true;
-  const chunk = p.job.chunks.get(p.requiredProgress.chunk);
-  return chunk !== undefined && chunk.storedVersion >= p.requiredProgress.version;
+const canReap = (state: CoreState, placement: Placement): boolean => {
+  if (!placement.requiredProgress || !placement.job) return true;
+  if (!state.jobs.has(placement.job.spec.id)) return true;
+  const chunk = placement.job.chunks.get(placement.requiredProgress.chunk);
+  return chunk !== undefined && chunk.storedVersion >= placement.requiredProgress.version;
 };
 
 /**
@@ -31,79 +31,89 @@
  * knows the job as over too, or will be asked again. So its kill is the one order that needs no valid lease, and no
  * worker is kept alive with such a task.
  */
-export const belongsToEndedJob = (p: Placement): boolean =>
-  p.stopRequest !== null && (p.job === null || p.job.terminalState !== 'none');
+export const belongsToEndedJob = (placement: Placement): boolean =>
+  placement.stopRequest !== null &&
+  (placement.job === null || placement.job.terminalState !== 'none');
 
 /** What a leader without a valid lease may still order. */
-const killCommandsOfEndedJobs = (m: Machine, now: Instant): WorkerCommand[] => {
-  const orders: WorkerCommand[] = [];
-  for (const p of m.placements.values()) {
-    if (orders.length >= MAX_ORDERS) break;
-    if (p.phase === 'ended' || !belongsToEndedJob(p)) continue;
-    const { job, index, attempt } = p.entry;
-    orders.push({ op: 'kill', job, index, attempt, graceS: 0 });
-    if (p.stopRequest) p.stopRequest.sentAt = now;
+const killCommandsOfEndedJobs = (machine: Machine, now: Instant): WorkerCommand[] => {
+  const commands: WorkerCommand[] = [];
+  for (const placement of machine.placements.values()) {
+    if (commands.length >= MAX_ORDERS) break;
+    if (placement.phase === 'ended' || !belongsToEndedJob(placement)) continue;
+    const { job, index, attempt } = placement.entry;
+    commands.push({ op: 'kill', job, index, attempt, graceS: 0 });
+    if (placement.stopRequest) placement.stopRequest.sentAt = now;
   }
-  return orders;
+  return commands;
 };
 
-const commandsFor = (state: CoreState, m: Machine, now: Instant): WorkerCommand[] => {
-  const orders: WorkerCommand[] = [];
-  for (const p of m.placements.values()) {
-    if (orders.length >= MAX_ORDERS) break;
-    const { job, index, attempt } = p.entry;
-    if (p.phase === 'ended') {
-      if (canReap(state, p)) orders.push({ op: 'reap', job, index, attempt });
-    } else if (p.stopRequest) {
-      if (p.phase === 'entering' || p.phase === 'offered') continue;
-      if (p.phase === 'saving' && p.stopRequest.graceS > 0) continue;
-      orders.push({ op: 'kill', job, index, attempt, graceS: p.stopRequest.graceS });
-      p.stopRequest.sentAt = now;
-    } else if (p.phase === 'offered' && m.isReady && !m.isUnreachable && !m.isDeleting) {
-      if (p.dispatchedEpoch !== null && p.dispatchedEpoch !== m.agentEpoch) continue;
-      p.dispatchedEpoch = m.agentEpoch;
-      orders.push({ op: 'start', job, index, attempt });
+const commandsFor = (state: CoreState, machine: Machine, now: Instant): WorkerCommand[] => {
+  const commands: WorkerCommand[] = [];
+  for (const placement of machine.placements.values()) {
+    if (commands.length >= MAX_ORDERS) break;
+    const { job, index, attempt } = placement.entry;
+    if (placement.phase === 'ended') {
+      if (canReap(state, placement)) commands.push({ op: 'reap', job, index, attempt });
+    } else if (placement.stopRequest) {
+      if (placement.phase === 'persisting' || placement.phase === 'dispatched') continue;
+      if (placement.phase === 'checkpointing' && placement.stopRequest.graceS > 0) continue;
+      commands.push({ op: 'kill', job, index, attempt, graceS: placement.stopRequest.graceS });
+      placement.stopRequest.sentAt = now;
+    } else if (
+      placement.phase === 'dispatched' &&
+      machine.isReady &&
+      !machine.isUnreachable &&
+      !machine.isDeleting
+    ) {
+      if (placement.dispatchedEpoch !== null && placement.dispatchedEpoch !== machine.agentEpoch)
+        continue;
+      placement.dispatchedEpoch = machine.agentEpoch;
+      commands.push({ op: 'start', job, index, attempt });
     }
   }
-  return orders;
+  return commands;
 };
 
 /** Kills go straight to the worker, since its next check-in may be a while away. */
 export const dispatchKills = (
-  m: Machine,
+  machine: Machine,
   effects: Effect[],
   now: Instant,
-  which: (p: Placement) => boolean = () => true,
+  which: (placement: Placement) => boolean = () => true,
 ): void => {
-  if (!m.endpoint || m.agentEpoch === 0) return;
-  const orders: WorkerCommand[] = [];
-  for (const p of m.placements.values()) {
+  if (!machine.endpoint || machine.agentEpoch === 0) return;
+  const commands: WorkerCommand[] = [];
+  for (const placement of machine.placements.values()) {
     if (
-      !p.stopRequest ||
-      p.phase === 'entering' ||
-      p.phase === 'ended' ||
-      orders.length >= MAX_ORDERS
+      !placement.stopRequest ||
+      placement.phase === 'persisting' ||
+      placement.phase === 'ended' ||
+      commands.length >= MAX_ORDERS
     )
       continue;
-    if (!which(p) || (p.stopRequest.sentAt !== null && now - p.stopRequest.sentAt < KILL_RESEND_MS))
+    if (
+      !which(placement) ||
+      (placement.stopRequest.sentAt !== null && now - placement.stopRequest.sentAt < KILL_RESEND_MS)
+    )
       continue;
-    const { job, index, attempt } = p.entry;
-    orders.push({ op: 'kill', job, index, attempt, graceS: p.stopRequest.graceS });
-    p.stopRequest.sentAt = now;
+    const { job, index, attempt } = placement.entry;
+    commands.push({ op: 'kill', job, index, attempt, graceS: placement.stopRequest.graceS });
+    placement.stopRequest.sentAt = now;
   }
-  if (orders.length === 0) return;
+  if (commands.length === 0) return;
   effects.push({
     kind: 'send-commands',
-    machine: m.id,
-    endpoint: m.endpoint,
-    agentEpoch: m.agentEpoch,
-    commands: orders,
+    machine: machine.id,
+    endpoint: machine.endpoint,
+    agentEpoch: machine.agentEpoch,
+    commands,
   });
 };
 
 /** A replica that runs and is to go on: its machine has as little to say as an idle one. */
-const isSteadyReplica = (p: Placement): boolean =>
-  isReplica(p) && p.phase === 'running' && !p.stopRequest;
+const isSteadyReplica = (placement: Placement): boolean =>
+  isReplica(placement) && placement.phase === 'running' && !placement.stopRequest;
 
 export const replyToHeartbeats = (
   state: CoreState,
@@ -112,38 +122,42 @@
   effects: Effect[],
 ): void => {
   const idleHoldMs = Math.min(IDLE_HOLD_MAX_MS, state.config.heartbeatIntervalMs * IDLE_HOLD_SHARE);
-  for (const m of state.machinesAwaitingReply) {
-    if (!m.pendingReply) {
-      state.machinesAwaitingReply.delete(m);
+  for (const machine of state.machinesAwaitingReply) {
+    if (!machine.pendingReply) {
+      state.machinesAwaitingReply.delete(machine);
       continue;
     }
-    const { ticket, since } = m.pendingReply;
+    const { ticket, since } = machine.pendingReply;
     if (authority === 'lead' && now - since < ANSWER_WAIT_MS) {
       let waits = false;
-      for (const p of m.placements.values()) waits ||= p.phase === 'entering';
+      for (const placement of machine.placements.values())
+        waits ||= placement.phase === 'persisting';
       if (waits) continue;
     }
     const nothingEnds =
-      m.placements.size === 0 ||
-      (m.isReservedForServices && [...m.placements.values()].every(isSteadyReplica));
+      machine.placements.size === 0 ||
+      (machine.isReservedForServices && [...machine.placements.values()].every(isSteadyReplica));
     if (
       authority === 'lead' &&
       nothingEnds &&
-      isSchedulable(state, m, now) &&
+      isSchedulable(state, machine, now) &&
       now - since < idleHoldMs
     )
       continue;
-    m.pendingReply = null;
-    state.machinesAwaitingReply.delete(m);
+    machine.pendingReply = null;
+    state.machinesAwaitingReply.delete(machine);
     if (authority === 'none') {
       effects.push({ kind: 'reply-to-heartbeat', ticket, commands: null });
       continue;
     }
-    m.acknowledgedEpoch = m.agentEpoch;
-    const orders =
-      authority === 'lead' ? commandsFor(state, m, now) : killCommandsOfEndedJobs(m, now);
-    const attempts = orders.filter((o) => o.op === 'start').map((o) => o.attempt);
-    if (attempts.length > 0) m.dispatchedStarts = { seq: m.heartbeatSequence, attempts };
-    effects.push({ kind: 'reply-to-heartbeat', ticket, commands: orders });
+    machine.acknowledgedEpoch = machine.agentEpoch;
+    const commands =
+      authority === 'lead'
+        ? commandsFor(state, machine, now)
+        : killCommandsOfEndedJobs(machine, now);
+    const attempts = commands.filter((command) => command.op === 'start').map((o) => o.attempt);
+    if (attempts.length > 0)
+      machine.dispatchedStarts = { seq: machine.heartbeatSequence, attempts };
+    effects.push({ kind: 'reply-to-heartbeat', ticket, commands });
   }
 };
--- a/src/core/lifecycle/worker-leases.ts
+++ b/src/core/lifecycle/worker-leases.ts
@@ -22,16 +22,16 @@
   return Math.max(0, Math.min(KEEP_ALIVE_MAX_MS, room)) as Millis;
 };
 
-const leaseExpiryMs = ({ workerLeaseMs: leaseMs }: CoreState['config']): number =>
-  leaseMs * (1 + 2 * DRIFT) + LEASE_MARGIN_MS;
+const leaseExpiryMs = ({ workerLeaseMs }: CoreState['config']): number =>
+  workerLeaseMs * (1 + 2 * DRIFT) + LEASE_MARGIN_MS;
 
 /** Until when a worker that has not been answered since could still hold its tasks. */
-export const workerLeaseExpiresAt = ({ config }: CoreState, m: Machine): number => {
-  const { acquiredAt, graceAfterLeaseLossMs: keepAliveMs } = config;
+export const workerLeaseExpiresAt = ({ config }: CoreState, machine: Machine): number => {
+  const { acquiredAt, graceAfterLeaseLossMs } = config;
   // Until it has taken our term, a former leader may go on answering it for a bounded time.
-  const base = m.isReady
-    ? m.lastHeartbeatAt
-    : Math.max(m.lastHeartbeatAt, acquiredAt + keepAliveMs);
+  const base = machine.isReady
+    ? machine.lastHeartbeatAt
+    : Math.max(machine.lastHeartbeatAt, acquiredAt + graceAfterLeaseLossMs);
   return base + leaseExpiryMs(config);
 };
 
--- a/src/core/model/entities.ts
+++ b/src/core/model/entities.ts
@@ -25,12 +25,12 @@
  * the rest as the worker reports.
  */
 export type AttemptPhase =
-  | 'recorded'
-  | 'entering'
-  | 'offered'
+  | 'unconfirmed'
+  | 'persisting'
+  | 'dispatched'
   | 'fetching'
   | 'running'
-  | 'saving'
+  | 'checkpointing'
   | 'ended';
 
 /** An attempt at running a task on a machine. */
--- a/src/core/model/heartbeat.ts
+++ b/src/core/model/heartbeat.ts
@@ -10,7 +10,7 @@
 } from './ids.js';
 
 /** Where a task stands on its machine. */
-export type TaskPhase = 'fetching' | 'running' | 'saving' | 'ended';
+export type TaskPhase = 'fetching' | 'running' | 'checkpointing' | 'ended';
 
 /** Why a task ended. */
 export type EndCause = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown' | 'other';
--- a/src/core/scheduling/backfill.ts
+++ b/src/core/scheduling/backfill.ts
@@ -39,9 +39,9 @@
 
 const fleetGpus = (state: CoreState): Map<MachineTypeName, number> => {
   const total = new Map<MachineTypeName, number>();
-  for (const m of state.machines.values()) {
-    const gpus = state.types.get(m.type)?.gpus ?? 0;
-    if (gpus > 0) total.set(m.type, (total.get(m.type) ?? 0) + gpus);
+  for (const machine of state.machines.values()) {
+    const gpus = state.types.get(machine.type)?.gpus ?? 0;
+    if (gpus > 0) total.set(machine.type, (total.get(machine.type) ?? 0) + gpus);
   }
   return total;
 };
@@ -77,13 +77,13 @@
   leaving: readonly Placement[],
   capacities: readonly FreeCapacity[],
 ): void => {
-  for (const p of leaving) {
-    const job = p.job!;
+  for (const placement of leaving) {
+    const job = placement.job!;
     const capacity = capacities.find(
       (r) =>
         fitsFreeCapacity(job, r) &&
         isFeasible(job, r.machine) &&
-        (r.machine.zone === p.machine.zone || satisfiesZoneConstraints(job, r.machine)),
+        (r.machine.zone === placement.machine.zone || satisfiesZoneConstraints(job, r.machine)),
     );
     if (!capacity) continue;
     capacity.slots -= 1;
@@ -91,7 +91,7 @@
     capacity.gpus -= job.spec.gpus;
     capacity.memoryGb -= job.spec.memoryGb;
     reserveShadowCapacity(job, capacity);
-    requestEviction(p);
+    requestEviction(placement);
   }
 };
 
@@ -154,7 +154,7 @@
   const first = ranked.filter(({ job }) => hasQueuePrecedence(job));
   for (const { job } of first) {
     const result = placeJob(state, job, capacitiesWithRoom(capacities, least), now, 0);
-    for (const p of result.placed) placed.push(p);
+    for (const placement of result.placed) placed.push(placement);
     job.waitingReason = result.blockedBy;
     const missing = Math.min(job.pendingTasks, tasksWithinQuota(state, job));
     if (missing > 0 && !failsEverywhere(job)) preemptForReplicas(job, missing, capacities, now);
@@ -164,7 +164,7 @@
   reserveForMoves(leaving, capacities);
   let open = capacitiesWithRoom(capacities, least);
   let shadowAt = 0;
-  const { firstTaskAfterS: firstTaskS } = state.config.policy;
+  const { firstTaskAfterS } = state.config.policy;
   /** The first task of each job but the head that has waited this long and of which nothing has begun. */
   const firstTasks = (waitedS: number) => {
     for (const { job } of ranked) {
@@ -173,24 +173,23 @@
       if (job.attemptsByTask.size > 0 || job.doneCount > 0) continue;
       if (open.length === 0) return;
       const result = placeJob(state, job, open, now, shadowAt, 1);
-      for (const p of result.placed) placed.push(p);
+      for (const placement of result.placed) placed.push(placement);
       if (result.placed.length > 0) open = capacitiesWithRoom(open, least);
     }
   };
   // Shortness ranks large arrays last, and deadlines that have passed count for nothing: under lasting overload such a
   // job would never begin. One that has waited long gets its first task ahead of the others, around the head; where heads
   // take up all that comes free, one that has waited half as long again gets it even so.
-  firstTasks(firstTaskS * 1.5);
+  firstTasks(firstTaskAfterS * 1.5);
   if (head) {
     const result = placeJob(state, head.job, open, now, 0);
-    for (const p of result.placed) placed.push(p);
+    for (const placement of result.placed) placed.push(placement);
     head.job.waitingReason = result.blockedBy;
     const missing = Math.min(head.job.pendingTasks, tasksWithinQuota(state, head.job));
     if (missing > 0) {
-      const { preemptionMinPriority: makeRoomLevel, preemptionDelayS: makeRoomS } =
-        state.config.policy;
-      const waited = now - head.job.submittedAt >= makeRoomS * 1000;
-      if (waited && PRIORITY_LEVEL[head.job.spec.priority] >= makeRoomLevel)
+      const { preemptionMinPriority, preemptionDelayS } = state.config.policy;
+      const waited = now - head.job.submittedAt >= preemptionDelayS * 1000;
+      if (waited && PRIORITY_LEVEL[head.job.spec.priority] >= preemptionMinPriority)
         preemptForHead(head.job, missing, capacities, now);
       for (const capacity of capacities) {
         capacity.shadowCpus = capacity.cpus;
@@ -201,7 +200,7 @@
       if (shadowAt > 0) state.shadowTime = shadowAt as Instant;
     }
   }
-  firstTasks(firstTaskS);
+  firstTasks(firstTaskAfterS);
   /** Needs that found no machine: in this round rooms only shrink, so that equal needs find none either. */
   const hopeless = new Set<string>();
   for (const { job } of ranked) {
@@ -212,13 +211,13 @@
       continue;
     }
     const result = placeJob(state, job, open, now, shadowAt);
-    for (const p of result.placed) placed.push(p);
+    for (const placement of result.placed) placed.push(placement);
     job.waitingReason = result.blockedBy;
     if (plain && result.blockedBy === NO_MACHINE) hopeless.add(job.requirementsKey);
     if (result.placed.length > 0) open = capacitiesWithRoom(open, least);
   }
-  for (const p of placeStarving(state, ranked, capacitiesWithRoom(capacities, least), now))
-    placed.push(p);
+  for (const placement of placeStarving(state, ranked, capacitiesWithRoom(capacities, least), now))
+    placed.push(placement);
   // The head has started: the next round names a new one by score.
   if (head && head.job.pendingTasks <= 0) state.queueHead = null;
   return { placed, ranked };
--- a/src/core/scheduling/capacity.ts
+++ b/src/core/scheduling/capacity.ts
@@ -61,15 +61,15 @@
 
 /** The zone rules, given where the job's other tasks may be at this moment. */
 export const satisfiesZoneConstraints = (job: Job, machine: Pick<Machine, 'zone'>): boolean => {
-  const { spec, attemptsByZone: heldByZone } = job;
+  const { spec, attemptsByZone } = job;
   if (
     spec.singleZone &&
-    heldByZone.size > 0 &&
-    !(heldByZone.size === 1 && heldByZone.has(machine.zone))
+    attemptsByZone.size > 0 &&
+    !(attemptsByZone.size === 1 && attemptsByZone.has(machine.zone))
   ) {
     return false;
   }
-  if (spec.spreadZones && (heldByZone.get(machine.zone) ?? 0) >= Math.ceil(spec.tasks / 2))
+  if (spec.spreadZones && (attemptsByZone.get(machine.zone) ?? 0) >= Math.ceil(spec.tasks / 2))
     return false;
   return true;
 };
@@ -136,11 +136,11 @@
   least: SmallestRequirement,
 ): FreeCapacity[] =>
   capacities.filter(
-    (c) =>
-      c.slots > 0 &&
-      c.cpus + EPSILON >= least.cpus &&
-      c.gpus + EPSILON >= least.gpus &&
-      c.memoryGb + EPSILON >= least.memoryGb,
+    (capacity) =>
+      capacity.slots > 0 &&
+      capacity.cpus + EPSILON >= least.cpus &&
+      capacity.gpus + EPSILON >= least.gpus &&
+      capacity.memoryGb + EPSILON >= least.memoryGb,
   );
 
 /** An amount of each resource. */
--- a/src/core/scheduling/estimates.ts
+++ b/src/core/scheduling/estimates.ts
@@ -8,11 +8,15 @@
   isService(job) ? Number.POSITIVE_INFINITY : job.spec.estimateS * 1000;
 
 /** When a running attempt should end by its estimate; an overrun counts as ending soon. */
-export const estimatedEnd = (p: Placement, now: Instant): number => {
-  const estimate = p.job ? runMs(p.job) : 0;
+export const estimatedEnd = (placement: Placement, now: Instant): number => {
+  const estimate = placement.job ? runMs(placement.job) : 0;
   // A task that is being stopped ends once it has saved.
-  if (p.stopRequest)
-    return now + Math.min(p.stopRequest.graceS, p.job?.spec.checkpointWriteS ?? 0) * 1000 + 500;
-  const end = (p.startedAt ?? p.placedAt) + estimate;
+  if (placement.stopRequest)
+    return (
+      now +
+      Math.min(placement.stopRequest.graceS, placement.job?.spec.checkpointWriteS ?? 0) * 1000 +
+      500
+    );
+  const end = (placement.startedAt ?? placement.placedAt) + estimate;
   return Math.max(end, now + Math.max(1000, estimate / 4));
 };
--- a/src/core/scheduling/placement.ts
+++ b/src/core/scheduling/placement.ts
@@ -92,7 +92,7 @@
     machine: capacity.machine,
     job,
     placedAt: now,
-    phase: 'entering',
+    phase: 'persisting',
     startedAt: null,
     dispatchedEpoch: null,
     stopRequest: null,
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -15,14 +15,14 @@
 /** Shorter runs are not cut: a start that is stopped so soon is of no use. */
 const LEAST_RUN_MS = 31_000;
 /** Tasks that may be stopped for a head of this level: of lower priority, and no more is lost than the saving takes. */
-const mayStop = (p: Placement, level: number, now: Instant): boolean =>
-  p.job !== null &&
-  p.stopRequest === null &&
-  p.phase === 'running' &&
-  p.startedAt !== null &&
-  now - p.startedAt >= LEAST_RUN_MS &&
-  PRIORITY_LEVEL[p.job.spec.priority] < level &&
-  p.job.spec.checkpointIntervalS > 0;
+const mayStop = (placement: Placement, level: number, now: Instant): boolean =>
+  placement.job !== null &&
+  placement.stopRequest === null &&
+  placement.phase === 'running' &&
+  placement.startedAt !== null &&
+  now - placement.startedAt >= LEAST_RUN_MS &&
+  PRIORITY_LEVEL[placement.job.spec.priority] < level &&
+  placement.job.spec.checkpointIntervalS > 0;
 
 /**
  * The one exception to running tasks to their end: small tasks take up every processor that comes free, so that on a
@@ -44,16 +44,16 @@
       continue;
     const victims: Placement[] = [];
     let stopping = false;
-    for (const p of capacity.machine.placements.values()) {
-      if (p.stopRequest && occupiesMachine(p.phase)) stopping = true;
-      else if (mayStop(p, level, now)) victims.push(p);
+    for (const placement of capacity.machine.placements.values()) {
+      if (placement.stopRequest && occupiesMachine(placement.phase)) stopping = true;
+      else if (mayStop(placement, level, now)) victims.push(placement);
     }
     // Room that is already being made counts first.
     if (stopping) {
       const soon = resourcesWithout(
         capacity,
         [...capacity.machine.placements.values()].filter(
-          (p) => p.stopRequest && occupiesMachine(p.phase),
+          (placement) => placement.stopRequest && occupiesMachine(placement.phase),
         ),
       );
       while (left > 0 && fitsResources(job, soon)) {
@@ -68,12 +68,12 @@
     if (left <= 0) return;
     const soon = resourcesWithout(capacity, []);
     let stopped: Placement[] = [];
-    for (const p of victims) {
+    for (const placement of victims) {
       if (left <= 0) break;
-      soon.cpus += p.entry.cpus;
-      soon.gpus += p.entry.gpus;
-      soon.memoryGb += p.entry.memoryGb;
-      stopped.push(p);
+      soon.cpus += placement.entry.cpus;
+      soon.gpus += placement.entry.gpus;
+      soon.memoryGb += placement.entry.memoryGb;
+      stopped.push(placement);
       if (!fitsResources(job, soon)) continue;
       // Only once a task of the head fits is anything stopped for it.
       for (const victim of stopped)
@@ -102,22 +102,24 @@
   for (const capacity of capacities) {
     if (!isFeasible(job, capacity.machine) || !satisfiesZoneConstraints(job, capacity.machine))
       continue;
-    const all = [...capacity.machine.placements.values()].filter((p) => occupiesMachine(p.phase));
+    const all = [...capacity.machine.placements.values()].filter((placement) =>
+      occupiesMachine(placement.phase),
+    );
     // Room that is already being made counts first.
-    const stopping = all.filter((p) => p.stopRequest);
+    const stopping = all.filter((placement) => placement.stopRequest);
     if (stopping.length > 0 && fitsResources(job, resourcesWithout(capacity, stopping))) {
       left -= 1;
       continue;
     }
     const lower = all
       .filter(
-        (p) =>
-          p.job &&
-          !p.stopRequest &&
-          !isService(p.job) &&
-          PRIORITY_LEVEL[p.job.spec.priority] < level,
+        (placement) =>
+          placement.job &&
+          !placement.stopRequest &&
+          !isService(placement.job) &&
+          PRIORITY_LEVEL[placement.job.spec.priority] < level,
       )
-      .map((p) => ({ p, loss: lossMs(p, now) }))
+      .map((placement) => ({ p: placement, loss: lossMs(placement, now) }))
       .sort((a, b) => a.loss - b.loss);
     const victims: Placement[] = [];
     let loss = 0;
@@ -133,20 +135,23 @@
   for (const { victims } of options) {
     if (left <= 0) return;
     left -= 1;
-    for (const p of victims) {
-      const saves = (p.job?.spec.checkpointIntervalS ?? 0) > 0;
-      p.stopRequest = { graceS: saves ? (p.job?.spec.checkpointWriteS ?? 0) + 5 : 0, sentAt: null };
+    for (const placement of victims) {
+      const saves = (placement.job?.spec.checkpointIntervalS ?? 0) > 0;
+      placement.stopRequest = {
+        graceS: saves ? (placement.job?.spec.checkpointWriteS ?? 0) + 5 : 0,
+        sentAt: null,
+      };
     }
   }
 };
 
 /** The run time that is lost when an attempt is stopped. */
-const lossMs = (p: Placement, now: Instant): number => {
-  if (p.startedAt === null) return 0;
-  const ran = now - p.startedAt;
+const lossMs = (placement: Placement, now: Instant): number => {
+  if (placement.startedAt === null) return 0;
+  const ran = now - placement.startedAt;
   const save =
-    (p.job?.spec.checkpointIntervalS ?? 0) > 0
-      ? (p.job?.spec.checkpointWriteS ?? 0) * 1000
+    (placement.job?.spec.checkpointIntervalS ?? 0) > 0
+      ? (placement.job?.spec.checkpointWriteS ?? 0) * 1000
       : Number.POSITIVE_INFINITY;
   return Math.min(ran, save);
 };
--- a/src/core/scheduling/reservation.ts
+++ b/src/core/scheduling/reservation.ts
@@ -27,14 +27,14 @@
   // By the second, so that only those seconds are put in order that matter.
   const seconds = new Map<number, { at: number; capacity: FreeCapacity; p: Placement }[]>();
   for (const capacity of capacities) {
-    for (const p of capacity.machine.placements.values()) {
-      if (!occupiesMachine(p.phase)) continue;
-      const at = estimatedEnd(p, now);
+    for (const placement of capacity.machine.placements.values()) {
+      if (!occupiesMachine(placement.phase)) continue;
+      const at = estimatedEnd(placement, now);
       if (at === Number.POSITIVE_INFINITY) continue;
       const second = Math.floor(at / 1000);
       const ends = seconds.get(second);
-      if (ends) ends.push({ at, capacity, p });
-      else seconds.set(second, [{ at, capacity, p }]);
+      if (ends) ends.push({ at, capacity, p: placement });
+      else seconds.set(second, [{ at, capacity, p: placement }]);
     }
   }
   let left = missing;
--- a/src/core/scheduling/services.ts
+++ b/src/core/scheduling/services.ts
@@ -21,12 +21,17 @@
   isService(job) && !job.spec.allowsSpot && job.terminalState === 'none';
 
 /** The machine is about to go: replicas on it move. */
-export const isBeingVacated = (m: Machine): boolean =>
-  (m.reclaimAt !== null || m.isDraining || m.isCordoned) && m.lostAt === null && !m.isDeleting;
+export const isBeingVacated = (machine: Machine): boolean =>
+  (machine.reclaimAt !== null || machine.isDraining || machine.isCordoned) &&
+  machine.lostAt === null &&
+  !machine.isDeleting;
 
 /** A replica that keeps its machine from going, or will when it is told to. */
-export const isReplica = (p: Placement): boolean =>
-  p.job !== null && isService(p.job) && p.job.terminalState === 'none' && occupiesMachine(p.phase);
+export const isReplica = (placement: Placement): boolean =>
+  placement.job !== null &&
+  isService(placement.job) &&
+  placement.job.terminalState === 'none' &&
+  occupiesMachine(placement.phase);
 
 const SEEN_FOR_MS = seconds(240);
 
@@ -73,27 +78,27 @@
   // Nothing is kept from a job that has long waited for a first machine: there may be no others left to rent.
   let left = hasStarvingJob(state, now) ? 0 : onDemandCpusForServices(state, now);
   const byZone = new Map<string, { m: Machine; cpus: number; rank: number }[]>();
-  for (const m of state.machines.values()) {
-    const type = state.types.get(m.type);
-    const was = m.isReservedForServices;
-    m.isReservedForServices = false;
+  for (const machine of state.machines.values()) {
+    const type = state.types.get(machine.type);
+    const was = machine.isReservedForServices;
+    machine.isReservedForServices = false;
     if (
       left <= 0 ||
-      m.spot ||
+      machine.spot ||
       !type ||
-      !m.hasReported ||
-      isBeingVacated(m) ||
-      m.isUnreachable ||
-      m.lostAt !== null
+      !machine.hasReported ||
+      isBeingVacated(machine) ||
+      machine.isUnreachable ||
+      machine.lostAt !== null
     )
       continue;
     let replicas = 0;
-    for (const p of m.placements.values()) if (isReplica(p)) replicas += 1;
+    for (const placement of machine.placements.values()) if (isReplica(placement)) replicas += 1;
     const rank = replicas > 0 ? 2 : was ? 1 : 0;
-    const list = byZone.get(m.zone);
-    const item = { m, cpus: type.cpus, rank };
+    const list = byZone.get(machine.zone);
+    const item = { m: machine, cpus: type.cpus, rank };
     if (list) list.push(item);
-    else byZone.set(m.zone, [item]);
+    else byZone.set(machine.zone, [item]);
   }
   const zones = [...byZone.values()];
   for (const zone of zones) zone.sort((a, b) => b.rank - a.rank || (a.m.id < b.m.id ? -1 : 1));
@@ -120,22 +125,23 @@
 const estimatedStartMs = (
   state: CoreState,
   job: Job,
-  { machine: m, type }: ServiceCapacity,
+  { machine, type }: ServiceCapacity,
   now: Instant,
 ): number => {
-  const checkIn = m.pendingReply
+  const checkIn = machine.pendingReply
     ? 0
-    : Math.max(0, m.lastHeartbeatAt + state.config.heartbeatIntervalMs - now);
+    : Math.max(0, machine.lastHeartbeatAt + state.config.heartbeatIntervalMs - now);
   const there = new Set<ImageName>();
   const fetching = new Map<ImageName, number>();
-  for (const p of m.placements.values()) {
-    if (!p.job) continue;
-    const { image, imageGb } = p.job.spec;
-    if (p.phase === 'running' || p.phase === 'saving') there.add(image);
-    else if (p.phase !== 'ended' && p.phase !== 'recorded') fetching.set(image, imageGb);
+  for (const placement of machine.placements.values()) {
+    if (!placement.job) continue;
+    const { image, imageGb } = placement.job.spec;
+    if (placement.phase === 'running' || placement.phase === 'checkpointing') there.add(image);
+    else if (placement.phase !== 'ended' && placement.phase !== 'unconfirmed')
+      fetching.set(image, imageGb);
   }
   const { image, imageGb } = job.spec;
-  if (!m.images.has(image)) fetching.set(image, imageGb);
+  if (!machine.images.has(image)) fetching.set(image, imageGb);
   let gb = 0;
   if (fetching.has(image) && !there.has(image)) {
     for (const [name, size] of fetching) if (!there.has(name)) gb += size;
@@ -161,7 +167,8 @@
 ): Generator<T> {
   const there = new Map<Machine, number>();
   for (const held of job.attemptsByTask.values()) {
-    for (const p of held) there.set(p.machine, (there.get(p.machine) ?? 0) + 1);
+    for (const placement of held)
+      there.set(placement.machine, (there.get(placement.machine) ?? 0) + 1);
   }
   const tiers = new Map<number, { capacity: T; startsIn: number; there: number }[]>();
   for (const capacity of capacities) {
@@ -204,22 +211,26 @@
 }
 
 /** A replica may be stopped once room is held for it elsewhere: it starts there when it is proven gone. */
-export const requestEviction = (p: Placement): void => {
-  const { checkpointIntervalS, checkpointWriteS } = p.job!.spec;
-  p.stopRequest ??= { graceS: checkpointIntervalS > 0 ? checkpointWriteS + 5 : 0, sentAt: null };
+export const requestEviction = (placement: Placement): void => {
+  const { checkpointIntervalS, checkpointWriteS } = placement.job!.spec;
+  placement.stopRequest ??= {
+    graceS: checkpointIntervalS > 0 ? checkpointWriteS + 5 : 0,
+    sentAt: null,
+  };
 };
 
 /** Replicas on machines that are about to go, of services that may be placed now. */
 export const replicasToEvict = (state: CoreState, now: Instant): Placement[] => {
   const leaving: Placement[] = [];
-  for (const m of state.machines.values()) {
-    if (!isBeingVacated(m)) continue;
-    for (const p of m.placements.values()) {
-      if (!isReplica(p) || now < p.job!.retryAt || failsEverywhere(p.job!)) continue;
+  for (const machine of state.machines.values()) {
+    if (!isBeingVacated(machine)) continue;
+    for (const placement of machine.placements.values()) {
+      if (!isReplica(placement) || now < placement.job!.retryAt || failsEverywhere(placement.job!))
+        continue;
       // A notice leaves no choice; all other moves need the extensions' consent.
-      const voluntary = m.reclaimAt === null && p.stopRequest === null;
-      if (voluntary && state.extensions && !state.extensions.mayEvictReplica(p)) continue;
-      leaving.push(p);
+      const voluntary = machine.reclaimAt === null && placement.stopRequest === null;
+      if (voluntary && state.extensions && !state.extensions.mayEvictReplica(placement)) continue;
+      leaving.push(placement);
     }
   }
   return leaving;
--- a/src/service/batch-writer.ts
+++ b/src/service/batch-writer.ts
@@ -75,13 +75,13 @@
 
   constructor(
     private readonly state: KeyValueStoreClient,
-    private readonly term: FencingToken,
+    private readonly fencingToken: FencingToken,
     private readonly log: Log,
     private readonly jitter: Jitter,
     /** Changes that the service takes at once, by the settings; should it refuse them, fewer. */
     private mostChanges = Number.POSITIVE_INFINITY,
   ) {
-    this.lastRevision = term as number as Revision;
+    this.lastRevision = fencingToken as number as Revision;
   }
 
   stop(): void {
@@ -203,7 +203,7 @@
     const keys = writes.map((w) => ('del' in w ? w.del : w.put));
     for (let tries = 0; !this.stopped; tries += 1) {
       const guards: Precondition[] = [
-        { key: LEADER_KEY, revision: this.term as number as Revision },
+        { key: LEADER_KEY, revision: this.fencingToken as number as Revision },
       ];
       for (const key of keys) guards.push({ key, revision: this.keyRevisions.get(key) ?? NONE });
       const result = await this.state.compareAndSwap(guards, writes, 5000);
@@ -243,7 +243,7 @@
     const leader = await this.state.get(LEADER_KEY);
     if (leader === 'absent') return 'lost';
     if (typeof leader === 'string') return 'not-yet';
-    if ((leader.revision as number) !== (this.term as number)) return 'lost';
+    if ((leader.revision as number) !== (this.fencingToken as number)) return 'lost';
     const first = await this.state.get(keys[0]!);
     if (typeof first === 'string' && first !== 'absent') return 'not-yet';
     const now = first === 'absent' ? NONE : (first as { revision: Revision }).revision;
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -89,7 +89,10 @@
       settings.node,
       state,
       policy.leaderLeaseMs,
-      { onElected: (term, at) => this.startLeading(term, at), onDeposed: () => this.stopLeading() },
+      {
+        onElected: (fencingToken, at) => this.startLeading(fencingToken, at),
+        onDeposed: () => this.stopLeading(),
+      },
       log,
       jitter,
     );
@@ -127,8 +130,8 @@
     return this.leaderTerm?.authority() ?? 'none';
   }
 
-  private startLeading(term: FencingToken, acquiredAt: Instant): void {
-    this.leaderTerm = new LeaderTerm(this.dependencies, term, acquiredAt, this.election, {
+  private startLeading(fencingToken: FencingToken, acquiredAt: Instant): void {
+    this.leaderTerm = new LeaderTerm(this.dependencies, fencingToken, acquiredAt, this.election, {
       onJobEnded: (id, final) => this.users.rememberCompletion(id, final),
       isIsolated: () => this.peerMonitor.isIsolated(),
     });
@@ -146,30 +149,30 @@
    * so that a node that starts while one of them is away need not wait for it.
    */
   private async readTypes(): Promise<void> {
-    const { dependencies: parts } = this;
+    const { dependencies } = this;
     const use = (types: readonly MachineType[]) => {
-      parts.machineTypes = types;
+      dependencies.machineTypes = types;
       this.leaderTerm?.commandLoop.submit({ kind: 'machine-types', types });
     };
-    while (!this.stopped && !parts.machineTypes) {
-      const stored = parts.store.get(MACHINE_TYPES_KEY).then((item) => {
+    while (!this.stopped && !dependencies.machineTypes) {
+      const stored = dependencies.store.get(MACHINE_TYPES_KEY).then((item) => {
         const types = typeof item === 'object' ? decodeMachineTypes(item.value) : null;
-        if (types && !parts.machineTypes) use(types);
+        if (types && !dependencies.machineTypes) use(types);
         return item;
       });
-      const fresh = await parts.cloud.listMachineTypes();
+      const fresh = await dependencies.cloud.listMachineTypes();
       if (fresh) use(fresh);
       // Larger than a value may be, it is left out: the cloud tells it too.
       const small =
-        Buffer.byteLength(JSON.stringify(fresh)) <= parts.settings.stateLimits.valueBytes;
+        Buffer.byteLength(JSON.stringify(fresh)) <= dependencies.settings.stateLimits.valueBytes;
       if (fresh && small && (await stored) === 'absent') {
-        await parts.store.compareAndSwap(
+        await dependencies.store.compareAndSwap(
           [{ key: MACHINE_TYPES_KEY, revision: 0 as Revision }],
           [{ put: MACHINE_TYPES_KEY, value: fresh }],
         );
       }
       await stored;
-      if (!parts.machineTypes) await sleep(parts.jitter.around(700));
+      if (!dependencies.machineTypes) await sleep(dependencies.jitter.around(700));
     }
   }
 
@@ -179,7 +182,7 @@
   }
 
   /** The orders for a worker; or the leader to turn to; or null for "not now". */
-  async handleHeartbeat(report: Heartbeat): Promise<
+  async handleHeartbeat(heartbeat: Heartbeat): Promise<
     | {
         readonly kind: 'orders';
         readonly term: FencingToken;
@@ -190,16 +193,18 @@
   > {
     const leading = this.leaderTerm;
     if (!leading) {
-      this.peerMonitor.recordRedirect(report.machine);
+      this.peerMonitor.recordRedirect(heartbeat.machine);
       const leader = this.election.leaderNode;
       return {
         kind: 'elsewhere',
         leader: leader === this.dependencies.settings.node ? null : leader,
       };
     }
-    const orders = await leading.handleHeartbeat(report);
-    if (orders === 'elsewhere') return { kind: 'elsewhere', leader: null };
-    return orders ? { kind: 'orders', term: leading.fencingToken, orders } : { kind: 'later' };
+    const commands = await leading.handleHeartbeat(heartbeat);
+    if (commands === 'elsewhere') return { kind: 'elsewhere', leader: null };
+    return commands
+      ? { kind: 'orders', term: leading.fencingToken, orders: commands }
+      : { kind: 'later' };
   }
 
   /** Answers an operator's call to an extension: here when this node leads, else by the leader; null when neither can. */
--- a/src/service/leader-election.ts
+++ b/src/service/leader-election.ts
@@ -17,7 +17,7 @@
 const SLACK_MS = 50;
 
 export interface LeaderElectionEvents {
-  onElected(term: FencingToken, at: Instant): void;
+  onElected(fencingToken: FencingToken, at: Instant): void;
   onDeposed(): void;
 }
 
@@ -106,11 +106,14 @@
   }
 
   /** What a peer says of the leader, for a node that cannot see the state service itself. */
-  learnLeaderFromPeer(node: NodeId, term: FencingToken): void {
-    if (term <= this.highestKnownToken || (this.fencingToken !== null && term <= this.fencingToken))
+  learnLeaderFromPeer(node: NodeId, fencingToken: FencingToken): void {
+    if (
+      fencingToken <= this.highestKnownToken ||
+      (this.fencingToken !== null && fencingToken <= this.fencingToken)
+    )
       return;
     this.stepDown();
-    this.highestKnownToken = term;
+    this.highestKnownToken = fencingToken;
     this.leaderNode = node;
   }
 
--- a/src/service/leader-term.ts
+++ b/src/service/leader-term.ts
@@ -83,19 +83,19 @@
   private readonly keepAliveMs: Millis;
 
   constructor(
-    private readonly parts: Dependencies,
+    private readonly dependencies: Dependencies,
     readonly fencingToken: FencingToken,
     acquiredAt: Instant,
     private readonly election: LeaderElection,
     private readonly events: LeaderTermEvents,
   ) {
-    const { workers, cloudLimits, stateLimits, teams, quota } = parts.settings;
+    const { workers, cloudLimits, stateLimits, teams, quota } = dependencies.settings;
     this.keepAliveMs = graceAfterLeaseLoss(seconds(workers.cancelS), seconds(workers.leaseS));
     const core = createCore({
       fencingToken,
       acquiredAt,
       teams,
-      policy: parts.policy,
+      policy: dependencies.policy,
       heartbeatIntervalMs: seconds(workers.reportS),
       workerLeaseMs: seconds(workers.leaseS),
       graceAfterLeaseLossMs: this.keepAliveMs,
@@ -106,10 +106,10 @@
       maxAttemptsPerMachine: MAX_PER_MACHINE,
       timeOfDayOffsetMs: Date.now() - steadyNow(),
     });
-    if (parts.extensions.length > 0) {
+    if (dependencies.extensions.length > 0) {
       core.extensions = new ExtensionHost(
         core,
-        parts.extensions.map((module) => module.create()),
+        dependencies.extensions.map((module) => module.create()),
       );
     }
     this.commandLoop = new CommandLoop(
@@ -120,16 +120,16 @@
       quota.cores,
     );
     this.persister = new BatchWriter(
-      parts.batchStore,
+      dependencies.batchStore,
       fencingToken,
-      parts.log,
-      parts.jitter,
+      dependencies.log,
+      dependencies.jitter,
       stateLimits.txnOps,
     );
   }
 
   start(): void {
-    this.parts.spawn('takeover', () => this.recoverState());
+    this.dependencies.spawn('takeover', () => this.recoverState());
   }
 
   stop(): void {
@@ -152,15 +152,15 @@
 
   private async readAll(prefix: string) {
     while (this.current) {
-      const all = await this.parts.batchStore.listAll(prefix);
+      const all = await this.dependencies.batchStore.listAll(prefix);
       if (typeof all === 'object') return all;
-      await sleep(this.parts.jitter.around(200));
+      await sleep(this.dependencies.jitter.around(200));
     }
     return null;
   }
 
   private async recoverState(): Promise<void> {
-    const { keyRevisions: stamps } = this.persister;
+    const { keyRevisions } = this.persister;
     // Only a leader writes the ledger, and none but this one can any more; of jobs accepted meanwhile the watch tells.
     const all = await Promise.all(
       [JOB_PREFIX, LEDGER_PREFIX, FIRST_VERSION_LEDGER_PREFIX].map((prefix) =>
@@ -170,17 +170,17 @@
     const [jobs, ledger, old] = all;
     if (!jobs || !ledger || !old || !this.current) return;
     const commands: Command[] = [];
-    if (this.parts.machineTypes)
-      commands.push({ kind: 'machine-types', types: this.parts.machineTypes });
+    if (this.dependencies.machineTypes)
+      commands.push({ kind: 'machine-types', types: this.dependencies.machineTypes });
     for (const item of jobs.items)
       this.addJobFromRecord(item.key, item.value, item.revision, commands);
     const entered: Command[] = [];
     for (const { key, value, revision } of [...ledger.items, ...old.items]) {
-      stamps.set(key, revision);
+      keyRevisions.set(key, revision);
       const segment = key as SegmentKey;
       const record = decodeSegment(value);
       if (!record) {
-        this.parts.log.error({ key }, 'unreadable record');
+        this.dependencies.log.error({ key }, 'unreadable record');
         commands.push({ kind: 'unreadable-segment', segment });
         continue;
       }
@@ -191,17 +191,20 @@
     }
     // What is done first: an attempt of a task that is done needs no second look.
     commands.push(...entered);
-    for (const { name } of this.parts.extensions) {
+    for (const { name } of this.dependencies.extensions) {
       const records = await this.readExtension(name);
       if (!records) return;
       commands.push({ kind: 'extension-records', extension: name, records });
     }
     commands.push({ kind: 'recovery-completed' });
-    this.parts.log.info({ jobs: jobs.items.length, records: ledger.items.length }, 'took over');
+    this.dependencies.log.info(
+      { jobs: jobs.items.length, records: ledger.items.length },
+      'took over',
+    );
     this.commandLoop.start(commands);
-    this.parts.spawn('jobs', () => this.watchJobs(jobs.revision));
-    this.parts.spawn('ticks', () => this.ticks());
-    this.parts.spawn('machines', () => this.watchMachines());
+    this.dependencies.spawn('jobs', () => this.watchJobs(jobs.revision));
+    this.dependencies.spawn('ticks', () => this.ticks());
+    this.dependencies.spawn('machines', () => this.watchMachines());
   }
 
   private async readExtension(name: string): Promise<ExtensionRecord[] | null> {
@@ -217,7 +220,7 @@
   private addJobFromRecord(key: string, value: unknown, revision: Revision, out: Command[]): void {
     const record = decodeJob(value);
     if (!record || key !== jobKey(record.spec.id)) {
-      this.parts.log.error({ key }, 'unreadable record');
+      this.dependencies.log.error({ key }, 'unreadable record');
       return;
     }
     this.addJobCommand(record, revision, out);
@@ -248,7 +251,7 @@
   private async watchJobs(from: Revision): Promise<void> {
     let revision = from;
     while (this.current) {
-      const result = await this.parts.batchStore.watch(JOB_PREFIX, revision, JOBS_FOLLOW_MS);
+      const result = await this.dependencies.batchStore.watch(JOB_PREFIX, revision, JOBS_FOLLOW_MS);
       if (!this.current) return;
       const commands: Command[] = [];
       if (typeof result === 'object') {
@@ -262,7 +265,7 @@
         revision = all.revision;
         for (const item of all.items)
           this.addJobFromRecord(item.key, item.value, item.revision, commands);
-      } else await sleep(this.parts.jitter.around(200));
+      } else await sleep(this.dependencies.jitter.around(200));
       for (const command of commands) this.commandLoop.submit(command);
     }
   }
@@ -279,13 +282,13 @@
   private adjustWriteShare(): void {
     const now = steadyNow();
     this.arrivals = this.arrivals.filter((at) => now - at < ARRIVALS_MS);
-    const { writeRps } = this.parts.settings.stateLimits;
+    const { writeRps } = this.dependencies.settings.stateLimits;
     const admissions = (this.arrivals.length * 1000) / ARRIVALS_MS / writeRps;
     const share = Math.min(
       MOST_BATCH_WRITES,
       Math.max(BATCH_WRITES, MOST_BATCH_WRITES - admissions),
     );
-    this.parts.batchStore.scaleWrites(share / BATCH_WRITES);
+    this.dependencies.batchStore.scaleWrites(share / BATCH_WRITES);
   }
 
   private async watchMachines(): Promise<void> {
@@ -293,18 +296,18 @@
     while (this.current) {
       const askedAt = steadyNow();
       if (this.authority() === 'lead') {
-        const machines = await this.parts.cloud.listMachines();
+        const machines = await this.dependencies.cloud.listMachines();
         if (machines) this.commandLoop.submit({ kind: 'machines-listed', askedAt, machines });
-        if (steadyNow() - typesAt > TYPES_EVERY_MS || !this.parts.machineTypes) {
-          const types = await this.parts.cloud.listMachineTypes();
+        if (steadyNow() - typesAt > TYPES_EVERY_MS || !this.dependencies.machineTypes) {
+          const types = await this.dependencies.cloud.listMachineTypes();
           if (types) {
             typesAt = steadyNow();
-            this.parts.machineTypes = types;
+            this.dependencies.machineTypes = types;
             this.commandLoop.submit({ kind: 'machine-types', types });
           }
         }
       }
-      await sleep(Math.max(LIST_EVERY_MS, this.parts.cloud.listPauseMs));
+      await sleep(Math.max(LIST_EVERY_MS, this.dependencies.cloud.listPauseMs));
     }
   }
 
@@ -322,10 +325,10 @@
         return this.aborts.settle(effect.ticket, effect.outcome);
       case 'job-ended':
         this.events.onJobEnded(effect.job, effect);
-        this.parts.log.info({ job: effect.job, outcome: effect.outcome }, 'job over');
+        this.dependencies.log.info({ job: effect.job, outcome: effect.outcome }, 'job over');
         return;
       case 'store-batch':
-        this.parts.spawn('save', async () => {
+        this.dependencies.spawn('save', async () => {
           const refused = await this.persister.storeBatch(effect.ops);
           if (!this.current) return;
           const revision = this.persister.lastRevision;
@@ -340,9 +343,9 @@
         });
         return;
       case 'provision':
-        this.parts.spawn('rent', async () => {
+        this.dependencies.spawn('rent', async () => {
           const { request, type, zone, spot, count } = effect;
-          const result = await this.parts.cloud.provision(
+          const result = await this.dependencies.cloud.provision(
             request,
             type,
             zone,
@@ -352,43 +355,48 @@
           );
           const outcome = typeof result === 'string' ? result : 'ok';
           const machines = typeof result === 'string' ? [] : result;
-          this.parts.log.info({ request, type, zone, spot, count, outcome, machines }, 'rent');
+          this.dependencies.log.info(
+            { request, type, zone, spot, count, outcome, machines },
+            'rent',
+          );
           this.commandLoop.submit({ kind: 'provision-result', request, result: outcome, machines });
         });
         return;
       case 'delete-machines':
-        this.parts.spawn('delete', async () => {
-          const ok = await this.parts.cloud.deleteMachines(effect.machines, entitled);
-          this.parts.log.info({ machines: effect.machines, ok }, 'return machines');
+        this.dependencies.spawn('delete', async () => {
+          const ok = await this.dependencies.cloud.deleteMachines(effect.machines, entitled);
+          this.dependencies.log.info({ machines: effect.machines, ok }, 'return machines');
           this.commandLoop.submit({ kind: 'deletion-result', machines: effect.machines, ok });
         });
         return;
       case 'send-commands':
-        this.parts.spawn('orders', async () => {
-          const { endpoint, agentEpoch: session, commands: orders } = effect;
-          const report = await this.parts.workers.sendCommands(
+        this.dependencies.spawn('orders', async () => {
+          const { endpoint, agentEpoch, commands } = effect;
+          const heartbeat = await this.dependencies.workers.sendCommands(
             endpoint,
             this.fencingToken,
-            session,
-            orders,
+            agentEpoch,
+            commands,
           );
-          if (!report || !this.current || report.machine !== effect.machine) return;
-          if (report.fencingToken > this.fencingToken) this.election.stepDown();
-          else this.commandLoop.submit({ kind: 'heartbeat', heartbeat: report, ticket: null });
+          if (!heartbeat || !this.current || heartbeat.machine !== effect.machine) return;
+          if (heartbeat.fencingToken > this.fencingToken) this.election.stepDown();
+          else this.commandLoop.submit({ kind: 'heartbeat', heartbeat, ticket: null });
         });
         return;
       case 'log':
-        this.parts.log[effect.level](effect.fields, effect.text);
+        this.dependencies.log[effect.level](effect.fields, effect.text);
     }
   }
 
   // ---- workers -----------------------------------------------------------------------------------
 
   /** The orders for a worker; 'elsewhere' when it should turn to another node; null for "not now". */
-  async handleHeartbeat(report: Heartbeat): Promise<readonly WorkerCommand[] | 'elsewhere' | null> {
-    if (report.fencingToken > this.fencingToken) {
-      this.parts.log.info(
-        { machine: report.machine, term: report.fencingToken },
+  async handleHeartbeat(
+    heartbeat: Heartbeat,
+  ): Promise<readonly WorkerCommand[] | 'elsewhere' | null> {
+    if (heartbeat.fencingToken > this.fencingToken) {
+      this.dependencies.log.info(
+        { machine: heartbeat.machine, term: heartbeat.fencingToken },
         'a worker has seen a higher term',
       );
       this.election.stepDown();
@@ -399,17 +407,17 @@
     if (
       authority === 'keep-alive' &&
       this.events.isIsolated() &&
-      this.shouldRedirect(report.machine)
+      this.shouldRedirect(heartbeat.machine)
     )
       return 'elsewhere';
-    const orders = await this.checkIns.request((ticket) =>
-      this.commandLoop.submit({ kind: 'heartbeat', heartbeat: report, ticket }),
+    const commands = await this.checkIns.request((ticket) =>
+      this.commandLoop.submit({ kind: 'heartbeat', heartbeat, ticket }),
     );
-    if (!orders || !this.current) return null;
+    if (!commands || !this.current) return null;
     // The process may have stood still since the orders were decided: right and time are looked at again as they go out.
     const now = this.authority();
     if (now === 'none') return null;
-    return now === 'lead' ? orders : orders.filter((order) => order.op === 'kill');
+    return now === 'lead' ? commands : commands.filter((command) => command.op === 'kill');
   }
 
   /**
@@ -420,7 +428,8 @@
   private shouldRedirect(machine: MachineId): boolean {
     const now = steadyNow();
     const last = this.redirectedWorkers.get(machine);
-    if (last !== undefined && now - last < this.parts.settings.workers.leaseS * 750) return false;
+    if (last !== undefined && now - last < this.dependencies.settings.workers.leaseS * 750)
+      return false;
     this.redirectedWorkers.set(machine, now);
     return true;
   }
@@ -429,14 +438,14 @@
   heartbeatCoverage(): { recent: number; known: number } | null {
     const { core } = this.commandLoop;
     const now = steadyNow();
-    const span = this.parts.settings.workers.reportS * 2500;
+    const span = this.dependencies.settings.workers.reportS * 2500;
     if (now - core.config.acquiredAt < 2 * span) return null;
     let recent = 0;
     let known = 0;
-    for (const m of core.machines.values()) {
-      if (!m.hasReported) continue;
+    for (const machine of core.machines.values()) {
+      if (!machine.hasReported) continue;
       known += 1;
-      if (now - m.lastHeartbeatAt < span) recent += 1;
+      if (now - machine.lastHeartbeatAt < span) recent += 1;
     }
     return known >= 2 && recent * 3 < known ? { recent, known } : null;
   }
--- a/src/service/peer-monitor.ts
+++ b/src/service/peer-monitor.ts
@@ -47,9 +47,9 @@
   private stopped = false;
 
   constructor(
-    private readonly parts: Dependencies,
+    private readonly dependencies: Dependencies,
     private readonly election: LeaderElection,
-    private readonly leading: () => LeaderTerm | null,
+    private readonly currentTerm: () => LeaderTerm | null,
   ) {}
 
   stop(): void {
@@ -77,21 +77,21 @@
    */
   async run(): Promise<void> {
     while (!this.stopped) {
-      await sleep(this.parts.jitter.around(GOSSIP_MS));
-      const leading = this.leading();
+      await sleep(this.dependencies.jitter.around(GOSSIP_MS));
+      const leading = this.currentTerm();
       const leads = leading?.authority() === 'lead';
-      if (!this.parts.store.isDown) this.isolatedSince = null;
-      if (!leading && !this.parts.store.isDown) continue;
+      if (!this.dependencies.store.isDown) this.isolatedSince = null;
+      if (!leading && !this.dependencies.store.isDown) continue;
       const heard = leads ? leading.heartbeatCoverage() : null;
-      if (leads && !heard && !this.parts.store.isDown) continue;
-      const peers = [...this.parts.peers.values()];
+      if (leads && !heard && !this.dependencies.store.isDown) continue;
+      const peers = [...this.dependencies.peers.values()];
       const answers = await Promise.all(peers.map((peer) => peer.ask({ ask: 'health' }, PEER_MS)));
       const told = answers.map(readHealth);
       this.peersReachingStore = peers.filter((_, i) => told[i]?.state);
       const alone = told.length > 0 && told.every((health) => health === null);
-      if (this.parts.store.isDown && alone) this.isolatedSince ??= steadyNow();
+      if (this.dependencies.store.isDown && alone) this.isolatedSince ??= steadyNow();
       else this.isolatedSince = null;
-      if (this.leading() !== leading) continue;
+      if (this.currentTerm() !== leading) continue;
       let most = 0;
       for (const health of told) {
         if (!health) continue;
@@ -100,7 +100,7 @@
           this.election.learnLeaderFromPeer(health.leader, health.term);
       }
       if (heard && most > heard.recent) {
-        this.parts.log.info(
+        this.dependencies.log.info(
           { ...heard, peerHears: most },
           'workers reach a peer but not this leader: stepping aside',
         );
@@ -111,14 +111,14 @@
 
   health(): Health {
     const now = steadyNow();
-    const span = this.parts.settings.workers.reportS * 2500;
+    const span = this.dependencies.settings.workers.reportS * 2500;
     for (const [id, at] of this.redirectedWorkers)
       if (now - at > span) this.redirectedWorkers.delete(id);
     return {
       leader: this.election.leaderNode,
       term: this.election.highestKnownToken,
       workers: this.redirectedWorkers.size,
-      state: !this.parts.store.isDown,
+      state: !this.dependencies.store.isDown,
     };
   }
 }
--- a/src/service/stored-records.ts
+++ b/src/service/stored-records.ts
@@ -228,11 +228,11 @@
   const parts = progress.filter((p) => !atBlock(p));
   return {
     j,
-    m: machines.map(({ machine, attributes: at, entries }) => [
+    m: machines.map(({ machine, attributes, entries }) => [
       machine,
-      at.type,
-      at.zone,
-      at.spot,
+      attributes.type,
+      attributes.zone,
+      attributes.spot,
       entries.map((e) => [rowOf(e), e.index, e.attempt]),
     ]),
     d: progress.filter(atBlock).map((p) => [p.job, p.firstTask / TASKS_PER_BLOCK, bits(p)]),
--- a/src/service/user-requests.ts
+++ b/src/service/user-requests.ts
@@ -85,10 +85,10 @@
   private turn = 0;
 
   constructor(
-    private readonly parts: Dependencies,
+    private readonly dependencies: Dependencies,
     private readonly election: LeaderElection,
-    private readonly gossip: PeerMonitor,
-    private readonly leading: () => LeaderTerm | null,
+    private readonly peerMonitor: PeerMonitor,
+    private readonly currentTerm: () => LeaderTerm | null,
   ) {}
 
   rememberCompletion(id: JobId, { outcome, tasks, team }: JobCompletion): void {
@@ -102,7 +102,7 @@
   // ---- submissions -------------------------------------------------------------------------------
 
   private validateFeasibility(spec: JobSpec): { kind: 'impossible'; reason: string } | null {
-    const team = this.parts.settings.teams.get(spec.team);
+    const team = this.dependencies.settings.teams.get(spec.team);
     const no = (reason: string) => ({ kind: 'impossible' as const, reason });
     if (!team) return no(`unknown team ${spec.team}`);
     if (spec.cpus > team.cpusMax || spec.gpus > team.gpusMax)
@@ -111,7 +111,7 @@
     if (spec.cpus * replicas > team.cpusMax || spec.gpus * replicas > team.gpusMax)
       return no("all replicas together exceed the team's limit");
     const zones = new Set<ZoneName>();
-    for (const t of this.parts.machineTypes ?? []) {
+    for (const t of this.dependencies.machineTypes ?? []) {
       const allowed = !spec.machineTypes || spec.machineTypes.includes(t.name);
       const fits = spec.cpus <= t.cpus && spec.gpus <= t.gpus && spec.memoryGb <= t.memoryGb;
       if (!allowed || !fits) continue;
@@ -130,18 +130,19 @@
     const known = this.localView(id);
     if (known) return { kind: 'known', view: known };
     if ('fault' in parsed) return this.refuse(id, { kind: 'malformed', reason: parsed.fault });
-    if (!this.parts.machineTypes) return { kind: 'later', reason: 'machine types not known yet' };
+    if (!this.dependencies.machineTypes)
+      return { kind: 'later', reason: 'machine types not known yet' };
     const fault = this.validateFeasibility(parsed);
     if (fault) return this.refuse(id, fault);
     const record: JobRecord = { acceptedAt: Date.now(), spec: parsed };
     if (
       Buffer.byteLength(JSON.stringify(encodeJob(record))) >
-      this.parts.settings.stateLimits.valueBytes
+      this.dependencies.settings.stateLimits.valueBytes
     ) {
       return this.refuse(id, TOO_LARGE);
     }
-    return this.parts.store.isDown
-      ? this.admitElsewhere(record, this.gossip.reachablePeer())
+    return this.dependencies.store.isDown
+      ? this.admitElsewhere(record, this.peerMonitor.reachablePeer())
       : this.admit(record, true);
   }
 
@@ -154,25 +155,30 @@
       { key: completionKey(id), revision: none },
     ];
     const writes: Mutation[] = [{ put: key, value: encodeJob(record) }];
-    const write = () => this.parts.store.compareAndSwap(guards, writes, ADMIT_WAIT_MS, ADMIT_MS);
+    const write = () =>
+      this.dependencies.store.compareAndSwap(guards, writes, ADMIT_WAIT_MS, ADMIT_MS);
     let result = await write();
-    for (let i = 1; i < ADMIT_TRIES && result === 'refused' && !this.parts.store.isDown; i += 1) {
+    for (
+      let i = 1;
+      i < ADMIT_TRIES && result === 'refused' && !this.dependencies.store.isDown;
+      i += 1
+    ) {
       // The load balancer does not spread users evenly: a peer may have some of its share of the rate left.
       if (mayAsk && i === 1) {
-        const peers = [...this.parts.peers.values()];
+        const peers = [...this.dependencies.peers.values()];
         const peer = peers[this.turn++ % Math.max(1, peers.length)] ?? null;
         const elsewhere = await this.admitElsewhere(record, peer);
         if (elsewhere.kind !== 'later') return elsewhere;
-      } else await sleep(this.parts.jitter.around(150));
+      } else await sleep(this.dependencies.jitter.around(150));
       result = await write();
     }
     if (typeof result === 'object') {
-      this.leading()?.addAdmittedJob(record, result.revision);
+      this.currentTerm()?.addAdmittedJob(record, result.revision);
       return { kind: 'accepted', view: waitingView(record.spec) };
     }
     // The limits have fallen below what any setting said.
     if (result === 'too-large') return this.refuse(id, TOO_LARGE);
-    if (result === 'conflict' || (result === 'unknown' && !this.parts.store.isDown)) {
+    if (result === 'conflict' || (result === 'unknown' && !this.dependencies.store.isDown)) {
       const view = await this.storedView(id);
       if (typeof view === 'object') return { kind: 'known', view };
     }
@@ -203,7 +209,7 @@
   localView(id: JobId): JobView | null {
     const final = this.completions.get(id);
     if (final) return finalView(id, final);
-    const leading = this.leading();
+    const leading = this.currentTerm();
     if (leading?.authority() === 'lead') {
       const view = viewJob(leading.commandLoop.core, id, steadyNow());
       if (view) return view;
@@ -213,7 +219,7 @@
 
   async storedView(id: JobId): Promise<LookupResult> {
     // In this order: a job's record and its final one change places in a single transaction.
-    const job = await this.parts.store.get(jobKey(id));
+    const job = await this.dependencies.store.get(jobKey(id));
     if (typeof job === 'object') {
       const record = decodeJob(job.value);
       const waiting = 'no leader to ask';
@@ -222,7 +228,7 @@
       return { id, team: '' as TeamName, status: 'queued', done: 0, running: 0, waiting };
     }
     if (job !== 'absent') return 'later';
-    const final = await this.parts.store.get(completionKey(id));
+    const final = await this.dependencies.store.get(completionKey(id));
     if (typeof final === 'object') {
       const record = decodeCompletion(final.value);
       if (!record) return 'later';
@@ -249,8 +255,10 @@
         return answer;
       }
     }
-    if (!this.parts.store.isDown) return this.storedView(id);
-    const elsewhere = await this.gossip.reachablePeer()?.ask({ ask: 'look', job: id }, PEER_MS);
+    if (!this.dependencies.store.isDown) return this.storedView(id);
+    const elsewhere = await this.peerMonitor
+      .reachablePeer()
+      ?.ask({ ask: 'look', job: id }, PEER_MS);
     if (elsewhere === 'absent') return 'absent';
     const view = readView(elsewhere);
     return view?.id === id ? view : 'later';
@@ -258,7 +266,7 @@
 
   leaderPeer(): Peer | null {
     const node = this.election.leaderNode;
-    return node === null || this.leading() ? null : (this.parts.peers.get(node) ?? null);
+    return node === null || this.currentTerm() ? null : (this.dependencies.peers.get(node) ?? null);
   }
 
   // ---- cancellations -----------------------------------------------------------------------------
@@ -266,7 +274,7 @@
   async cancel(id: JobId): Promise<LookupResult> {
     const final = this.completions.get(id);
     if (final) return finalView(id, final);
-    if (this.leading()) return this.cancelLocally(id);
+    if (this.currentTerm()) return this.cancelLocally(id);
     const leader = this.leaderPeer();
     if (leader) {
       const answer = readView(await leader.ask({ ask: 'abort', job: id }, ABORT_MS));
@@ -286,7 +294,7 @@
   }
 
   async cancelLocally(id: JobId): Promise<LookupResult> {
-    const leading = this.leading();
+    const leading = this.currentTerm();
     if (leading?.authority() !== 'lead') return 'later';
     for (let round = 0; round < 2; round += 1) {
       const outcome = await leading.cancelJob(id);
@@ -296,7 +304,7 @@
         return record ? finalView(id, record) : this.storedView(id);
       }
       // Not known here: over, never accepted, or accepted elsewhere a moment ago.
-      const item = await this.parts.store.get(jobKey(id));
+      const item = await this.dependencies.store.get(jobKey(id));
       if (typeof item !== 'object') break;
       leading.addStoredJob(item.key, item.value, item.revision);
     }
@@ -307,14 +315,16 @@
   // ---- why a job waits ---------------------------------------------------------------------------
 
   explainLocally(id: JobId) {
-    const leading = this.leading();
+    const leading = this.currentTerm();
     if (leading?.authority() !== 'lead') return null;
     const told = explainJob(leading.commandLoop.core, id, steadyNow());
-    return told ? { ...told, cloud: this.parts.cloud.isAway ? 'away' : 'ok', state: 'ok' } : null;
+    return told
+      ? { ...told, cloud: this.dependencies.cloud.isAway ? 'away' : 'ok', state: 'ok' }
+      : null;
   }
 
   listLocally(team: TeamName): JobView[] | null {
-    const leading = this.leading();
+    const leading = this.currentTerm();
     if (leading?.authority() !== 'lead') return null;
     const { core } = leading.commandLoop;
     const views: JobView[] = [];
@@ -331,7 +341,7 @@
     if (here) return here;
     const answer = await this.leaderPeer()?.ask({ ask: 'explain', job: id }, PEER_MS);
     if (answer) return answer;
-    if (!this.parts.store.isDown) return null;
+    if (!this.dependencies.store.isDown) return null;
     return {
       id,
       waiting: 'the state service is away: nothing starts until it is back',
--- a/test/one-way-partitions.test.ts
+++ b/test/one-way-partitions.test.ts
@@ -129,7 +129,7 @@
         if (names.includes(id) || !s.state.machines.has(id as MachineId)) continue;
         const held = [...s.state.machines.get(id as MachineId)!.placements.values()];
         const told = held
-          .filter((p) => p.phase !== 'entering')
+          .filter((p) => p.phase !== 'persisting')
           .map((p) => running(p.entry as never));
         seq += 1;
         const ticket = (seq * 100 + i) as ReplyTicket;
--- a/test/pinned-requests.test.ts
+++ b/test/pinned-requests.test.ts
@@ -209,7 +209,7 @@
       task(0, 'fetching', null),
       task(1, 'fetching', null),
       task(2, 'running', null, true),
-      task(3, 'saving', null),
+      task(3, 'checkpointing', null),
       task(4, 'ended', 'done'),
       task(5, 'ended', 'stopped', true),
       task(6, 'ended', 'error'),
