--- a/packages/extension-api/src/index.ts
+++ b/packages/extension-api/src/index.ts
@@ -1,25 +1,25 @@
 /** What optional packages may know of the daemon: types only, and nothing of its insides. */
+
 export type {
   AttemptView,
   Extension,
   ExtensionEvent,
   ExtensionModule,
-  ExtensionRecord,
   ExtensionRequest,
   ExtensionRoute,
   FleetView,
-  InstancePoolView as RentalKind,
+  InstancePoolView,
   JobView,
   MachineView,
   Moment,
   OperatorAnswer,
   OperatorCall,
-  RecordWrite,
 } from '../../../src/core/extensions/extension.js';
 export type {
   CommandTools,
   ExtensionPackage,
 } from '../../../src/core/extensions/extension-package.js';
+export type { ExtensionRecord, RecordWrite } from '../../../src/core/model/extension-record.js';
 export type {
   AttemptId as Attempt,
   FencingToken as Term,
--- a/src/adapters/http/heartbeat-handler.ts
+++ b/src/adapters/http/heartbeat-handler.ts
@@ -1,5 +1,5 @@
 /** Workers' check-ins: from the body of a request to what the worker is answered. */
-import type { Controller } from '../../service/controller.js';
+import type { HeartbeatService } from '../../service/ports/heartbeat-service.js';
 import { type Log, Once } from '../logging/log.js';
 import { encodeWorkerCommands } from '../wire.js';
 import { HeartbeatParser } from '../workers/heartbeat-parser.js';
@@ -20,7 +20,7 @@
 };
 
 /** The handler of check-ins; it answers 400 to what is no report, and logs that once for each machine. */
-export const makeHeartbeatHandler = (controller: Controller, log: Log): HeartbeatHandler => {
+export const makeHeartbeatHandler = (service: HeartbeatService, log: Log): HeartbeatHandler => {
   const reader = new HeartbeatParser();
   const malformed = new Once();
 
@@ -39,16 +39,19 @@
     const parsed = parseJson(text);
     const heartbeat = 'json' in parsed ? reader.parse(parsed.json) : null;
     if (!heartbeat) return refuse(parsed);
-    const decision = await controller.handleHeartbeat(heartbeat);
+    const decision = await service.handleHeartbeat(heartbeat);
     switch (decision.kind) {
-      case 'orders':
+      case 'commands':
         return {
           status: 200,
-          body: { Baton: decision.term, Orders: encodeWorkerCommands(decision.orders) },
+          body: {
+            Baton: decision.fencingToken,
+            Orders: encodeWorkerCommands(decision.commands),
+          },
         };
-      case 'elsewhere':
+      case 'redirect':
         return { status: 421, body: decision.leader === null ? {} : { Foreman: decision.leader } };
-      case 'later':
+      case 'unavailable':
         return { status: 503, body: { error: 'not now' } };
     }
   };
--- a/src/core/extensions/extension-host.ts
+++ b/src/core/extensions/extension-host.ts
@@ -7,13 +7,13 @@
 import { isTaskDone } from '../lifecycle/job-tasks.js';
 import { logEvent } from '../log-event.js';
 import type { Effect } from '../model/effect.js';
+import type { ExtensionRecord } from '../model/extension-record.js';
 import type { JobId, MachineId, ProvisionRequestId, ReplyTicket, TaskIndex } from '../model/ids.js';
 import type { Instant } from '../model/time.js';
 import type {
   AttemptView,
   Extension,
   ExtensionEvent,
-  ExtensionRecord,
   ExtensionRequest,
   FleetView,
   MachineView,
--- a/src/core/extensions/extension-runtime.ts
+++ b/src/core/extensions/extension-runtime.ts
@@ -1,16 +1,10 @@
 /** What the core calls of the enabled extensions; `ExtensionHost` implements it. */
 
 import type { Effect } from '../model/effect.js';
+import type { ExtensionRecord, RecordWrite } from '../model/extension-record.js';
 import type { ReplyTicket } from '../model/ids.js';
 import type { Instant } from '../model/time.js';
-import type {
-  AttemptView,
-  ExtensionEvent,
-  ExtensionRecord,
-  MachineView,
-  OperatorCall,
-  RecordWrite,
-} from './extension.js';
+import type { AttemptView, ExtensionEvent, MachineView, OperatorCall } from './extension.js';
 
 /** Writes of one extension that are stored together. */
 export interface ExtensionWrites {
--- a/src/core/extensions/extension.ts
+++ b/src/core/extensions/extension.ts
@@ -2,6 +2,7 @@
  * The interface between the core and optional packages. An extension sees what happens in the fleet and may ask for a
  * few things; it runs inside the owner's queue, as pure as the core itself. It knows nothing of the core but these types.
  */
+import type { ExtensionRecord, RecordWrite } from '../model/extension-record.js';
 import type {
   AttemptId,
   FencingToken,
@@ -115,18 +116,6 @@
   readonly timeOfDay: number;
 }
 
-/** A record of the extension in the state service. The key is relative to the extension's own prefix. */
-export interface ExtensionRecord {
-  readonly key: string;
-  readonly value: unknown;
-}
-
-/** One change of a record; a null value deletes it. */
-export interface RecordWrite {
-  readonly key: string;
-  readonly value: unknown;
-}
-
 /** What an extension is told. */
 export type ExtensionEvent =
   /**
--- a/src/core/model/command.ts
+++ b/src/core/model/command.ts
@@ -1,6 +1,7 @@
 /** Inputs of the core: everything that may change its state. */
 
-import type { ExtensionRecord, OperatorCall } from '../extensions/extension.js';
+import type { OperatorCall } from '../extensions/extension.js';
+import type { ExtensionRecord } from './extension-record.js';
 import type { Heartbeat } from './heartbeat.js';
 import type {
   JobId,
--- a/src/core/model/ledger-record.ts
+++ b/src/core/model/ledger-record.ts
@@ -1,6 +1,6 @@
 /** Rows of the placement ledger, and the changes of one batch. */
 
-import type { RecordWrite } from '../extensions/extension.js';
+import type { RecordWrite } from './extension-record.js';
 import type { AttemptId, JobId, MachineId, SegmentKey, TaskIndex, TeamName } from './ids.js';
 import type { JobOutcome } from './job.js';
 import type { MachineAttributes } from './machine.js';
--- a/src/service/batch-writer.ts
+++ b/src/service/batch-writer.ts
@@ -8,7 +8,7 @@
 import type { Log } from '../adapters/logging/log.js';
 import { sleep } from '../adapters/runtime/clock.js';
 import type { Jitter } from '../adapters/runtime/random.js';
-import type { RecordWrite } from '../core/extensions/extension.js';
+import type { RecordWrite } from '../core/model/extension-record.js';
 import type { FencingToken, Revision, SegmentKey } from '../core/model/ids.js';
 import type { StoreOperation } from '../core/model/ledger-record.js';
 import {
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -15,16 +15,16 @@
 } from '../core/extensions/extension.js';
 import type { Authority } from '../core/model/effect.js';
 import type { Heartbeat } from '../core/model/heartbeat.js';
-import type { FencingToken, JobId, NodeId, Revision, TeamName } from '../core/model/ids.js';
+import type { FencingToken, JobId, Revision, TeamName } from '../core/model/ids.js';
 import type { MachineType } from '../core/model/machine.js';
 import type { Policy } from '../core/model/policy.js';
 import type { Instant } from '../core/model/time.js';
-import type { WorkerCommand } from '../core/model/worker-command.js';
 import type { Dependencies } from './dependencies.js';
 import { LeaderElection } from './leader-election.js';
 import { BATCH_WRITES, LeaderTerm } from './leader-term.js';
 import { readOperatorAnswer } from './operator-answer.js';
 import { PeerMonitor } from './peer-monitor.js';
+import type { HeartbeatDecision, HeartbeatService } from './ports/heartbeat-service.js';
 import { decodeJob, decodeMachineTypes, MACHINE_TYPES_KEY } from './stored-records.js';
 import { UserRequests } from './user-requests.js';
 
@@ -40,7 +40,7 @@
 /** Of all sockets, how many direct orders may use at a time. */
 const ORDER_SOCKETS = 0.08;
 
-export class Controller {
+export class Controller implements HeartbeatService {
   readonly election: LeaderElection;
   readonly users: UserRequests;
   private readonly peerMonitor: PeerMonitor;
@@ -181,30 +181,12 @@
     return this.dependencies.machineTypes !== null && !this.peerMonitor.isIsolated();
   }
 
-  /** The orders for a worker; or the leader to turn to; or null for "not now". */
-  async handleHeartbeat(heartbeat: Heartbeat): Promise<
-    | {
-        readonly kind: 'orders';
-        readonly term: FencingToken;
-        readonly orders: readonly WorkerCommand[];
-      }
-    | { readonly kind: 'elsewhere'; readonly leader: NodeId | null }
-    | { readonly kind: 'later' }
-  > {
-    const leading = this.leaderTerm;
-    if (!leading) {
-      this.peerMonitor.recordRedirect(heartbeat.machine);
-      const leader = this.election.leaderNode;
-      return {
-        kind: 'elsewhere',
-        leader: leader === this.dependencies.settings.node ? null : leader,
-      };
-    }
-    const commands = await leading.handleHeartbeat(heartbeat);
-    if (commands === 'elsewhere') return { kind: 'elsewhere', leader: null };
-    return commands
-      ? { kind: 'orders', term: leading.fencingToken, orders: commands }
-      : { kind: 'later' };
+  async handleHeartbeat(heartbeat: Heartbeat): Promise<HeartbeatDecision> {
+    if (this.leaderTerm) return this.leaderTerm.handleHeartbeat(heartbeat);
+    this.peerMonitor.recordRedirect(heartbeat.machine);
+    const leader = this.election.leaderNode;
+    // Its own name would send the worker back here.
+    return { kind: 'redirect', leader: leader === this.dependencies.settings.node ? null : leader };
   }
 
   /** Answers an operator's call to an extension: here when this node leads, else by the leader; null when neither can. */
--- a/src/service/leader-term.ts
+++ b/src/service/leader-term.ts
@@ -1,15 +1,12 @@
 /** One term of leadership: the takeover, what the leader watches, and what its decisions set in motion. */
 import { fromTimeOfDay, sleep, steadyNow } from '../adapters/runtime/clock.js';
 import { createCore } from '../core/core-state.js';
-import type {
-  ExtensionRecord,
-  OperatorAnswer,
-  OperatorCall,
-} from '../core/extensions/extension.js';
+import type { OperatorAnswer, OperatorCall } from '../core/extensions/extension.js';
 import { ExtensionHost } from '../core/extensions/extension-host.js';
 import { graceAfterLeaseLoss } from '../core/lifecycle/worker-leases.js';
 import type { Command } from '../core/model/command.js';
 import type { Authority, Effect } from '../core/model/effect.js';
+import type { ExtensionRecord } from '../core/model/extension-record.js';
 import type { Heartbeat } from '../core/model/heartbeat.js';
 import type { FencingToken, JobId, MachineId, Revision, SegmentKey } from '../core/model/ids.js';
 import type { JobOutcome } from '../core/model/job.js';
@@ -20,6 +17,7 @@
 import type { Dependencies } from './dependencies.js';
 import type { LeaderElection } from './leader-election.js';
 import { PendingReplies, TicketCounter } from './pending-replies.js';
+import type { HeartbeatDecision } from './ports/heartbeat-service.js';
 import {
   decodeJob,
   decodeSegment,
@@ -49,6 +47,18 @@
 const MOST_BATCH_WRITES = 0.85;
 const JOBS_FOLLOW_MS = 15_000;
 
+const REDIRECT: HeartbeatDecision = { kind: 'redirect', leader: null };
+const UNAVAILABLE: HeartbeatDecision = { kind: 'unavailable' };
+
+/** How a cancellation ended on the leader. */
+export type CancellationOutcome =
+  /** The job's end is stored. */
+  | { readonly kind: 'ended'; readonly outcome: JobOutcome }
+  /** The leader does not know it as unfinished: it is over, was never accepted, or was accepted elsewhere a moment ago. */
+  | { readonly kind: 'unknown-job' }
+  /** Its end may still be stored. */
+  | { readonly kind: 'timed-out' };
+
 export interface LeaderTermEvents {
   /** A job's end is stored. */
   onJobEnded(id: JobId, final: JobCompletion): void;
@@ -70,11 +80,9 @@
     OPERATE_MS,
     null,
   );
-  private readonly aborts = new PendingReplies<JobOutcome | null | 'late'>(
-    this.tickets,
-    ABORT_MS,
-    'late',
-  );
+  private readonly aborts = new PendingReplies<CancellationOutcome>(this.tickets, ABORT_MS, {
+    kind: 'timed-out',
+  });
   /** Workers turned away while this node was cut off from all but them, and when. */
   private readonly redirectedWorkers = new Map<MachineId, number>();
   /** When jobs came in, of late. */
@@ -322,7 +330,12 @@
       case 'operator-answer':
         return this.operatorCalls.settle(effect.ticket, effect.answer);
       case 'cancellation-settled':
-        return this.aborts.settle(effect.ticket, effect.outcome);
+        return this.aborts.settle(
+          effect.ticket,
+          effect.outcome === null
+            ? { kind: 'unknown-job' }
+            : { kind: 'ended', outcome: effect.outcome },
+        );
       case 'job-ended':
         this.events.onJobEnded(effect.job, effect);
         this.dependencies.log.info({ job: effect.job, outcome: effect.outcome }, 'job over');
@@ -390,34 +403,44 @@
 
   // ---- workers -----------------------------------------------------------------------------------
 
-  /** The orders for a worker; 'elsewhere' when it should turn to another node; null for "not now". */
-  async handleHeartbeat(
-    heartbeat: Heartbeat,
-  ): Promise<readonly WorkerCommand[] | 'elsewhere' | null> {
+  async handleHeartbeat(heartbeat: Heartbeat): Promise<HeartbeatDecision> {
     if (heartbeat.fencingToken > this.fencingToken) {
-      this.dependencies.log.info(
-        { machine: heartbeat.machine, term: heartbeat.fencingToken },
-        'a worker has seen a higher term',
-      );
+      const { machine: machineId, fencingToken } = heartbeat;
+      this.dependencies.log.info({ machineId, fencingToken }, 'worker has seen a higher token');
       this.election.stepDown();
-      return 'elsewhere';
+      return REDIRECT;
     }
     const authority = this.authority();
-    if (authority === 'none') return 'elsewhere';
+    if (authority === 'none') return REDIRECT;
     if (
       authority === 'keep-alive' &&
       this.events.isIsolated() &&
       this.shouldRedirect(heartbeat.machine)
     )
-      return 'elsewhere';
+      return REDIRECT;
     const commands = await this.checkIns.request((ticket) =>
       this.commandLoop.submit({ kind: 'heartbeat', heartbeat, ticket }),
     );
-    if (!commands || !this.current) return null;
-    // The process may have stood still since the orders were decided: right and time are looked at again as they go out.
-    const now = this.authority();
-    if (now === 'none') return null;
-    return now === 'lead' ? commands : commands.filter((command) => command.op === 'kill');
+    if (!commands || !this.current) return UNAVAILABLE;
+    return this.decisionAsItGoesOut(commands);
+  }
+
+  /**
+   * The process may have stood still since the commands were decided: right and time are looked at
+   * again as they go out.
+   */
+  private decisionAsItGoesOut(commands: readonly WorkerCommand[]): HeartbeatDecision {
+    const { fencingToken } = this;
+    switch (this.authority()) {
+      case 'lead':
+        return { kind: 'commands', fencingToken, commands };
+      case 'keep-alive': {
+        const kills = commands.filter((command) => command.op === 'kill');
+        return { kind: 'commands', fencingToken, commands: kills };
+      }
+      case 'none':
+        return UNAVAILABLE;
+    }
   }
 
   /**
@@ -462,8 +485,7 @@
 
   // ---- users -------------------------------------------------------------------------------------
 
-  /** How an abort ended: the job's final state, null when the job is not known here, or 'late'. */
-  cancelJob(id: JobId): Promise<JobOutcome | null | 'late'> {
+  cancelJob(id: JobId): Promise<CancellationOutcome> {
     return this.aborts.request((ticket) =>
       this.commandLoop.submit({ kind: 'cancel-job', job: id, ticket }),
     );
--- a/src/service/user-requests.ts
+++ b/src/service/user-requests.ts
@@ -297,9 +297,9 @@
     const leading = this.currentTerm();
     if (leading?.authority() !== 'lead') return 'later';
     for (let round = 0; round < 2; round += 1) {
-      const outcome = await leading.cancelJob(id);
-      if (outcome === 'late') return 'later';
-      if (outcome !== null) {
+      const result = await leading.cancelJob(id);
+      if (result.kind === 'timed-out') return 'later';
+      if (result.kind === 'ended') {
         const record = this.completions.get(id);
         return record ? finalView(id, record) : this.storedView(id);
       }
