--- a/src/core/apply-commands.ts
+++ b/src/core/apply-commands.ts
@@ -1,13 +1,13 @@
 /** The core's one entry: commands in, effects out. No input or output, no clock, no randomness. */
 
 import type { CoreState } from './core-state.js';
+import { manageFleet } from './fleet/fleet-management.js';
 import {
   handleDeletionResult,
-  manageFleet,
   reconcileMachineList,
   updateMachineTypes,
-} from './fleet/fleet-management.js';
-import { handleProvisionResult } from './fleet/scale-out.js';
+} from './fleet/inventory.js';
+import { handleProvisionResult } from './fleet/provision-requests.js';
 import {
   buildNextBatch,
   handleBatchStored,
@@ -75,11 +75,11 @@
     case 'machine-types':
       return updateMachineTypes(state, command.types);
     case 'machines-listed':
-      return reconcileMachineList(state, command.askedAt, command.machines, now);
+      return reconcileMachineList(state, command, now);
     case 'provision-result':
-      return handleProvisionResult(state, command.request, command.result, command.machines, now);
+      return handleProvisionResult(state, command, now);
     case 'deletion-result':
-      return handleDeletionResult(state, command.machines, command.ok, now);
+      return handleDeletionResult(state, command, now);
     case 'extension-records':
       state.extensions?.load(command.extension, command.records);
       return;
--- /dev/null
+++ b/src/core/fleet/deletions.ts
@@ -0,0 +1,55 @@
+/** Deletions: which machines the cloud is asked to take back, and why. */
+
+import type { CoreState } from '../core-state.js';
+import type { Effect } from '../model/effect.js';
+import type { Machine } from '../model/entities.js';
+import type { MachineId } from '../model/ids.js';
+import type { Instant } from '../model/time.js';
+
+/** Machines deleted in one tick; the rest follow in the next. */
+const MAX_MACHINES_PER_DELETION = 100;
+/** Boot time that is assumed while a machine's type is not known. */
+const DEFAULT_BOOT_S = 60;
+/** Added to the boot timeout. */
+const BOOT_TIMEOUT_MARGIN_MS = 15_000;
+
+/**
+ * The machine has not come up within the policy's boot timeout. A new leader also learns of
+ * machines that have long been up: those get a worker lease to report to it first.
+ */
+const hasBootTimedOut = (state: CoreState, machine: Machine, now: Instant): boolean => {
+  if (machine.hasReported) return false;
+  const { policy, workerLeaseMs } = state.config;
+  const bootMs = (state.types.get(machine.type)?.bootS ?? DEFAULT_BOOT_S) * 1000;
+  const timeoutMs = policy.bootTimeoutFactor * bootMs + BOOT_TIMEOUT_MARGIN_MS;
+  return now - machine.provisionedAt > timeoutMs && now - machine.knownAt > workerLeaseMs;
+};
+
+/** Why a machine is to be deleted, as the log names it; null while it stays. */
+const deletionReason = (state: CoreState, machine: Machine, now: Instant): string | null => {
+  if (machine.isUnreachable) return 'unreachable';
+  if (machine.lostAt !== null) return machine.lostReason;
+  if (hasBootTimedOut(state, machine, now)) return 'bootTimedOut';
+  if (machine.isDraining && machine.placements.size === 0) return 'drained';
+  return null;
+};
+
+/** Marks machines as deleting and asks the cloud to delete them. */
+export const planDeletions = (state: CoreState, now: Instant): Effect[] => {
+  const machines: MachineId[] = [];
+  const countByReason: Record<string, number> = {};
+  for (const machine of state.machines.values()) {
+    if (machines.length >= MAX_MACHINES_PER_DELETION) break;
+    if (machine.isDeleting || now < machine.deleteNotBefore) continue;
+    const reason = deletionReason(state, machine, now);
+    if (reason === null) continue;
+    machine.isDeleting = true;
+    machines.push(machine.id);
+    countByReason[reason] = (countByReason[reason] ?? 0) + 1;
+  }
+  if (machines.length === 0) return [];
+  return [
+    { kind: 'log', level: 'info', text: 'deleting machines', fields: countByReason },
+    { kind: 'delete-machines', machines },
+  ];
+};
--- /dev/null
+++ b/src/core/fleet/inventory.ts
@@ -0,0 +1,126 @@
+/**
+ * The inventory: which machines and instance pools exist, as the cloud says. Its list lags behind
+ * by seconds, so that a single list proves neither presence nor absence of a young machine.
+ */
+
+import type { CoreState } from '../core-state.js';
+import { releasePlacement } from '../lifecycle/attempts.js';
+import type { Command } from '../model/command.js';
+import type { Machine } from '../model/entities.js';
+import type { MachineId, ZoneName } from '../model/ids.js';
+import type { ListedMachine, MachineType } from '../model/machine.js';
+import { addMillis, type Instant, type Millis } from '../model/time.js';
+import { createMachine, hasMissedHeartbeats } from './machine-health.js';
+
+/** Added to the lag of the cloud's list before a machine's absence from it counts. */
+const LIST_LAG_MARGIN_MS = 2000;
+/** Lags of the cloud's list within which one list may be older than the one before it. */
+const LIST_LAG_FACTOR = 3;
+/** Pause after a refused deletion before the machine is deleted again. */
+const DELETION_RETRY_MS = 2000 as Millis;
+
+const updateInstancePool = (
+  state: CoreState,
+  type: MachineType,
+  zone: ZoneName,
+  spot: boolean,
+): void => {
+  const key = `${type.name}/${zone}/${spot ? 'spot' : 'on-demand'}`;
+  const known = state.instancePools.get(key);
+  state.instancePools.set(key, {
+    key,
+    type,
+    zone,
+    spot,
+    retryAt: known?.retryAt ?? (0 as Instant),
+    refusals: known?.refusals ?? 0,
+    outstandingRequests: known?.outstandingRequests ?? new Map(),
+  });
+};
+
+/** Takes the cloud's machine types over; what is known of their instance pools is kept. */
+export const updateMachineTypes = (state: CoreState, types: readonly MachineType[]): void => {
+  state.types.clear();
+  for (const type of types) {
+    state.types.set(type.name, type);
+    for (const zone of type.zones) {
+      updateInstancePool(state, type, zone, true);
+      updateInstancePool(state, type, zone, false);
+    }
+  }
+  state.isRoundDue = true;
+};
+
+const reconcileListedMachine = (
+  state: CoreState,
+  listed: ListedMachine,
+  askedAt: Instant,
+  now: Instant,
+): void => {
+  let machine = state.machines.get(listed.id);
+  if (!machine) {
+    const provisionedAt = (askedAt - listed.ageS * 1000) as Instant;
+    machine = createMachine(listed.id, listed, provisionedAt, now);
+    state.machines.set(listed.id, machine);
+  }
+  machine.isListed = true;
+  if (!machine.endpoint) machine.endpoint = listed.endpoint;
+  if (listed.status !== 'failed') return;
+  machine.isDraining = true;
+  if (machine.lostAt === null) {
+    machine.lostAt = now;
+    machine.lostReason = 'failed';
+  }
+};
+
+/**
+ * Takes in the cloud's list of machines. A machine that is absent is lost, unless it is younger
+ * than the list may be old or still sends heartbeats.
+ */
+export const reconcileMachineList = (
+  state: CoreState,
+  { askedAt, machines: list }: Extract<Command, { kind: 'machines-listed' }>,
+  now: Instant,
+): void => {
+  state.hasReadMachineList = true;
+  const listedIds = new Set<MachineId>();
+  for (const listed of list) {
+    listedIds.add(listed.id);
+    if (!state.deletedMachines.has(listed.id)) reconcileListedMachine(state, listed, askedAt, now);
+  }
+  // A list may be older than the one before it: only machines known for long enough may be absent.
+  const graceMs = LIST_LAG_FACTOR * state.config.listLagMs + LIST_LAG_MARGIN_MS;
+  for (const machine of state.machines.values()) {
+    if (listedIds.has(machine.id) || askedAt - machine.provisionedAt < graceMs) continue;
+    if (machine.hasReported && !hasMissedHeartbeats(state, machine, now)) continue;
+    machine.lostAt ??= now;
+    machine.lostReason ||= 'notListed';
+    machine.isDraining = true;
+  }
+};
+
+/** Forgets a machine that is certainly gone, and everything on it. */
+const removeMachine = (state: CoreState, machine: Machine, now: Instant): void => {
+  for (const placement of [...machine.placements.values()]) releasePlacement(state, placement, now);
+  machine.placements.clear();
+  state.machines.delete(machine.id);
+  state.deletedMachines.add(machine.id);
+  state.machinesAwaitingReply.delete(machine);
+};
+
+/** Takes in the cloud's answer to a deletion: machines are gone, or deleted again after a pause. */
+export const handleDeletionResult = (
+  state: CoreState,
+  { machines, ok }: Extract<Command, { kind: 'deletion-result' }>,
+  now: Instant,
+): void => {
+  for (const id of machines) {
+    const machine = state.machines.get(id);
+    if (!machine) continue;
+    if (ok) removeMachine(state, machine, now);
+    else {
+      machine.isDeleting = false;
+      machine.deleteNotBefore = addMillis(now, DELETION_RETRY_MS);
+    }
+  }
+};
--- a/src/core/fleet/machine-health.ts
+++ b/src/core/fleet/machine-health.ts
@@ -1,18 +1,20 @@
-/** The state of machines, and whether they may take work. */
+/** The state of one machine: how it begins, and whether the machine may take work. */
+
 import type { CoreState } from '../core-state.js';
 import type { Machine } from '../model/entities.js';
 import type { MachineId, MachineTypeName, ZoneName } from '../model/ids.js';
 import type { Instant } from '../model/time.js';
 
+/** A machine that this leader has just learned of: nothing is on it, and it takes no work yet. */
 export const createMachine = (
   id: MachineId,
-  at: { endpoint: string; type: MachineTypeName; zone: ZoneName; spot: boolean },
-  rentedAt: Instant,
+  attributes: { endpoint: string; type: MachineTypeName; zone: ZoneName; spot: boolean },
+  provisionedAt: Instant,
   now: Instant,
 ): Machine => ({
   id,
-  ...at,
-  provisionedAt: rentedAt,
+  ...attributes,
+  provisionedAt,
   knownAt: now,
   agentEpoch: 0,
   heartbeatSequence: 0,
@@ -47,15 +49,17 @@
   pendingReply: null,
 });
 
-/** Answers that went unheard in a row after which a machine gets no more work. */
+/** Replies in a row that did not reach a machine, after which it gets no more work. */
 export const UNACKNOWLEDGED_LIMIT = 2;
 
-/** Without a word for this many report periods a machine gets no more work: it would only wait there. */
-const QUIET_REPORTS = 2;
+/** Silence in heartbeat intervals after which a machine gets no more work: it would only wait. */
+const MAX_SILENT_INTERVALS = 2;
 
+/** Whether a machine is silent for longer than a lost heartbeat explains; it need not be lost. */
 export const hasMissedHeartbeats = (state: CoreState, machine: Machine, now: Instant): boolean =>
-  now - machine.lastHeartbeatAt > QUIET_REPORTS * state.config.heartbeatIntervalMs;
+  now - machine.lastHeartbeatAt > MAX_SILENT_INTERVALS * state.config.heartbeatIntervalMs;
 
+/** Whether a machine may be given work now. */
 export const isSchedulable = (state: CoreState, machine: Machine, now: Instant): boolean =>
   machine.isReady &&
   !hasMissedHeartbeats(state, machine, now) &&
