--- a/src/adapters/configuration/settings.ts
+++ b/src/adapters/configuration/settings.ts
@@ -1,13 +1,17 @@
-/** The platform's settings file (JSON) and the operators' policy (S-expressions), both checked. */
-import { readFileSync } from 'node:fs';
-import parseExpression from 's-expression';
+/**
+ * The platform's settings file (JSON), checked. The file's field names are the platform's; they
+ * are mapped to this code's names here and nowhere else. Fields that are not named are ignored.
+ */
+
 import * as v from 'valibot';
 import type { NodeId, TeamName, ZoneName } from '../../core/model/ids.js';
-import type { Policy } from '../../core/model/policy.js';
 import type { Team } from '../../core/model/team.js';
+import { readConfigurationFile, SettingsError } from './configuration-file.js';
 
-/** A fault of the files handed over: one clear line, no stack. */
-export class SettingsError extends Error {}
+const MAX_PORT = 65_535;
+const BYTES_PER_KB = 1024;
+/** What a controller may use of its machine where the settings do not say. */
+const DEFAULT_QUOTA = { cores: 1, memoryMb: 178, maxConnections: 1000 };
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
 const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
@@ -15,7 +19,7 @@
 const address = v.pipe(
   v.string(),
   v.regex(/^[^:\s]+:\d{1,5}$/, 'must be HOST:PORT'),
-  v.check((text) => parseEndpoint(text).port <= 65_535, 'must be HOST:PORT'),
+  v.check((text) => parseEndpoint(text).port <= MAX_PORT, 'must be HOST:PORT'),
 );
 const optionalAmount = v.nullish(amount, 0);
 
@@ -61,9 +65,9 @@
     cloud: v.object({ rps: positive, list_lag_s: amount }),
     quota: v.nullish(
       v.object({
-        cores: v.nullish(positive, 1),
-        mem_mb: v.nullish(positive, 178),
-        max_connections: v.nullish(whole, 1000),
+        cores: v.nullish(positive, DEFAULT_QUOTA.cores),
+        mem_mb: v.nullish(positive, DEFAULT_QUOTA.memoryMb),
+        max_connections: v.nullish(whole, DEFAULT_QUOTA.maxConnections),
       }),
       {},
     ),
@@ -71,32 +75,41 @@
   }),
 });
 
+/** A host and port to connect to or to listen on. */
 export interface Endpoint {
   readonly host: string;
   readonly port: number;
 }
 
+/** The platform's settings for one controller. */
 export interface Settings {
   readonly node: NodeId;
   readonly zone: ZoneName;
+  /** Where users and workers connect to. */
   readonly api: Endpoint;
+  /** Where the other controllers connect to. */
   readonly peerAddress: Endpoint;
   readonly peers: readonly { readonly node: NodeId; readonly at: Endpoint }[];
   readonly cloud: Endpoint;
+  /** The key-value store. */
   readonly state: Endpoint;
   readonly teams: ReadonlyMap<TeamName, Team>;
+  /** Seconds: between heartbeats, of a worker's lease, until a cancelled job's tasks are gone. */
   readonly workers: { readonly reportS: number; readonly leaseS: number; readonly cancelS: number };
+  /** What the key-value store allows; rates are per second. */
   readonly stateLimits: {
     readonly rps: number;
     readonly writeRps: number;
-    /** The rates that it will have from some moment on; never above the present ones. */
+    /** Rates that it will have from some moment on; never above the present ones. */
     readonly nextRps: number;
     readonly nextWriteRps: number;
     /** Sizes: the smaller of what holds now and what will. */
     readonly valueBytes: number;
     readonly txnOps: number;
   };
+  /** Requests per second that the cloud allows, and by how much its machine list lags. */
   readonly cloudLimits: { readonly rps: number; readonly listLagS: number };
+  /** What this process may use. */
   readonly quota: {
     readonly cores: number;
     readonly memoryMb: number;
@@ -104,9 +117,10 @@
   };
 }
 
+/** Splits `HOST:PORT` at the last colon; the caller has checked its form. */
 export const parseEndpoint = (text: string): Endpoint => {
-  const at = text.lastIndexOf(':');
-  return { host: text.slice(0, at), port: Number(text.slice(at + 1)) };
+  const colon = text.lastIndexOf(':');
+  return { host: text.slice(0, colon), port: Number(text.slice(colon + 1)) };
 };
 
 const firstIssue = (issues: readonly v.BaseIssue<unknown>[]): string => {
@@ -116,135 +130,76 @@
   return path ? `field ${path}: ${issue.message}` : issue.message;
 };
 
-export const parseSettings = (text: string): Settings => {
-  let raw: unknown;
+const parseJson = (text: string): unknown => {
   try {
-    raw = JSON.parse(text);
+    return JSON.parse(text);
   } catch (error) {
-    throw new SettingsError(`settings are not JSON: ${(error as Error).message}`);
+    const { message } = error as Error;
+    throw new SettingsError(`settings are not JSON: ${message}`, { cause: error });
   }
-  const result = v.safeParse(settingsSchema, raw);
-  if (!result.success) throw new SettingsError(`settings: ${firstIssue(result.issues)}`);
-  const s = result.output;
-  const { params } = s;
-  const { state } = params;
+};
+
+type SettingsFile = v.InferOutput<typeof settingsSchema>;
+type Params = SettingsFile['params'];
+
+const teamsOf = ({ teams }: Params): Settings['teams'] =>
+  new Map(
+    teams.map((team) => {
+      const name = team.name as TeamName;
+      const { cpus, gpus } = team;
+      return [name, { name, cpus, cpusMax: team.cpus_max, gpus, gpusMax: team.gpus_max }];
+    }),
+  );
+
+/** Limits may be announced to fall: sizes obey the lower ones from the start, rates when told. */
+const storeLimitsOf = ({ state }: Params): Settings['stateLimits'] => {
   const { next } = state;
+  const valueKb = Math.min(state.value_kb, next.value_kb ?? state.value_kb);
   return {
-    node: s.node as NodeId,
-    zone: s.zone as ZoneName,
-    api: parseEndpoint(s.api_addr),
-    peerAddress: parseEndpoint(s.back),
-    peers: s.seeds.map((p) => ({ node: p.node as NodeId, at: parseEndpoint(p.endpoint) })),
-    cloud: parseEndpoint(s.outside.cloud),
-    state: parseEndpoint(s.outside.state),
-    teams: new Map(
-      params.teams.map((t) => {
-        const name = t.name as TeamName;
-        return [
-          name,
-          { name, cpus: t.cpus, cpusMax: t.cpus_max, gpus: t.gpus, gpusMax: t.gpus_max },
-        ];
-      }),
-    ),
+    rps: state.rps,
+    writeRps: state.write_rps,
+    nextRps: Math.min(state.rps, next.rps ?? state.rps),
+    nextWriteRps: Math.min(state.write_rps, next.write_rps ?? state.write_rps),
+    valueBytes: Math.floor(valueKb * BYTES_PER_KB),
+    txnOps: Math.min(state.txn_ops, next.txn_ops ?? state.txn_ops),
+  };
+};
+
+const quotaOf = ({ quota }: Params): Settings['quota'] => ({
+  cores: quota.cores ?? DEFAULT_QUOTA.cores,
+  memoryMb: quota.mem_mb ?? DEFAULT_QUOTA.memoryMb,
+  maxConnections: quota.max_connections ?? DEFAULT_QUOTA.maxConnections,
+});
+
+/** Parses and checks the settings. Throws a `SettingsError` that names the first fault's field. */
+export const parseSettings = (text: string): Settings => {
+  const result = v.safeParse(settingsSchema, parseJson(text));
+  if (!result.success) throw new SettingsError(`settings: ${firstIssue(result.issues)}`);
+  const file = result.output;
+  const { params } = file;
+  return {
+    node: file.node as NodeId,
+    zone: file.zone as ZoneName,
+    api: parseEndpoint(file.api_addr),
+    peerAddress: parseEndpoint(file.back),
+    peers: file.seeds.map((seed) => ({
+      node: seed.node as NodeId,
+      at: parseEndpoint(seed.endpoint),
+    })),
+    cloud: parseEndpoint(file.outside.cloud),
+    state: parseEndpoint(file.outside.state),
+    teams: teamsOf(params),
     workers: {
       reportS: params.workers.report_s,
       leaseS: params.workers.lease_s,
       cancelS: params.workers.cancel_s,
     },
-    stateLimits: {
-      rps: state.rps,
-      writeRps: state.write_rps,
-      nextRps: Math.min(state.rps, next.rps ?? state.rps),
-      nextWriteRps: Math.min(state.write_rps, next.write_rps ?? state.write_rps),
-      valueBytes: Math.floor(Math.min(state.value_kb, next.value_kb ?? state.value_kb) * 1024),
-      txnOps: Math.min(state.txn_ops, next.txn_ops ?? state.txn_ops),
-    },
+    stateLimits: storeLimitsOf(params),
     cloudLimits: { rps: params.cloud.rps, listLagS: params.cloud.list_lag_s },
-    quota: {
-      cores: params.quota.cores ?? 1,
-      memoryMb: params.quota.mem_mb ?? 178,
-      maxConnections: params.quota.max_connections ?? 1000,
-    },
+    quota: quotaOf(params),
   };
 };
 
-const read = (path: string, what: string): string => {
-  try {
-    return readFileSync(path, 'utf8');
-  } catch (error) {
-    throw new SettingsError(`${what}: cannot read ${path}: ${(error as Error).message}`);
-  }
-};
-
-export const loadSettings = (path: string): Settings => parseSettings(read(path, 'settings'));
-
-// ---- policy --------------------------------------------------------------------------------------
-
-export const DEFAULT_POLICY: Policy = {
-  ageFactor: 1,
-  deadlineWeight: 1,
-  scarcityWeight: 1,
-  shortnessWeight: 20,
-  priorityWeight: 5,
-  deadlineEstimateFactor: 2,
-  deadlineScoreMin: 1,
-  deadlineScoreMax: 10,
-  firstTaskAfterS: 120,
-  preemptionMinPriority: 2,
-  preemptionDelayS: 2,
-  baselineCapacityShare: 1,
-  capacityHeadroom: 1.2,
-  scaleInAfterIdleS: 240,
-  bootTimeoutFactor: 2.5,
-  missedHeartbeatLimit: 4,
-  leaderLeaseMs: 3000,
-};
-
-/** Names in the policy file, and the bounds of each. */
-const POLICY_FIELDS: Record<string, { key: keyof Policy; min: number; max: number }> = {
-  'age-factor': { key: 'ageFactor', min: 0, max: 1e6 },
-  'deadline-weight': { key: 'deadlineWeight', min: 0, max: 1e6 },
-  'scarcity-weight': { key: 'scarcityWeight', min: 0, max: 1e6 },
-  'priority-boost': { key: 'shortnessWeight', min: 0, max: 1e6 },
-  'level-weight': { key: 'priorityWeight', min: 0, max: 1e6 },
-  'deadline-k': { key: 'deadlineEstimateFactor', min: 1.000001, max: 1000 },
-  'deadline-min': { key: 'deadlineScoreMin', min: 0, max: 1e6 },
-  'deadline-max': { key: 'deadlineScoreMax', min: 0, max: 1e6 },
-  'first-task-s': { key: 'firstTaskAfterS', min: 1, max: 1e6 },
-  'make-room-level': { key: 'preemptionMinPriority', min: 0, max: 99 },
-  'make-room-s': { key: 'preemptionDelayS', min: 0, max: 1e6 },
-  'standing-share': { key: 'baselineCapacityShare', min: 0, max: 10 },
-  headroom: { key: 'capacityHeadroom', min: 1, max: 10 },
-  'idle-return-s': { key: 'scaleInAfterIdleS', min: 5, max: 86_400 },
-  'boot-give-up': { key: 'bootTimeoutFactor', min: 1, max: 100 },
-  'silent-reports': { key: 'missedHeartbeatLimit', min: 2, max: 1000 },
-  'leader-lease-ms': { key: 'leaderLeaseMs', min: 500, max: 60_000 },
-};
-
-/** `(policy (deadline-k 2) (age-factor 1) ...)`; what is not named keeps its default. */
-export const parsePolicy = (text: string): Policy => {
-  const form: unknown = parseExpression(text.replace(/;[^\n]*/g, '').trim());
-  if (form instanceof Error) throw new SettingsError(`policy: ${form.message.split('\n')[0]}`);
-  if (!Array.isArray(form) || form[0] !== 'policy') {
-    throw new SettingsError('policy: expected (policy (NAME VALUE) ...)');
-  }
-  const policy: { -readonly [K in keyof Policy]: Policy[K] } = { ...DEFAULT_POLICY };
-  for (const entry of form.slice(1) as unknown[]) {
-    const name = Array.isArray(entry) ? String(entry[0]) : String(entry);
-    const field = Object.hasOwn(POLICY_FIELDS, name) ? POLICY_FIELDS[name] : undefined;
-    if (!field) throw new SettingsError(`policy: unknown field ${name}`);
-    const list = entry as unknown[];
-    const value = Array.isArray(entry) && list.length === 2 ? Number(String(list[1])) : Number.NaN;
-    if (!Number.isFinite(value) || value < field.min || value > field.max) {
-      throw new SettingsError(
-        `policy: field ${name} must be one number from ${field.min} to ${field.max}`,
-      );
-    }
-    policy[field.key] = value;
-  }
-  if (policy.deadlineScoreMax < policy.deadlineScoreMin)
-    throw new SettingsError('policy: field deadline-max is below deadline-min');
-  return policy;
-};
-
-export const loadPolicy = (path: string): Policy => parsePolicy(read(path, 'policy'));
+/** Reads and checks the platform's settings file. Throws a `SettingsError`. */
+export const loadSettings = (path: string): Settings =>
+  parseSettings(readConfigurationFile(path, 'settings'));
--- a/src/adapters/http/heartbeat-handler.ts
+++ b/src/adapters/http/heartbeat-handler.ts
@@ -30,7 +30,7 @@
     const fault = 'fault' in parsed ? parsed.fault : 'fields';
     const body = 'json' in parsed ? (parsed.json as { Berth?: unknown } | null) : null;
     const machine = 'json' in parsed ? String(body?.Berth).slice(0, MAX_LOGGED_NAME) : '';
-    if (malformed.first(`${machine} ${fault}`))
+    if (malformed.isFirst(`${machine} ${fault}`))
       log.info({ machine, fault }, 'check-in of an unknown form');
     return MALFORMED;
   };
--- a/src/adapters/logging/log.ts
+++ b/src/adapters/logging/log.ts
@@ -1,24 +1,31 @@
+/** The log of this process, and what keeps repeated events out of it. */
+
 import pino from 'pino';
 
+/** A logger: an event name and structured fields. */
 export type Log = pino.Logger;
 
-/** Logs go to standard error, as much as LOG_LEVEL asks for. */
-export const makeLog = (node: string): Log => {
-  const asked = process.env.LOG_LEVEL ?? 'info';
-  const level = Object.hasOwn(pino.levels.values, asked) ? asked : 'info';
-  return pino({ level, base: { node } }, pino.destination({ fd: 2, sync: true }));
+const STANDARD_ERROR = 2;
+const DEFAULT_LEVEL = 'info';
+
+/** Creates the process's log, on standard error, at the level that LOG_LEVEL asks for. */
+export const createLog = (node: string): Log => {
+  const requested = process.env.LOG_LEVEL ?? DEFAULT_LEVEL;
+  const level = Object.hasOwn(pino.levels.values, requested) ? requested : DEFAULT_LEVEL;
+  return pino({ level, base: { node } }, pino.destination({ fd: STANDARD_ERROR, sync: true }));
 };
 
-/** Most different things said once; beyond that nothing new is said, so that a flood of them stays out of log and memory. */
-const MOST_SAID = 1000;
+/** Keys remembered; beyond that no new one is let through: a flood stays out of log and memory. */
+const MAX_KEYS = 1000;
 
-/** Says a thing only the first time, by its key: what is malformed mostly comes again with every report. */
+/** Lets each key through once: what is malformed mostly comes again with every heartbeat. */
 export class Once {
-  private readonly said = new Set<string>();
+  private readonly seenKeys = new Set<string>();
 
-  first(key: string): boolean {
-    if (this.said.has(key) || this.said.size >= MOST_SAID) return false;
-    this.said.add(key);
+  /** Whether this is the first time that the key comes, and there is still space for it. */
+  isFirst(key: string): boolean {
+    if (this.seenKeys.has(key) || this.seenKeys.size >= MAX_KEYS) return false;
+    this.seenKeys.add(key);
     return true;
   }
 }
--- a/src/adapters/runtime/clock.ts
+++ b/src/adapters/runtime/clock.ts
@@ -1,18 +1,23 @@
-/** The clocks of this process. */
+/** The clocks of this process: a steady one for leases and timeouts, and the time of day. */
+
 import type { Instant } from '../../core/model/time.js';
 
 /**
- * The steady clock: every lease and time-out counts on it. Not `performance.now()`, whose module is loaded with all of Node's
- * performance hooks when it is first used.
+ * Reads the steady clock, in milliseconds; every lease and timeout counts on it. It is not
+ * `performance.now()`: that loads all of Node's performance hooks, which delays the start.
  */
 export const steadyNow = (): Instant => {
   const [seconds, nanoseconds] = process.hrtime();
   return (seconds * 1e3 + nanoseconds / 1e6) as Instant;
 };
 
-/** Turns a time of day from another node into an instant here; it may be off by the clocks' bound. */
-export const fromTimeOfDay = (wallMs: number): Instant =>
-  (steadyNow() - (Date.now() - wallMs)) as Instant;
+/**
+ * Turns another node's time of day, in milliseconds since 1970, into an instant on this process's
+ * steady clock. It is off by as much as the two nodes' clocks are.
+ */
+export const fromTimeOfDay = (timeOfDayMs: number): Instant =>
+  (steadyNow() - (Date.now() - timeOfDayMs)) as Instant;
 
+/** Resolves after this many milliseconds. */
 export const sleep = (ms: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, ms));
--- a/src/adapters/runtime/random.ts
+++ b/src/adapters/runtime/random.ts
@@ -1,7 +1,9 @@
-/** Jitter for back-off, from a seeded generator so that tests can repeat it. */
+/** Randomness, from a seeded generator so that tests can repeat it. */
+
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
+/** Spreads retries, so that controllers that fail at once do not all come back at once. */
 export class Jitter {
   private readonly generator;
 
@@ -9,7 +11,7 @@
     this.generator = xoroshiro128plus(seed);
   }
 
-  /** Between half of `ms` and one and a half times it. */
+  /** A length of time between half of `ms` and one and a half times it. */
   around(ms: number): number {
     return ms * (0.5 + uniformFloat64(this.generator));
   }
--- a/src/cli/ask.ts
+++ b/src/cli/ask.ts
@@ -1,21 +1,25 @@
+/** Commands that ask a controller and print its answer. */
+
 import { parseEndpoint } from '../adapters/configuration/settings.js';
 import { HttpClient } from '../adapters/outbound/http-client.js';
+import { EXIT_CODES, NoAnswerError } from './command-failures.js';
+
+const ANSWER_TIMEOUT_MS = 5000;
 
-const ask = async (at: string, path: string): Promise<void> => {
-  const client = new HttpClient(parseEndpoint(at), 1);
-  const reply = await client.call('GET', path, undefined, 5000);
+/** Prints the answer, whatever it is; any status but 200 is a failure. */
+const printAnswer = async (endpoint: string, path: string): Promise<void> => {
+  const client = new HttpClient(parseEndpoint(endpoint), 1);
+  const reply = await client.call('GET', path, undefined, ANSWER_TIMEOUT_MS);
   client.close();
-  if (reply.kind === 'none') {
-    process.stderr.write(`robinspread: no answer from ${at}: ${reply.reason}\n`);
-    process.exitCode = 1;
-    return;
-  }
+  if (reply.kind === 'none') throw new NoAnswerError(endpoint, reply.reason);
   process.stdout.write(`${JSON.stringify(reply.body, null, 2)}\n`);
-  if (reply.status !== 200) process.exitCode = 1;
+  if (reply.status !== 200) process.exitCode = EXIT_CODES.failed;
 };
 
-export const explain = (job: string, at: string): Promise<void> =>
-  ask(at, `/api/jobs/${encodeURIComponent(job)}/explain`);
+/** Prints why a job waits. Throws a `NoAnswerError`. */
+export const explainJob = (job: string, endpoint: string): Promise<void> =>
+  printAnswer(endpoint, `/api/jobs/${encodeURIComponent(job)}/explain`);
 
-export const jobs = (team: string, at: string): Promise<void> =>
-  ask(at, `/api/jobs?team=${encodeURIComponent(team)}`);
+/** Prints a team's unfinished jobs. Throws a `NoAnswerError`. */
+export const listJobs = (team: string, endpoint: string): Promise<void> =>
+  printAnswer(endpoint, `/api/jobs?team=${encodeURIComponent(team)}`);
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,32 +1,36 @@
+/**
+ * The command line. Each command's module is loaded only when the command is called: on a few
+ * hundredths of a core, every module delays the start.
+ */
+
 import { Command } from 'commander';
+import { handleCommandError } from './command-failures.js';
 import type { Files } from './load.js';
 
-const build = (): Command => {
+const addFileOptions = (command: Command): Command =>
+  command
+    .requiredOption('--config <file>', "the platform's settings (JSON)")
+    .option('--policy <file>', "the operators' policy (S-expressions)")
+    .option('--enable <file...>', 'enable the optional packages of these files (S-expressions)');
+
+const createProgram = (): Command => {
   const program = new Command('robinspread')
     .description('cluster scheduler service')
     .version('0.1.0');
 
-  program
-    .command('serve')
-    .description('run one controller')
-    .requiredOption('--config <file>', "the platform's settings (JSON)")
-    .option('--policy <file>', "the operators' policy (S-expressions)")
-    .option('--enable <file...>', 'enable the optional packages of these files (S-expressions)')
-    .action(async (options: Files) => {
+  addFileOptions(program.command('serve').description('run one controller')).action(
+    async (options: Files) => {
       const { serve } = await import('./serve.js');
       await serve(options);
-    });
+    },
+  );
 
-  program
-    .command('check-config')
-    .description('check a settings file and a policy file')
-    .requiredOption('--config <file>', "the platform's settings (JSON)")
-    .option('--policy <file>', "the operators' policy (S-expressions)")
-    .option('--enable <file...>', 'enable the optional packages of these files (S-expressions)')
-    .action(async (options: Files) => {
-      const { checkConfig } = await import('./check-config.js');
-      await checkConfig(options);
-    });
+  addFileOptions(
+    program.command('check-config').description('check a settings file and a policy file'),
+  ).action(async (options: Files) => {
+    const { checkConfig } = await import('./check-config.js');
+    await checkConfig(options);
+  });
 
   program
     .command('explain')
@@ -34,8 +38,8 @@
     .argument('<job>', 'job id')
     .requiredOption('--at <host:port>', 'a controller')
     .action(async (job: string, options: { at: string }) => {
-      const { explain } = await import('./ask.js');
-      await explain(job, options.at);
+      const { explainJob } = await import('./ask.js');
+      await explainJob(job, options.at);
     });
 
   program
@@ -44,25 +48,26 @@
     .requiredOption('--at <host:port>', 'a controller')
     .requiredOption('--team <name>', 'the team')
     .action(async (options: { at: string; team: string }) => {
-      const { jobs } = await import('./ask.js');
-      await jobs(options.team, options.at);
+      const { listJobs } = await import('./ask.js');
+      await listJobs(options.team, options.at);
     });
   return program;
 };
 
+/** Runs the command of `argv`, which begins as `process.argv` does, and sets the exit code. */
 export const run = async (argv: readonly string[]): Promise<void> => {
-  const program = build();
+  const program = createProgram();
   const { loadPackage } = await import('./extensions.js');
-  const optional = await loadPackage(argv[2]);
-  if (optional) {
+  const extensionPackage = await loadPackage(argv[2]);
+  if (extensionPackage) {
     const { commandTools } = await import('./command-tools.js');
-    optional.addCommands(program, commandTools);
+    extensionPackage.addCommands(program, commandTools);
   }
-  await program.parseAsync(argv);
+  await program.parseAsync(argv).catch(handleCommandError);
 };
 
 /** For the build: loads what `serve` needs, so that its compiled code can be kept. */
 export const warm = async (): Promise<void> => {
-  build().helpInformation();
+  createProgram().helpInformation();
   await import('./serve.js');
 };
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -1,31 +1,37 @@
+/** The command that runs one controller: it connects the adapters to the service. */
+
 import { startApi } from '../adapters/http/api-server.js';
-import { makeLog, Once } from '../adapters/logging/log.js';
+import { createLog, type Log, Once } from '../adapters/logging/log.js';
 import { servePeers } from '../adapters/peers/peer-link.js';
 import { Jitter } from '../adapters/runtime/random.js';
 import { Controller } from '../service/controller.js';
+import { EXIT_CODES } from './command-failures.js';
 import { type Files, loadFiles } from './load.js';
 
+/** Ends the process: a controller that cannot go on is restarted, and the others carry on. */
+const exitWith = (log: Log, event: string, error: unknown): void => {
+  log.error({ err: error }, event);
+  process.exit(EXIT_CODES.failed);
+};
+
+/** Differs between controllers that start at the same moment, and between starts of one. */
+const jitterSeed = (): number => (Date.now() ^ (process.pid << 8)) | 0;
+
+/** Runs one controller until the process ends. Throws a `SettingsError` for a faulty file. */
 export const serve = async (files: Files): Promise<void> => {
   const { settings, policy, extensions } = await loadFiles(files);
-  const log = makeLog(settings.node);
-  process.on('uncaughtException', (error) => {
-    log.error({ err: error }, 'uncaught');
-    process.exit(1);
-  });
-  const jitter = new Jitter((Date.now() ^ (process.pid << 8)) | 0);
-  const controller = new Controller(settings, policy, log, jitter, extensions);
+  const log = createLog(settings.node);
+  process.on('uncaughtException', (error) => exitWith(log, 'uncaught exception', error));
+  const controller = new Controller(settings, policy, log, new Jitter(jitterSeed()), extensions);
   startApi(settings, controller, log);
-  const dropped = new Once();
+  const droppedForReason = new Once();
   servePeers(
     settings.peerAddress,
     (question) => controller.respond(question),
     (reason) => {
-      if (dropped.first(reason)) log.info({ reason }, 'peer message dropped');
+      if (droppedForReason.isFirst(reason)) log.info({ reason }, 'peer message dropped');
     },
-  ).on('error', (error) => {
-    log.error({ err: error }, 'cannot listen for peers');
-    process.exit(1);
-  });
+  ).on('error', (error) => exitWith(log, 'cannot listen for peers', error));
   controller.start();
   log.info({ api: settings.api, zone: settings.zone }, 'serving');
 };
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -64,7 +64,7 @@
     });
     const odd = new Once();
     const onOdd = (of: string) => (asked: string) => {
-      if (odd.first(`${of} ${asked}`)) log.info({ of, asked }, 'answer of an unknown form');
+      if (odd.isFirst(`${of} ${asked}`)) log.info({ of, asked }, 'answer of an unknown form');
     };
     const admissions = share(READS_OF_ALL / nodes, ADMISSIONS_OF_ALL / nodes);
     const state = new KeyValueStoreClient(settings.state, admissions, onOdd('state service'));
--- a/test/backfill.test.ts
+++ b/test/backfill.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { DEFAULT_POLICY } from '../src/adapters/configuration/settings.js';
+import { DEFAULT_POLICY } from '../src/adapters/configuration/policy.js';
 import { createMachine } from '../src/core/fleet/machine-health.js';
 import { addPlacement, releasePlacement } from '../src/core/lifecycle/attempts.js';
 import { createJob, takePendingTask } from '../src/core/lifecycle/job-tasks.js';
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -1,7 +1,8 @@
 /** The state service's limits: known to fall, and fallen below what any setting said. */
 import pino from 'pino';
 import { afterEach, describe, expect, it } from 'vitest';
-import { parseSettings, SettingsError } from '../src/adapters/configuration/settings.js';
+import { SettingsError } from '../src/adapters/configuration/configuration-file.js';
+import { parseSettings } from '../src/adapters/configuration/settings.js';
 import { KeyValueStoreClient } from '../src/adapters/key-value-store/key-value-store-client.js';
 import { Jitter } from '../src/adapters/runtime/random.js';
 import { applyCommands } from '../src/core/apply-commands.js';
--- a/test/model/build.ts
+++ b/test/model/build.ts
@@ -1,5 +1,5 @@
 /** Small builders of core records for the tests. */
-import { DEFAULT_POLICY } from '../../src/adapters/configuration/settings.js';
+import { DEFAULT_POLICY } from '../../src/adapters/configuration/policy.js';
 import { type CoreConfig, type CoreState, createCore } from '../../src/core/core-state.js';
 import type { Heartbeat, TaskStatus } from '../../src/core/model/heartbeat.js';
 import type {
--- a/test/pinned-commands.test.ts
+++ b/test/pinned-commands.test.ts
@@ -6,11 +6,8 @@
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { readSettings } from '../packages/drain/src/adapters/settings-file.js';
 import { DrainFleet, inZone } from '../packages/drain/test/drain-fleet.js';
-import {
-  DEFAULT_POLICY,
-  parsePolicy,
-  parseSettings,
-} from '../src/adapters/configuration/settings.js';
+import { DEFAULT_POLICY, parsePolicy } from '../src/adapters/configuration/policy.js';
+import { parseSettings } from '../src/adapters/configuration/settings.js';
 import { run } from '../src/cli/main.js';
 import { pinsIn } from './fixtures/pins.js';
 import { cleanUp, freePort } from './stand-ins/cluster.js';
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,10 +1,7 @@
 import { describe, expect, it } from 'vitest';
-import {
-  DEFAULT_POLICY,
-  parsePolicy,
-  parseSettings,
-  SettingsError,
-} from '../src/adapters/configuration/settings.js';
+import { SettingsError } from '../src/adapters/configuration/configuration-file.js';
+import { DEFAULT_POLICY, parsePolicy } from '../src/adapters/configuration/policy.js';
+import { parseSettings } from '../src/adapters/configuration/settings.js';
 import { settingsText } from './stand-ins/settings.js';
 
 describe('settings', () => {
--- a/test/stand-ins/cluster.ts
+++ b/test/stand-ins/cluster.ts
@@ -1,7 +1,8 @@
 /** Controllers in this process, against our own stand-ins on loopback. */
 import { type AddressInfo, createServer, type Server } from 'node:net';
 import pino from 'pino';
-import { DEFAULT_POLICY, parseSettings } from '../../src/adapters/configuration/settings.js';
+import { DEFAULT_POLICY } from '../../src/adapters/configuration/policy.js';
+import { parseSettings } from '../../src/adapters/configuration/settings.js';
 import { startApi } from '../../src/adapters/http/api-server.js';
 import type { Log } from '../../src/adapters/logging/log.js';
 import { servePeers } from '../../src/adapters/peers/peer-link.js';
