--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,4 +1,7 @@
-/** A fleet of 4,200 machines: no fixed limit lies below it, and the work of each step is counted, not timed. */
+/**
+ * A fleet of 4,200 machines: no fixed limit lies below it, and the work of each step is counted,
+ * not timed.
+ */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
@@ -20,7 +23,7 @@
 afterEach(cleanUp);
 
 describe('a fleet of 4,200 machines', () => {
-  it('is remembered whole by the report reader: unchanged tasks are checked once', () => {
+  it('is cached whole by the heartbeat parser: unchanged tasks are checked once', () => {
     const reader = new HeartbeatParser();
     const body = (name: string, tick: number) => ({
       Berth: name,
@@ -43,7 +46,7 @@
     expect(reader.remembered).toBe(FLEET);
   });
 
-  it('forgets machines that have gone, so that what is remembered follows the fleet', () => {
+  it('leaves no machine in the cache of the heartbeat parser that no longer sends any', () => {
     const reader = new HeartbeatParser();
     const body = (name: string) => ({
       Berth: name,
@@ -59,7 +62,7 @@
     expect(reader.remembered).toBe(100);
   });
 
-  it('is placed on with work that follows the machines, and reports cost no walk over the fleet', () => {
+  it('is scheduled with work linear in the machines, and heartbeats walk over none of them', () => {
     const teams = new Map([team('blue', 80_000)].map((t) => [t.name, t]));
     const s = new CoreDriver(
       core({
@@ -98,7 +101,7 @@
     expect(counting.visited).toBe(0);
   }, 60_000);
 
-  it("does not run out of attempt numbers: those of revisions stored under the term are the leader's too", () => {
+  it('does not run out of attempt numbers: revisions stored under the token add theirs', () => {
     const s = new CoreDriver();
     s.up('n-1');
     s.state.nextAttemptOffset = ATTEMPTS_PER_REVISION - 1;
@@ -116,7 +119,7 @@
     }
   });
 
-  it('is listed in pages, with pauses that leave most of the rate to rentals and returns', async () => {
+  it('is listed in pages, with pauses that leave most of the rate to provisioning and deletions', async () => {
     let pages = 0;
     const server = createServer((req, res) => {
       const url = new URL(req.url ?? '/', 'http://x');
--- a/test/standing.test.ts
+++ b/test/standing.test.ts
@@ -1,4 +1,4 @@
-/** Standing services, and limits of the state service that fall, against the stand-ins. */
+/** Services, limits of the key-value store that fall, and malformed answers, on stand-ins. */
 import pino from 'pino';
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { parseEndpoint } from '../src/adapters/configuration/settings.js';
@@ -12,8 +12,8 @@
 const service = (id: string, change: object = {}) =>
   body(id, { Shape: 'daemon', Rank: 'critical', Pieces: 2, Loaners: false, GuessS: 0, ...change });
 
-describe('a service against stand-ins', () => {
-  it('runs through ends and takeovers until it is cancelled, and is said to be withdrawn ever after', async () => {
+describe('a service', () => {
+  it('runs through ends of replicas and failovers until it is cancelled, and stays withdrawn', async () => {
     const { nodes, cloud } = await cluster(3, 4);
     // Each replica ends after a moment.
     cloud.taskMs = 150;
@@ -46,7 +46,7 @@
     });
   });
 
-  it('is refused with 422 when all its replicas together need more than its team may use, an array is not', async () => {
+  it('is refused with 422 when its replicas together exceed the limit of its team; an array is not', async () => {
     const { nodes, state } = await cluster(1);
     const { at } = nodes[0]!;
     expect((await post(at, '/api/jobs', service('job-1', { Pieces: 65 })))?.status).toBe(422);
@@ -61,7 +61,7 @@
 });
 
 describe('a service that must be spread over zones', () => {
-  it('is refused with 422 where only one is allowed, since half of it would never run; an array is not', async () => {
+  it('is refused with 422 where it may use one zone only; an array is not', async () => {
     const { nodes } = await cluster(1);
     const { at } = nodes[0]!;
     const spread = { Scatter: true, Pieces: 2 };
@@ -84,8 +84,8 @@
   });
 });
 
-describe('limits of the state service that fall', () => {
-  it('in mid-run, to what the settings said and then below, stop nothing', async () => {
+describe('limits of the key-value store that fall', () => {
+  it('interrupt nothing, neither at the announced values nor below them', async () => {
     const next = { value_kb: 1, txn_ops: 3, write_rps: 200 };
     const { nodes, state, cloud } = await cluster(2, 6, 600, -1, 0.2, { state: { next } });
     state.limits = { valueBytes: 8192, txnOps: 16, writeRps: 1000 };
@@ -114,7 +114,7 @@
     expect(new Set(cloud.starts).size).toBe(cloud.starts.length);
   });
 
-  it('refuse a description that no longer fits with a true reason, and answer 200 for one that was accepted', async () => {
+  it('refuse a job that no longer fits with its true reason, and answer 200 for an accepted one', async () => {
     const { nodes, state } = await cluster(2);
     const { at } = nodes[0]!;
     const large = (id: string) =>
@@ -131,7 +131,7 @@
     expect((await status(at, 'job-2'))?.status).toBe(404);
   });
 
-  it('in rate are met by lower shares of one’s own, until the service has refused nothing for a while', async () => {
+  it('lower the own rate until the store has refused nothing for a while', async () => {
     let now = 1000;
     const hrtime = (): [number, number] => [Math.floor(now / 1000), (now % 1000) * 1e6];
     const clock = vi.spyOn(process, 'hrtime').mockImplementation(hrtime);
@@ -172,7 +172,7 @@
 });
 
 describe('malformed answers', () => {
-  it('of the cloud and the state service change nothing and are logged once each', async () => {
+  it('of the cloud and the key-value store change nothing and are logged once each', async () => {
     const lines: string[] = [];
     const log = pino({ level: 'info' }, { write: (line: string) => lines.push(line) });
     const { nodes, cloud, state } = await cluster(1, 3, 600, -1, 0.2, { log });
--- a/test/start-up.test.ts
+++ b/test/start-up.test.ts
@@ -1,4 +1,7 @@
-/** What the program loads until it serves: on a few hundredths of a core each module delays every start by milliseconds. */
+/**
+ * What the program loads until it serves: on a few hundredths of a core, every module delays each
+ * start by milliseconds.
+ */
 import { execFile, spawn } from 'node:child_process';
 import { writeFile } from 'node:fs/promises';
 import { basename, join } from 'node:path';
@@ -16,7 +19,7 @@
 
 beforeAll(async () => {
   ({ directory, remove } = await buildProgram());
-  // Writes what has been loaded when it is told to: Node's own modules, and files.
+  // On SIGUSR2 writes what has been loaded: Node's own modules, and files.
   const loaded =
     'JSON.stringify({ builtIns: process.moduleLoadList, files: Object.keys(require.cache) })';
   const spy = `process.on('SIGUSR2', () => process.stdout.write(${loaded} + '\\n'));`;
@@ -30,7 +33,7 @@
     .filter((name) => name.startsWith('NativeModule '))
     .map((name) => name.slice('NativeModule '.length));
 
-/** One controller as a process of its own, beside a state service and a cloud. */
+/** One controller as a process of its own, beside a key-value store and a cloud. */
 const startProcess = async (...more: string[]) => {
   const state = new StateService();
   const cloud = new Cloud(2);
@@ -56,15 +59,15 @@
   ];
   const child = spawn(process.execPath, args, { stdio: ['ignore', 'pipe', 'ignore'] });
   cleanups.push(() => child.kill('SIGKILL'));
-  let told = '';
+  let output = '';
   child.stdout.on('data', (bytes: Buffer) => {
-    told += bytes.toString();
+    output += bytes.toString();
   });
   const ask = async () => {
-    told = '';
+    output = '';
     child.kill('SIGUSR2');
-    await until(() => told.endsWith('\n'));
-    return JSON.parse(told) as { builtIns: string[]; files: string[] };
+    await until(() => output.endsWith('\n'));
+    return JSON.parse(output) as { builtIns: string[]; files: string[] };
   };
   const loaded = async (): Promise<string[]> => builtIns((await ask()).builtIns);
   const files = async (): Promise<string[]> =>
@@ -72,10 +75,10 @@
   return { api, state, loaded, files };
 };
 
-describe('the program', () => {
-  it('loads no part of Node that it does not need, neither until it serves nor to answer users and workers', async () => {
-    const plain = await run(process.execPath, ['-p', 'JSON.stringify(process.moduleLoadList)']);
-    const known = new Set(builtIns(JSON.parse(plain.stdout) as string[]));
+describe('start-up', () => {
+  it('loads no Node module that serving, users and workers do not need', async () => {
+    const bareNode = await run(process.execPath, ['-p', 'JSON.stringify(process.moduleLoadList)']);
+    const known = new Set(builtIns(JSON.parse(bareNode.stdout) as string[]));
     const { api, loaded } = await startProcess();
     await until(async () => (await post(api, '/up', undefined, 'GET'))?.status === 200);
     const first = (await loaded()).filter((name) => !known.has(name));
@@ -104,7 +107,7 @@
     expect((await loaded()).filter(isNeedless)).toEqual([]);
   });
 
-  it('loads no package that no file enables, and writes no record of one', async () => {
+  it('loads no package that no file enables, and stores no record of one', async () => {
     const off = await startProcess();
     await until(async () => (await post(off.api, '/up', undefined, 'GET'))?.status === 200);
     expect(await off.files()).toEqual(['main.cjs', 'spy.cjs']);
