--- a/src/adapters/configuration/settings.ts
+++ b/src/adapters/configuration/settings.ts
@@ -81,6 +81,30 @@
   readonly port: number;
 }
 
+/** What the platform promises of workers, in seconds. */
+export interface WorkerTimes {
+  /** Between two heartbeats of a worker. */
+  readonly heartbeatIntervalS: number;
+  /** How long a worker holds its tasks after the last answer to it. */
+  readonly leaseS: number;
+  /** After a job is cancelled, when all its tasks must be gone. */
+  readonly cancelS: number;
+}
+
+/** What the key-value store allows. */
+export interface KeyValueStoreLimits {
+  /** Requests per second. */
+  readonly rps: number;
+  /** Changes per second. */
+  readonly writeRps: number;
+  /** Rates that it will have from some moment on; never above the present ones. */
+  readonly nextRps: number;
+  readonly nextWriteRps: number;
+  /** Sizes: the smaller of what holds now and what will. */
+  readonly maxValueBytes: number;
+  readonly maxTransactionOperations: number;
+}
+
 /** The platform's settings for one controller. */
 export interface Settings {
   readonly node: NodeId;
@@ -91,22 +115,10 @@
   readonly peerAddress: Endpoint;
   readonly peers: readonly { readonly node: NodeId; readonly at: Endpoint }[];
   readonly cloud: Endpoint;
-  /** The key-value store. */
-  readonly state: Endpoint;
+  readonly keyValueStore: Endpoint;
   readonly teams: ReadonlyMap<TeamName, Team>;
-  /** Seconds: between heartbeats, of a worker's lease, until a cancelled job's tasks are gone. */
-  readonly workers: { readonly reportS: number; readonly leaseS: number; readonly cancelS: number };
-  /** What the key-value store allows; rates are per second. */
-  readonly stateLimits: {
-    readonly rps: number;
-    readonly writeRps: number;
-    /** Rates that it will have from some moment on; never above the present ones. */
-    readonly nextRps: number;
-    readonly nextWriteRps: number;
-    /** Sizes: the smaller of what holds now and what will. */
-    readonly valueBytes: number;
-    readonly txnOps: number;
-  };
+  readonly workers: WorkerTimes;
+  readonly keyValueStoreLimits: KeyValueStoreLimits;
   /** Requests per second that the cloud allows, and by how much its machine list lags. */
   readonly cloudLimits: { readonly rps: number; readonly listLagS: number };
   /** What this process may use. */
@@ -152,7 +164,7 @@
   );
 
 /** Limits may be announced to fall: sizes obey the lower ones from the start, rates when told. */
-const storeLimitsOf = ({ state }: Params): Settings['stateLimits'] => {
+const storeLimitsOf = ({ state }: Params): Settings['keyValueStoreLimits'] => {
   const { next } = state;
   const valueKb = Math.min(state.value_kb, next.value_kb ?? state.value_kb);
   return {
@@ -160,8 +172,8 @@
     writeRps: state.write_rps,
     nextRps: Math.min(state.rps, next.rps ?? state.rps),
     nextWriteRps: Math.min(state.write_rps, next.write_rps ?? state.write_rps),
-    valueBytes: Math.floor(valueKb * BYTES_PER_KB),
-    txnOps: Math.min(state.txn_ops, next.txn_ops ?? state.txn_ops),
+    maxValueBytes: Math.floor(valueKb * BYTES_PER_KB),
+    maxTransactionOperations: Math.min(state.txn_ops, next.txn_ops ?? state.txn_ops),
   };
 };
 
@@ -187,14 +199,14 @@
       at: parseEndpoint(seed.endpoint),
     })),
     cloud: parseEndpoint(file.outside.cloud),
-    state: parseEndpoint(file.outside.state),
+    keyValueStore: parseEndpoint(file.outside.state),
     teams: teamsOf(params),
     workers: {
-      reportS: params.workers.report_s,
+      heartbeatIntervalS: params.workers.report_s,
       leaseS: params.workers.lease_s,
       cancelS: params.workers.cancel_s,
     },
-    stateLimits: storeLimitsOf(params),
+    keyValueStoreLimits: storeLimitsOf(params),
     cloudLimits: { rps: params.cloud.rps, listLagS: params.cloud.list_lag_s },
     quota: quotaOf(params),
   };
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -55,7 +55,7 @@
     jitter: Jitter,
     readonly extensions: readonly ExtensionModule[] = [],
   ) {
-    const { rps, writeRps, nextRps, nextWriteRps } = settings.stateLimits;
+    const { rps, writeRps, nextRps, nextWriteRps } = settings.keyValueStoreLimits;
     const nodes = settings.peers.length + 1;
     const share = (reads: number, writes: number) => ({
       rps: rps * reads,
@@ -67,9 +67,17 @@
       if (odd.isFirst(`${of} ${asked}`)) log.info({ of, asked }, 'answer of an unknown form');
     };
     const admissions = share(READS_OF_ALL / nodes, ADMISSIONS_OF_ALL / nodes);
-    const state = new KeyValueStoreClient(settings.state, admissions, onOdd('state service'));
+    const state = new KeyValueStoreClient(
+      settings.keyValueStore,
+      admissions,
+      onOdd('state service'),
+    );
     const batches = share(BATCH_READS, BATCH_WRITES);
-    const batchState = new KeyValueStoreClient(settings.state, batches, onOdd('state service'));
+    const batchState = new KeyValueStoreClient(
+      settings.keyValueStore,
+      batches,
+      onOdd('state service'),
+    );
     const orderSockets = Math.max(10, Math.floor(settings.quota.maxConnections * ORDER_SOCKETS));
     this.dependencies = {
       settings,
@@ -164,7 +172,8 @@
       if (fresh) use(fresh);
       // Larger than a value may be, it is left out: the cloud tells it too.
       const small =
-        Buffer.byteLength(JSON.stringify(fresh)) <= dependencies.settings.stateLimits.valueBytes;
+        Buffer.byteLength(JSON.stringify(fresh)) <=
+        dependencies.settings.keyValueStoreLimits.maxValueBytes;
       if (fresh && small && (await stored) === 'absent') {
         await dependencies.store.compareAndSwap(
           [{ key: MACHINE_TYPES_KEY, revision: 0 as Revision }],
--- a/src/service/leader-term.ts
+++ b/src/service/leader-term.ts
@@ -97,20 +97,20 @@
     private readonly election: LeaderElection,
     private readonly events: LeaderTermEvents,
   ) {
-    const { workers, cloudLimits, stateLimits, teams, quota } = dependencies.settings;
+    const { workers, cloudLimits, keyValueStoreLimits, teams, quota } = dependencies.settings;
     this.keepAliveMs = graceAfterLeaseLoss(seconds(workers.cancelS), seconds(workers.leaseS));
     const core = createCore({
       fencingToken,
       acquiredAt,
       teams,
       policy: dependencies.policy,
-      heartbeatIntervalMs: seconds(workers.reportS),
+      heartbeatIntervalMs: seconds(workers.heartbeatIntervalS),
       workerLeaseMs: seconds(workers.leaseS),
       graceAfterLeaseLossMs: this.keepAliveMs,
       listLagMs: seconds(cloudLimits.listLagS),
-      maxTransactionOperations: stateLimits.txnOps,
-      storeWritesPerSecond: stateLimits.nextWriteRps,
-      maxValueBytes: stateLimits.valueBytes,
+      maxTransactionOperations: keyValueStoreLimits.maxTransactionOperations,
+      storeWritesPerSecond: keyValueStoreLimits.nextWriteRps,
+      maxValueBytes: keyValueStoreLimits.maxValueBytes,
       maxAttemptsPerMachine: MAX_PER_MACHINE,
       timeOfDayOffsetMs: Date.now() - steadyNow(),
     });
@@ -132,7 +132,7 @@
       fencingToken,
       dependencies.log,
       dependencies.jitter,
-      stateLimits.txnOps,
+      keyValueStoreLimits.maxTransactionOperations,
     );
   }
 
@@ -290,7 +290,7 @@
   private adjustWriteShare(): void {
     const now = steadyNow();
     this.arrivals = this.arrivals.filter((at) => now - at < ARRIVALS_MS);
-    const { writeRps } = this.dependencies.settings.stateLimits;
+    const { writeRps } = this.dependencies.settings.keyValueStoreLimits;
     const admissions = (this.arrivals.length * 1000) / ARRIVALS_MS / writeRps;
     const share = Math.min(
       MOST_BATCH_WRITES,
@@ -461,7 +461,7 @@
   heartbeatCoverage(): { recent: number; known: number } | null {
     const { core } = this.commandLoop;
     const now = steadyNow();
-    const span = this.dependencies.settings.workers.reportS * 2500;
+    const span = this.dependencies.settings.workers.heartbeatIntervalS * 2500;
     if (now - core.config.acquiredAt < 2 * span) return null;
     let recent = 0;
     let known = 0;
--- a/src/service/peer-monitor.ts
+++ b/src/service/peer-monitor.ts
@@ -111,7 +111,7 @@
 
   health(): Health {
     const now = steadyNow();
-    const span = this.dependencies.settings.workers.reportS * 2500;
+    const span = this.dependencies.settings.workers.heartbeatIntervalS * 2500;
     for (const [id, at] of this.redirectedWorkers)
       if (now - at > span) this.redirectedWorkers.delete(id);
     return {
--- a/src/service/user-requests.ts
+++ b/src/service/user-requests.ts
@@ -137,7 +137,7 @@
     const record: JobRecord = { acceptedAt: Date.now(), spec: parsed };
     if (
       Buffer.byteLength(JSON.stringify(encodeJob(record))) >
-      this.dependencies.settings.stateLimits.valueBytes
+      this.dependencies.settings.keyValueStoreLimits.maxValueBytes
     ) {
       return this.refuse(id, TOO_LARGE);
     }
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -38,14 +38,14 @@
 
   it('bound sizes by the smaller of what holds now and what will, and keep both rates', () => {
     const now = { rps: 150, write_rps: 40, value_kb: 8, txn_ops: 32 };
-    const limits = (next?: object) => parseSettings(params({ ...now, next })).stateLimits;
+    const limits = (next?: object) => parseSettings(params({ ...now, next })).keyValueStoreLimits;
     expect(limits({ value_kb: 2, txn_ops: 10, write_rps: 28 })).toEqual({
       rps: 150,
       nextRps: 150,
       writeRps: 40,
       nextWriteRps: 28,
-      valueBytes: 2048,
-      txnOps: 10,
+      maxValueBytes: 2048,
+      maxTransactionOperations: 10,
     });
     expect(limits({ value_kb: 99, txn_ops: 99, write_rps: 99, rps: 999 })).toEqual(limits());
     expect(limits({ rps: 50 }).nextRps).toBe(50);
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -9,7 +9,7 @@
   it('reads what the platform hands over and ignores unknown fields', () => {
     const settings = parseSettings(settingsText({ future: { a: 1 } }));
     expect(settings.peers.map((peer) => peer.node)).toEqual(['node-1', 'node-2']);
-    expect(settings.stateLimits.valueBytes).toBe(8192);
+    expect(settings.keyValueStoreLimits.maxValueBytes).toBe(8192);
     expect(settings.teams.get('blue' as never)?.cpusMax).toBe(64);
   });
 
