--- a/src/service/leader-term.ts
+++ b/src/service/leader-term.ts
@@ -120,13 +120,12 @@
         dependencies.extensions.map((module) => module.create()),
       );
     }
-    this.commandLoop = new CommandLoop(
+    this.commandLoop = new CommandLoop({
       core,
-      () => this.authority(),
-      (effect) => this.runEffect(effect),
-      steadyNow,
-      quota.cores,
-    );
+      authority: () => this.authority(),
+      runEffect: (effect) => this.runEffect(effect),
+      cores: quota.cores,
+    });
     this.persister = new BatchWriter(
       dependencies.batchStore,
       fencingToken,
--- a/src/service/pending-replies.ts
+++ b/src/service/pending-replies.ts
@@ -1,10 +1,11 @@
-/** Callers that wait for the core to answer, each under a ticket and for a bounded time. */
+/** Callers that wait for the core to reply, each under a ticket and for a bounded time. */
 import type { ReplyTicket } from '../core/model/ids.js';
 
-/** Numbers tickets; one counter serves all kinds, so that a ticket names one caller. */
+/** Numbers reply tickets. One counter serves every kind of caller, so a ticket names one caller. */
 export class TicketCounter {
   private next = 1;
 
+  /** The next unused ticket. */
   take(): ReplyTicket {
     const ticket = this.next as ReplyTicket;
     this.next += 1;
@@ -12,38 +13,39 @@
   }
 }
 
+/** The callers that wait for one kind of reply. Every caller is answered: no promise stays open. */
 export class PendingReplies<T> {
-  private readonly waiting = new Map<ReplyTicket, (answer: T) => void>();
+  private readonly waiting = new Map<ReplyTicket, (reply: T) => void>();
 
   constructor(
     private readonly tickets: TicketCounter,
     private readonly timeoutMs: number,
-    /** The answer to callers that nobody answers in time. */
-    private readonly late: T,
+    /** The reply to callers whom nobody has answered after `timeoutMs`, or at `close`. */
+    private readonly timeoutReply: T,
   ) {}
 
-  /** Waits for the answer to what is sent with the ticket. */
+  /** Passes a new ticket to `send` and waits for the reply that is settled under it. */
   request(send: (ticket: ReplyTicket) => void): Promise<T> {
     const ticket = this.tickets.take();
     return new Promise((resolve) => {
-      const timer = setTimeout(() => this.settle(ticket, this.late), this.timeoutMs);
-      this.waiting.set(ticket, (answer) => {
+      const timer = setTimeout(() => this.settle(ticket, this.timeoutReply), this.timeoutMs);
+      this.waiting.set(ticket, (reply) => {
         clearTimeout(timer);
-        resolve(answer);
+        resolve(reply);
       });
       send(ticket);
     });
   }
 
-  /** Answers a caller, if it still waits. */
-  settle(ticket: ReplyTicket, answer: T): void {
+  /** Replies to the caller under this ticket, unless it has been answered before. */
+  settle(ticket: ReplyTicket, reply: T): void {
     const resolve = this.waiting.get(ticket);
     this.waiting.delete(ticket);
-    resolve?.(answer);
+    resolve?.(reply);
   }
 
-  /** Nobody will answer any more. */
+  /** Answers all that still wait with the time-out's reply: the core will not answer any more. */
   close(): void {
-    for (const ticket of [...this.waiting.keys()]) this.settle(ticket, this.late);
+    for (const ticket of [...this.waiting.keys()]) this.settle(ticket, this.timeoutReply);
   }
 }
--- a/test/api-limits.test.ts
+++ b/test/api-limits.test.ts
@@ -71,19 +71,19 @@
     cleanups.push(() => vi.useRealTimers());
     let clock = 0;
     let settled = 0;
-    const owner = new CommandLoop(
-      core(),
-      () => 'lead',
-      (effect) => {
+    const loop = new CommandLoop({
+      core: core(),
+      authority: () => 'lead',
+      runEffect: (effect) => {
         if (effect.kind === 'cancellation-settled') settled += 1;
       },
-      () => clock as Instant,
-    );
-    owner.start([]);
+      clock: () => clock as Instant,
+    });
+    loop.start([]);
     vi.advanceTimersByTime(1);
     // No timer fires while the turn lasts.
     for (let i = 0; i < 500; i += 1) {
-      owner.submit({ kind: 'cancel-job', job: 'job-1' as JobId, ticket: 1 as ReplyTicket });
+      loop.submit({ kind: 'cancel-job', job: 'job-1' as JobId, ticket: 1 as ReplyTicket });
       clock += 8;
     }
     expect(settled).toBeGreaterThan(400);
@@ -97,22 +97,22 @@
     const steps: number[] = [];
     const state = core();
     let cost = 0;
-    const owner = new CommandLoop(
-      state,
-      () => {
+    const loop = new CommandLoop({
+      core: state,
+      authority: () => {
         // Stands for a costly decision: the clock moves on while it is made.
         vi.setSystemTime(Date.now() + cost);
         clock += cost;
         return 'lead';
       },
-      (effect) => {
+      runEffect: (effect) => {
         if (effect.kind === 'cancellation-settled') steps[steps.length - 1]! += 1;
       },
-      () => clock as Instant,
-    );
+      clock: () => clock as Instant,
+    });
     let clock = 0;
     const abort = () =>
-      owner.submit({ kind: 'cancel-job', job: 'job-1' as JobId, ticket: 1 as ReplyTicket });
+      loop.submit({ kind: 'cancel-job', job: 'job-1' as JobId, ticket: 1 as ReplyTicket });
     const load = (every: number, count: number) => {
       steps.length = 0;
       for (let i = 0; i < count; i += 1) {
@@ -125,7 +125,7 @@
       }
       return Math.max(...steps);
     };
-    owner.start([]);
+    loop.start([]);
     vi.advanceTimersByTime(1);
     const light = load(2, 40);
     cost = 40;
