--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -93,17 +93,17 @@
       machineTypes: null,
       spawn: (name, work) => this.spawn(name, work),
     };
-    this.election = new LeaderElection(
-      settings.node,
-      state,
-      policy.leaderLeaseMs,
-      {
+    this.election = new LeaderElection({
+      node: settings.node,
+      store: state,
+      leaseMs: policy.leaderLeaseMs,
+      events: {
         onElected: (fencingToken, at) => this.startLeading(fencingToken, at),
         onDeposed: () => this.stopLeading(),
       },
       log,
       jitter,
-    );
+    });
     const leading = () => this.leaderTerm;
     this.peerMonitor = new PeerMonitor(this.dependencies, this.election, leading);
     this.users = new UserRequests(this.dependencies, this.election, this.peerMonitor, leading);
--- a/src/service/leader-election.ts
+++ b/src/service/leader-election.ts
@@ -1,4 +1,18 @@
-/** Who leads: the holder of the leader key, which hangs on a lease of the state service. */
+/**
+ * Leader election over the key-value store. The leader is the node that wrote the leader key, which
+ * hangs on a lease: when the lease ends, the store deletes the key and another node may claim it.
+ *
+ * Why two nodes never lead at once:
+ * - The key is claimed by compare-and-swap, and only while absent or left by an earlier run of this
+ *   node. The revision of the successful write is the fencing token: each one is higher than all
+ *   before it, and the store and the workers turn away what carries an older one.
+ * - A lease counts from before its grant or renewal was sent, less the drift of the clocks. The store
+ *   counts from when it carried the request out, which is later: this node stops acting first.
+ * - A claim without an answer may have been carried out. The key is read back and counts as ours only
+ *   with our incarnation and our lease; an earlier run or an earlier claim matches neither.
+ * - When the outcome stays unknown, the lease is revoked: the store deletes the key if it was written,
+ *   and turns a write away that arrives later.
+ */
 
 import type {
   KeyValueStoreClient,
@@ -12,194 +26,286 @@
 import type { Instant } from '../core/model/time.js';
 import { decodeLeader, LEADER_KEY } from './stored-records.js';
 
-const FOLLOW_MS = 10_000;
-const DRIFT = 0.001;
-const SLACK_MS = 50;
+/** How long one watch of the leader key is held open, in milliseconds. */
+const WATCH_HOLD_MS = 10_000;
 
+/** How this node counts its lease. */
+const LEASE = {
+  /** Clocks of this node and the store may drift apart by this share of the lease. */
+  clockDrift: 0.001,
+  /** Further margin, in milliseconds. */
+  marginMs: 50,
+  /** Renewals sent in the time of one lease. */
+  renewalsPerLease: 4,
+} as const;
+
+/** Pauses before a request is repeated, in milliseconds; each is drawn around its value. */
+const RETRY_MS = {
+  read: 250,
+  campaignPaused: 200,
+  grant: 200,
+  claimLost: 50,
+  claimReadBack: 200,
+  renewal: 150,
+} as const;
+
+const MAX_CLAIM_READ_BACKS = 5;
+
+/** The revision that a key must have when it is to be written only while absent. */
+const ABSENT = 0 as Revision;
+
+/** Told of changes of this node's role, synchronously: nothing of the service runs in between. */
 export interface LeaderElectionEvents {
+  /** This node leads, under this fencing token. */
   onElected(fencingToken: FencingToken, at: Instant): void;
+  /** This node does not lead any more. */
   onDeposed(): void;
 }
 
+/** What an election needs. */
+export interface LeaderElectionOptions {
+  readonly node: NodeId;
+  readonly store: KeyValueStoreClient;
+  /** Length of the leader's lease, in milliseconds. */
+  readonly leaseMs: number;
+  readonly events: LeaderElectionEvents;
+  readonly log: Log;
+  readonly jitter: Jitter;
+}
+
 /** A lease under renewal. */
 interface HeldLease {
-  readonly lease: LeaseId;
-  /** Until when it is surely alive. */
-  until: Instant;
-  over: boolean;
+  readonly id: LeaseId;
+  /** Until when the store surely keeps it, on this node's clock. */
+  validUntil: Instant;
+  /** It has expired or been given up: renewals stop. */
+  hasEnded: boolean;
 }
 
+/** How a renewal ended: `ended` when the lease is gone or given up; `failed` may be repeated. */
+type RenewalOutcome = 'renewed' | 'ended' | 'failed';
+
+/** Campaigns for the leader key, keeps its lease, and knows who leads. */
 export class LeaderElection {
-  /** Names this run of the process: what an earlier run of the node claimed is not ours. Read together with a lease's id. */
+  /**
+   * Names this run of the process, so that what an earlier run of the node has claimed is not taken
+   * for ours. It is compared together with the lease's id.
+   */
   readonly incarnation: string;
+  /** The token under which this node leads, or null. */
   fencingToken: FencingToken | null = null;
-  private heldLease: HeldLease | null = null;
+  /** The leader as last known, or null. */
   leaderNode: NodeId | null = null;
-  /** The term of the leader last heard of. */
+  /** The highest fencing token of any leader that this node has heard of. */
   highestKnownToken = 0 as FencingToken;
+  private readonly node: NodeId;
+  private readonly store: KeyValueStoreClient;
+  private readonly leaseMs: number;
+  private readonly events: LeaderElectionEvents;
+  private readonly log: Log;
+  private readonly jitter: Jitter;
+  private heldLease: HeldLease | null = null;
+  /** Until then this node leaves the leader key to others. */
   private campaignNotBefore = 0;
-  private stopped = false;
-
-  constructor(
-    private readonly node: NodeId,
-    private readonly state: KeyValueStoreClient,
-    private readonly leaseMs: number,
-    private readonly events: LeaderElectionEvents,
-    private readonly log: Log,
-    private readonly jitter: Jitter,
-  ) {
+  private isStopped = false;
+
+  constructor({ node, store, leaseMs, events, log, jitter }: LeaderElectionOptions) {
+    this.node = node;
+    this.store = store;
+    this.leaseMs = leaseMs;
+    this.events = events;
+    this.log = log;
+    this.jitter = jitter;
     this.incarnation = `${Date.now()}-${process.hrtime.bigint()}`;
   }
 
+  /** Ends campaigns and renewals; the lease is left to expire, as if the process had ended. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
   }
 
-  /** Until when this leader's lease is surely alive. */
+  /** Until when this leader's lease is surely alive; 0 for a node that does not lead. */
   get leaseValidUntil(): Instant {
-    return this.heldLease?.until ?? (0 as Instant);
+    return this.heldLease?.validUntil ?? (0 as Instant);
   }
 
+  /** Follows the leader, and campaigns whenever there is none, until `stop`. */
   async run(): Promise<void> {
-    while (!this.stopped) {
-      const item = await this.state.get(LEADER_KEY);
-      if (item === 'absent') {
-        this.leaderNode = null;
-        if (steadyNow() < this.campaignNotBefore) await sleep(this.jitter.around(200));
-        else await this.campaign(0 as Revision);
-      } else if (typeof item === 'object') {
-        const leader = decodeLeader(item.value);
-        if (leader?.node === this.node) {
-          // Left behind by an earlier life of this node, which is over; guarded by its version.
-          await this.campaign(item.revision);
-        } else {
-          this.leaderNode = (leader?.node ?? null) as NodeId | null;
-          this.highestKnownToken = item.revision as number as FencingToken;
-          // What the watch tells need not be asked for again: each round trip saved shortens the time without a leader.
-          if (!(await this.awaitLeaderKeyDeletion(item.revision))) continue;
-          this.leaderNode = null;
-          if (steadyNow() >= this.campaignNotBefore) await this.campaign(0 as Revision);
-        }
-      } else await sleep(this.jitter.around(250));
+    while (!this.isStopped) {
+      const item = await this.store.get(LEADER_KEY);
+      if (item === 'absent') await this.handleNoLeader();
+      else if (typeof item === 'object') await this.handleLeaderRecord(item.value, item.revision);
+      else await sleep(this.jitter.around(RETRY_MS.read));
     }
   }
 
-  /** True when the leader key has gone, and nothing has come in its place as far as the watch tells. */
+  private async handleNoLeader(): Promise<void> {
+    this.leaderNode = null;
+    if (this.mayCampaign()) await this.campaign(ABSENT);
+    else await sleep(this.jitter.around(RETRY_MS.campaignPaused));
+  }
+
+  private async handleLeaderRecord(value: unknown, revision: Revision): Promise<void> {
+    const leader = decodeLeader(value);
+    if (leader?.node === this.node) {
+      // Left by an earlier run of this node, which is over. The revision guards against a newer claim.
+      await this.campaign(revision);
+      return;
+    }
+    this.leaderNode = (leader?.node ?? null) as NodeId | null;
+    this.highestKnownToken = revision as number as FencingToken;
+    if (!(await this.awaitLeaderKeyDeletion(revision))) return;
+    // The watch has told of the deletion: reading the key again would lengthen the time without a
+    // leader by a round trip.
+    this.leaderNode = null;
+    if (this.mayCampaign()) await this.campaign(ABSENT);
+  }
+
+  private mayCampaign(): boolean {
+    return steadyNow() >= this.campaignNotBefore;
+  }
+
+  /** True when the key has been deleted and, as far as the watch tells, not been written since. */
   private async awaitLeaderKeyDeletion(since: Revision): Promise<boolean> {
-    const result = await this.state.watch(LEADER_KEY, since, FOLLOW_MS);
+    const result = await this.store.watch(LEADER_KEY, since, WATCH_HOLD_MS);
     if (typeof result === 'object') {
-      const last = result.changes.filter((c) => c.key === LEADER_KEY).at(-1);
+      const last = result.changes.filter((change) => change.key === LEADER_KEY).at(-1);
       return last !== undefined && 'deleted' in last;
     }
-    if (result !== 'too-old') await sleep(this.jitter.around(250));
+    if (result !== 'too-old') await sleep(this.jitter.around(RETRY_MS.read));
     return false;
   }
 
-  /** Step down: a worker has seen a higher term, or a write was refused. */
+  /** Gives leadership up at once: a worker knows a higher token, or a fenced write was refused. */
   stepDown(): void {
     if (this.fencingToken === null) return;
     this.fencingToken = null;
-    if (this.heldLease) this.heldLease.over = true;
+    if (this.heldLease) this.heldLease.hasEnded = true;
     this.heldLease = null;
     this.leaderNode = null;
     this.events.onDeposed();
   }
 
-  /** What a peer says of the leader, for a node that cannot see the state service itself. */
+  /** Takes a peer's word on who leads, where this node cannot read the key-value store itself. */
   learnLeaderFromPeer(node: NodeId, fencingToken: FencingToken): void {
-    if (
-      fencingToken <= this.highestKnownToken ||
-      (this.fencingToken !== null && fencingToken <= this.fencingToken)
-    )
-      return;
+    if (fencingToken <= this.highestKnownToken) return;
+    if (this.fencingToken !== null && fencingToken <= this.fencingToken) return;
     this.stepDown();
     this.highestKnownToken = fencingToken;
     this.leaderNode = node;
   }
 
-  /** Gives leadership up for a peer that the workers can reach, and leaves it the time to take over. */
+  /** Steps down for a peer that the workers reach, and leaves it `pauseMs` to be elected. */
   resign(pauseMs: number): void {
     this.campaignNotBefore = steadyNow() + pauseMs;
     this.stepDown();
   }
 
-  private async campaign(guard: Revision): Promise<void> {
+  /** Claims the leader key if it stands at `expected`, and leads until the lease has ended. */
+  private async campaign(expected: Revision): Promise<void> {
     const sentAt = steadyNow();
-    const lease = await this.state.grant(this.leaseMs);
-    if (typeof lease === 'string') {
-      await sleep(this.jitter.around(200));
+    const id = await this.store.grant(this.leaseMs);
+    if (typeof id === 'string') {
+      await sleep(this.jitter.around(RETRY_MS.grant));
       return;
     }
-    // Renewed from the start: where the key is slow to be written, the lease must not run out meanwhile.
-    const holding: HeldLease = { lease, until: this.leaseValidityFrom(sentAt), over: false };
-    const renewing = this.keepRenewing(holding);
-    const value = { node: this.node, life: this.incarnation, lease };
-    const writes: Mutation[] = [{ put: LEADER_KEY, value, lease }];
-    const result = await this.state.compareAndSwap([{ key: LEADER_KEY, revision: guard }], writes);
-    let term: FencingToken | null = null;
-    if (typeof result === 'object') term = result.revision as number as FencingToken;
-    else if (result === 'unknown') term = await this.readBack(lease);
-    if (term === null || holding.over) {
-      holding.over = true;
-      await this.state.revoke(lease);
-      await sleep(this.jitter.around(50));
+    const lease: HeldLease = { id, validUntil: this.leaseValidityFrom(sentAt), hasEnded: false };
+    // Renewed from the start: the lease must not run out while the key is slow to be written.
+    const renewing = this.keepRenewing(lease);
+    const token = await this.claimLeaderKey(id, expected);
+    if (token === null || lease.hasEnded) {
+      lease.hasEnded = true;
+      await this.store.revoke(id);
+      await sleep(this.jitter.around(RETRY_MS.claimLost));
       return;
     }
-    this.fencingToken = term;
-    this.heldLease = holding;
-    this.leaderNode = this.node;
-    this.highestKnownToken = term;
-    this.log.info({ term }, 'leading');
-    this.events.onElected(term, steadyNow());
+    this.startLeading(token, lease);
     await renewing;
-    if (!this.stopped) await this.state.revoke(lease);
+    if (!this.isStopped) await this.store.revoke(id);
+  }
+
+  /** The new fencing token, or null when the key was not written or the outcome stays unknown. */
+  private async claimLeaderKey(lease: LeaseId, expected: Revision): Promise<FencingToken | null> {
+    const value = { node: this.node, life: this.incarnation, lease };
+    const writes: Mutation[] = [{ put: LEADER_KEY, value, lease }];
+    const preconditions = [{ key: LEADER_KEY, revision: expected }];
+    const result = await this.store.compareAndSwap(preconditions, writes);
+    if (typeof result === 'object') return result.revision as number as FencingToken;
+    return result === 'unknown' ? this.readBackClaim(lease) : null;
   }
 
-  private async readBack(lease: LeaseId): Promise<FencingToken | null> {
-    for (let i = 0; i < 5; i += 1) {
-      const item = await this.state.get(LEADER_KEY);
+  /** Finds out whether an unanswered claim was carried out. */
+  private async readBackClaim(lease: LeaseId): Promise<FencingToken | null> {
+    for (let i = 0; i < MAX_CLAIM_READ_BACKS; i += 1) {
+      const item = await this.store.get(LEADER_KEY);
       if (item === 'absent') return null;
       if (typeof item === 'object') {
-        const value = item.value as { life?: unknown; lease?: unknown } | null;
-        const ours = value?.life === this.incarnation && value?.lease === lease;
-        return ours ? (item.revision as number as FencingToken) : null;
+        const isOurs = this.isOwnClaim(item.value, lease);
+        return isOurs ? (item.revision as number as FencingToken) : null;
       }
-      await sleep(this.jitter.around(200));
+      await sleep(this.jitter.around(RETRY_MS.claimReadBack));
     }
     return null;
   }
 
-  /** A lease counts from before its renewal was sent, less what the clocks may drift apart. */
+  private isOwnClaim(value: unknown, lease: LeaseId): boolean {
+    const claim = value as { life?: unknown; lease?: unknown } | null;
+    return claim?.life === this.incarnation && claim?.lease === lease;
+  }
+
+  private startLeading(fencingToken: FencingToken, lease: HeldLease): void {
+    this.fencingToken = fencingToken;
+    this.heldLease = lease;
+    this.leaderNode = this.node;
+    this.highestKnownToken = fencingToken;
+    this.log.info({ fencingToken }, 'elected');
+    this.events.onElected(fencingToken, steadyNow());
+  }
+
+  /** Until when a lease is surely alive whose grant or renewal was sent at this moment. */
   private leaseValidityFrom(sentAt: Instant): Instant {
-    return (sentAt + this.leaseMs * (1 - DRIFT) - SLACK_MS) as Instant;
+    return (sentAt + this.leaseMs * (1 - LEASE.clockDrift) - LEASE.marginMs) as Instant;
   }
 
   /**
-   * Renewals overlap: one that is slow to be answered holds up none after it, so that a state service which takes
-   * whole seconds for an answer does not cost the leader its lease.
+   * Renews until the lease has ended. Renewals overlap: one that is slow to be answered holds up none
+   * after it, so that a store which takes seconds to answer does not cost the leader its lease.
    */
-  private async keepRenewing(holding: HeldLease): Promise<void> {
-    const every = this.leaseMs / 4;
-    while (!this.stopped && !holding.over) {
+  private async keepRenewing(lease: HeldLease): Promise<void> {
+    const intervalMs = this.leaseMs / LEASE.renewalsPerLease;
+    while (!this.isStopped && !lease.hasEnded) {
       const sentAt = steadyNow();
-      const result = await Promise.race([this.renewOnce(holding), sleep(every).then(() => 'slow')]);
-      if (result === 'ok') await sleep(Math.max(0, every - (steadyNow() - sentAt)));
-      else if (result !== 'slow') await sleep(this.jitter.around(150));
+      const outcome = await Promise.race([
+        this.renewOnce(lease),
+        sleep(intervalMs).then((): 'slow' => 'slow'),
+      ]);
+      switch (outcome) {
+        case 'slow':
+          break;
+        case 'renewed':
+          await sleep(Math.max(0, intervalMs - (steadyNow() - sentAt)));
+          break;
+        case 'ended':
+        case 'failed':
+          await sleep(this.jitter.around(RETRY_MS.renewal));
+          break;
+      }
     }
   }
 
-  private async renewOnce(holding: HeldLease): Promise<string> {
+  private async renewOnce(lease: HeldLease): Promise<RenewalOutcome> {
     const sentAt = steadyNow();
-    const result = await this.state.renew(holding.lease);
-    if (holding.over) return 'over';
+    const result = await this.store.renew(lease.id);
+    if (lease.hasEnded) return 'ended';
     if (result === 'gone') {
-      this.log.info({ term: this.fencingToken }, 'lease ended');
-      holding.over = true;
-      if (this.heldLease === holding) this.stepDown();
-    } else if (result === 'ok') {
-      // The key hangs on the lease: while the lease lives, nobody else has taken it. Answers may come in any order.
-      holding.until = Math.max(holding.until, this.leaseValidityFrom(sentAt)) as Instant;
+      this.log.info({ fencingToken: this.fencingToken }, 'lease expired');
+      lease.hasEnded = true;
+      if (this.heldLease === lease) this.stepDown();
+      return 'ended';
     }
-    return result;
+    if (result !== 'ok') return 'failed';
+    // The key hangs on the lease, so nobody else can have claimed it. Answers may come in any order.
+    lease.validUntil = Math.max(lease.validUntil, this.leaseValidityFrom(sentAt)) as Instant;
+    return 'renewed';
   }
 }
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -1,4 +1,4 @@
-/** The election against a state service of our own that answers late, on a fake clock. */
+/** The election against a key-value store stand-in that answers late, on a fake clock. */
 import pino from 'pino';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type {
@@ -14,32 +14,35 @@
 
 const LEASE_MS = 3000;
 
-/** One leader key, leases, and a delay each way; requests under way when a process ends are still carried out. */
-class SlowState {
+/**
+ * One leader key, leases, and a delay each way. Requests under way when a process ends are still
+ * carried out.
+ */
+class SlowKeyValueStore {
   delayMs = 0;
   revision = 0;
   key: { value: unknown; revision: number; lease: number } | null = null;
-  private readonly ends = new Map<number, number>();
+  private readonly leaseEnds = new Map<number, number>();
   private nextLease = 1;
   private watchers: (() => void)[] = [];
 
-  private async carry<T>(act: () => T): Promise<T> {
+  private async carryOut<T>(request: () => T): Promise<T> {
     await new Promise((resolve) => setTimeout(resolve, this.delayMs));
-    this.sweep();
-    const result = act();
+    this.expireLeases();
+    const result = request();
     await new Promise((resolve) => setTimeout(resolve, this.delayMs));
     return result;
   }
 
-  private sweep(): void {
-    for (const [lease, end] of this.ends) {
+  private expireLeases(): void {
+    for (const [lease, end] of this.leaseEnds) {
       if (steadyNow() <= end) continue;
-      this.ends.delete(lease);
-      if (this.key?.lease === lease) this.change(null);
+      this.leaseEnds.delete(lease);
+      if (this.key?.lease === lease) this.writeLeaderKey(null);
     }
   }
 
-  private change(key: { value: unknown; lease: number } | null): void {
+  private writeLeaderKey(key: { value: unknown; lease: number } | null): void {
     this.revision += 1;
     this.key = key && { ...key, revision: this.revision };
     for (const wake of this.watchers.splice(0)) wake();
@@ -48,45 +51,45 @@
   client(): KeyValueStoreClient {
     return {
       get: () =>
-        this.carry(() =>
+        this.carryOut(() =>
           this.key
             ? { key: 'leader', value: this.key.value, revision: this.key.revision }
             : 'absent',
         ),
       grant: (lifeMs: number) =>
-        this.carry(() => {
+        this.carryOut(() => {
           const lease = this.nextLease++;
-          this.ends.set(lease, steadyNow() + lifeMs);
+          this.leaseEnds.set(lease, steadyNow() + lifeMs);
           return lease;
         }),
       renew: (lease: LeaseId) =>
-        this.carry(() => {
-          if (!this.ends.has(lease)) return 'gone';
-          this.ends.set(lease, steadyNow() + LEASE_MS);
+        this.carryOut(() => {
+          if (!this.leaseEnds.has(lease)) return 'gone';
+          this.leaseEnds.set(lease, steadyNow() + LEASE_MS);
           return 'ok';
         }),
       revoke: (lease: LeaseId) =>
-        this.carry(() => {
-          this.ends.delete(lease);
-          if (this.key?.lease === lease) this.change(null);
+        this.carryOut(() => {
+          this.leaseEnds.delete(lease);
+          if (this.key?.lease === lease) this.writeLeaderKey(null);
         }),
-      compareAndSwap: (guards: Precondition[], writes: Mutation[]) =>
-        this.carry(() => {
+      compareAndSwap: (preconditions: Precondition[], writes: Mutation[]) =>
+        this.carryOut(() => {
           const write = writes[0]!;
-          if (!('put' in write) || guards[0]!.revision !== (this.key?.revision ?? 0))
+          if (!('put' in write) || preconditions[0]!.revision !== (this.key?.revision ?? 0))
             return 'conflict';
-          if (!this.ends.has(write.lease!)) return 'expired';
-          this.change({ value: write.value, lease: write.lease! });
+          if (!this.leaseEnds.has(write.lease!)) return 'expired';
+          this.writeLeaderKey({ value: write.value, lease: write.lease! });
           return { revision: this.revision as Revision };
         }),
       watch: (_: string, since: Revision, holdMs: number) =>
-        this.carry(async () => {
+        this.carryOut(async () => {
           if (this.revision <= since) {
             await Promise.race([
               new Promise<void>((resolve) => this.watchers.push(resolve)),
               new Promise((resolve) => setTimeout(resolve, Math.min(holdMs, 500))),
             ]);
-            this.sweep();
+            this.expireLeases();
           }
           return { revision: this.revision, changes: [] };
         }),
@@ -94,7 +97,7 @@
   }
 }
 
-describe('an election', () => {
+describe('LeaderElection', () => {
   beforeEach(() => {
     vi.useFakeTimers();
   });
@@ -102,73 +105,68 @@
     vi.useRealTimers();
   });
 
-  const start = (state: SlowState, node: string, terms: FencingToken[], seed: number) => {
-    const events = {
-      onElected: (term: FencingToken) => void terms.push(term),
-      onDeposed: () => {},
-    };
-    const log = pino({ level: 'silent' });
-    const election = new LeaderElection(
-      node as NodeId,
-      state.client(),
-      LEASE_MS,
-      events,
-      log,
-      new Jitter(seed),
-    );
+  const start = (store: SlowKeyValueStore, node: string, tokens: FencingToken[], seed: number) => {
+    const election = new LeaderElection({
+      node: node as NodeId,
+      store: store.client(),
+      leaseMs: LEASE_MS,
+      events: {
+        onElected: (token) => void tokens.push(token),
+        onDeposed: () => {},
+      },
+      log: pino({ level: 'silent' }),
+      jitter: new Jitter(seed),
+    });
     void election.run();
     return election;
   };
+  const isLeading = (election: LeaderElection): boolean =>
+    election.fencingToken !== null && election.leaseValidUntil > steadyNow();
 
-  it('keeps its lease alive without a gap while every answer takes two seconds', async () => {
-    const state = new SlowState();
-    state.delayMs = 1000;
-    const terms: FencingToken[] = [];
-    const election = start(state, 'node-0', terms, 1);
+  it('keeps its lease valid without a gap while every answer takes two seconds', async () => {
+    const store = new SlowKeyValueStore();
+    store.delayMs = 1000;
+    const tokens: FencingToken[] = [];
+    const election = start(store, 'node-0', tokens, 1);
     await vi.advanceTimersByTimeAsync(12_000);
-    expect(terms).toHaveLength(1);
+    expect(tokens).toHaveLength(1);
     for (let i = 0; i < 300; i += 1) {
       await vi.advanceTimersByTimeAsync(100);
       expect(election.leaseValidUntil).toBeGreaterThan(steadyNow());
     }
-    expect(terms).toHaveLength(1);
+    expect(tokens).toHaveLength(1);
     election.stop();
   });
 
-  it('gives each leader a new term, and never two at once, while processes are back within a moment', async () => {
-    const state = new SlowState();
-    state.delayMs = 3;
-    const terms: FencingToken[] = [];
-    const running = ['node-0', 'node-1', 'node-2'].map((node, i) =>
-      start(state, node, terms, i + 1),
+  it('gives each leader a new fencing token, and never elects two at once, while nodes restart', async () => {
+    const store = new SlowKeyValueStore();
+    store.delayMs = 3;
+    const tokens: FencingToken[] = [];
+    const elections = ['node-0', 'node-1', 'node-2'].map((node, i) =>
+      start(store, node, tokens, i + 1),
     );
     const draw = new Jitter(77);
     for (let i = 0; i < 200; i += 1) {
       await vi.advanceTimersByTimeAsync(draw.around(300));
-      const valid = running.filter(
-        (e) => e.fencingToken !== null && e.leaseValidUntil > steadyNow(),
-      );
-      expect(valid.length).toBeLessThanOrEqual(1);
-      // One ends, the leader most often, also in mid-election, and is back after anything up to a quarter second.
-      const at =
+      expect(elections.filter(isLeading).length).toBeLessThanOrEqual(1);
+      // One ends, the leader most often, also in mid-election, and is back within 250 ms.
+      const index =
         i % 3 === 0
-          ? i % running.length
+          ? i % elections.length
           : Math.max(
               0,
-              running.findIndex((e) => e.fencingToken !== null),
+              elections.findIndex((election) => election.fencingToken !== null),
             );
-      running[at]!.stop();
-      running[at]!.stepDown();
+      elections[index]!.stop();
+      elections[index]!.stepDown();
       await vi.advanceTimersByTimeAsync(i % 250);
-      running[at] = start(state, `node-${at}`, terms, 100 + i);
+      elections[index] = start(store, `node-${index}`, tokens, 100 + i);
     }
     await vi.advanceTimersByTimeAsync(10_000);
-    expect(
-      running.filter((e) => e.fencingToken !== null && e.leaseValidUntil > steadyNow()),
-    ).toHaveLength(1);
-    expect(new Set(terms).size).toBe(terms.length);
-    expect(terms.length).toBeGreaterThan(50);
-    expect([...terms].sort((a, b) => a - b)).toEqual(terms);
-    for (const e of running) e.stop();
+    expect(elections.filter(isLeading)).toHaveLength(1);
+    expect(new Set(tokens).size).toBe(tokens.length);
+    expect(tokens.length).toBeGreaterThan(50);
+    expect([...tokens].sort((a, b) => a - b)).toEqual(tokens);
+    for (const election of elections) election.stop();
   });
 });
