--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -21,12 +21,13 @@
 import type { Instant } from '../core/model/time.js';
 import type { Dependencies } from './dependencies.js';
 import { LeaderElection } from './leader-election.js';
-import { BATCH_WRITES, LeaderTerm } from './leader-term.js';
+import { LeaderTerm } from './leader-term.js';
 import { readOperatorAnswer } from './operator-answer.js';
 import { PeerMonitor } from './peer-monitor.js';
 import type { HeartbeatDecision, HeartbeatService } from './ports/heartbeat-service.js';
 import { decodeJob, decodeMachineTypes, MACHINE_TYPES_KEY } from './stored-records.js';
 import { UserRequests } from './user-requests.js';
+import { MIN_BATCH_WRITE_SHARE } from './write-share.js';
 
 /**
  * How the state service's limits are shared. Admissions may go beyond what the leader's batches leave: users come
@@ -72,7 +73,7 @@
       admissions,
       onOdd('state service'),
     );
-    const batches = share(BATCH_READS, BATCH_WRITES);
+    const batches = share(BATCH_READS, MIN_BATCH_WRITE_SHARE);
     const batchState = new KeyValueStoreClient(
       settings.keyValueStore,
       batches,
@@ -139,7 +140,11 @@
   }
 
   private startLeading(fencingToken: FencingToken, acquiredAt: Instant): void {
-    this.leaderTerm = new LeaderTerm(this.dependencies, fencingToken, acquiredAt, this.election, {
+    this.leaderTerm = new LeaderTerm({
+      dependencies: this.dependencies,
+      fencingToken,
+      acquiredAt,
+      election: this.election,
       onJobEnded: (id, final) => this.users.rememberCompletion(id, final),
       isIsolated: () => this.peerMonitor.isIsolated(),
     });
--- /dev/null
+++ b/src/service/effect-runner.ts
@@ -0,0 +1,123 @@
+/** Carries the core's effects out: one short handler for each kind. */
+import type { Effect } from '../core/model/effect.js';
+import type { JobId } from '../core/model/ids.js';
+import type { BatchWriter } from './batch-writer.js';
+import type { CommandLoop } from './command-loop.js';
+import type { Dependencies } from './dependencies.js';
+import type { LeaderElection } from './leader-election.js';
+import type { JobCompletion } from './stored-records.js';
+import type { TermContext } from './term-context.js';
+import type { CancellationOutcome, TermReplies } from './term-replies.js';
+
+type EffectOf<K extends Effect['kind']> = Extract<Effect, { kind: K }>;
+
+/** What an effect runner works with. */
+export interface EffectRunnerOptions {
+  readonly dependencies: Pick<Dependencies, 'cloud' | 'log' | 'spawn' | 'workers'>;
+  readonly term: TermContext;
+  readonly election: LeaderElection;
+  readonly batchWriter: BatchWriter;
+  readonly replies: TermReplies;
+  readonly commandLoop: CommandLoop;
+  /** Called once a job's end is stored. */
+  readonly onJobEnded: (id: JobId, completion: JobCompletion) => void;
+}
+
+const cancellationOutcome = ({ outcome }: EffectOf<'cancellation-settled'>): CancellationOutcome =>
+  outcome === null ? { kind: 'unknown-job' } : { kind: 'ended', outcome };
+
+/** Runs effects for as long as the term lasts, and submits their results as commands. */
+export class EffectRunner {
+  constructor(private readonly options: EffectRunnerOptions) {}
+
+  /** Starts an effect without waiting for it. After the term's end nothing is started. */
+  run(effect: Effect): void {
+    const { dependencies, replies, term } = this.options;
+    if (!term.isCurrent) return;
+    switch (effect.kind) {
+      case 'reply-to-heartbeat':
+        return replies.heartbeatReplies.settle(effect.ticket, effect.commands);
+      case 'operator-answer':
+        return replies.operatorReplies.settle(effect.ticket, effect.answer);
+      case 'cancellation-settled':
+        return replies.cancellationReplies.settle(effect.ticket, cancellationOutcome(effect));
+      case 'job-ended':
+        return this.announceJobEnd(effect);
+      case 'store-batch':
+        return dependencies.spawn('store-batch', () => this.storeBatch(effect));
+      case 'provision':
+        return dependencies.spawn('provision', () => this.provision(effect));
+      case 'delete-machines':
+        return dependencies.spawn('delete-machines', () => this.deleteMachines(effect));
+      case 'send-commands':
+        return dependencies.spawn('send-commands', () => this.sendCommands(effect));
+      case 'log':
+        return dependencies.log[effect.level](effect.fields, effect.text);
+      default:
+        effect satisfies never;
+    }
+  }
+
+  /** Asked as a request to the cloud is sent: the right may have ended while it waited. */
+  private readonly mayChangeFleet = (): boolean => {
+    const { term } = this.options;
+    return term.isCurrent && term.authority() === 'lead';
+  };
+
+  private announceJobEnd(effect: EffectOf<'job-ended'>): void {
+    this.options.onJobEnded(effect.job, effect);
+    const { job: jobId, outcome } = effect;
+    this.options.dependencies.log.info({ jobId, outcome }, 'job ended');
+  }
+
+  private async storeBatch({ batch, ops }: EffectOf<'store-batch'>): Promise<void> {
+    const { batchWriter, commandLoop, election, term } = this.options;
+    const refused = await batchWriter.storeBatch(ops);
+    if (!term.isCurrent) return;
+    const revision = batchWriter.lastRevision;
+    // Without the right to write, this node does not lead any more.
+    if (refused) commandLoop.submit({ kind: 'batch-stored', batch, refused, revision });
+    else election.stepDown();
+  }
+
+  private async provision(effect: EffectOf<'provision'>): Promise<void> {
+    const { commandLoop, dependencies } = this.options;
+    const { request, type, zone, spot, count } = effect;
+    const result = await dependencies.cloud.provision(
+      request,
+      type,
+      zone,
+      spot,
+      count,
+      this.mayChangeFleet,
+    );
+    const outcome = typeof result === 'string' ? result : 'ok';
+    const machines = typeof result === 'string' ? [] : result;
+    dependencies.log.info(
+      { requestId: request, machineType: type, zone, spot, count, outcome, machineIds: machines },
+      'provision',
+    );
+    commandLoop.submit({ kind: 'provision-result', request, result: outcome, machines });
+  }
+
+  private async deleteMachines({ machines }: EffectOf<'delete-machines'>): Promise<void> {
+    const { commandLoop, dependencies } = this.options;
+    const ok = await dependencies.cloud.deleteMachines(machines, this.mayChangeFleet);
+    dependencies.log.info({ machineIds: machines, ok }, 'delete machines');
+    commandLoop.submit({ kind: 'deletion-result', machines, ok });
+  }
+
+  private async sendCommands(effect: EffectOf<'send-commands'>): Promise<void> {
+    const { commandLoop, dependencies, election, term } = this.options;
+    const heartbeat = await dependencies.workers.sendCommands(
+      effect.endpoint,
+      term.fencingToken,
+      effect.agentEpoch,
+      effect.commands,
+    );
+    // The endpoint may belong to another machine by now.
+    if (!heartbeat || !term.isCurrent || heartbeat.machine !== effect.machine) return;
+    if (heartbeat.fencingToken > term.fencingToken) election.stepDown();
+    else commandLoop.submit({ kind: 'heartbeat', heartbeat, ticket: null });
+  }
+}
--- /dev/null
+++ b/src/service/machine-poller.ts
@@ -0,0 +1,55 @@
+/** Polls the cloud for its machines and machine types while this node leads. */
+import { sleep, steadyNow } from '../adapters/runtime/clock.js';
+import type { CommandLoop } from './command-loop.js';
+import type { Dependencies } from './dependencies.js';
+import type { TermContext } from './term-context.js';
+
+/** Least time between two polls, in milliseconds; large fleets are polled less often. */
+const POLL_INTERVAL_MS = {
+  machines: 4000,
+  machineTypes: 60_000,
+} as const;
+
+/** Submits what the cloud lists for as long as the term lasts. */
+export class MachinePoller {
+  /** When the machine types were last answered; 0 for never in this term. */
+  private machineTypesReadAt = 0;
+
+  constructor(
+    private readonly dependencies: Pick<Dependencies, 'cloud' | 'machineTypes'>,
+    private readonly term: TermContext,
+    private readonly commandLoop: CommandLoop,
+  ) {}
+
+  /** Polls until the term has ended. */
+  async run(): Promise<void> {
+    const { cloud } = this.dependencies;
+    while (this.term.isCurrent) {
+      if (this.term.authority() === 'lead') {
+        await this.pollMachines();
+        if (this.areMachineTypesDue()) await this.pollMachineTypes();
+      }
+      await sleep(Math.max(POLL_INTERVAL_MS.machines, cloud.listPauseMs));
+    }
+  }
+
+  private async pollMachines(): Promise<void> {
+    // Taken before the request: a machine that is up only since then may be missing from the list.
+    const askedAt = steadyNow();
+    const machines = await this.dependencies.cloud.listMachines();
+    if (machines) this.commandLoop.submit({ kind: 'machines-listed', askedAt, machines });
+  }
+
+  private areMachineTypesDue(): boolean {
+    const age = steadyNow() - this.machineTypesReadAt;
+    return age > POLL_INTERVAL_MS.machineTypes || !this.dependencies.machineTypes;
+  }
+
+  private async pollMachineTypes(): Promise<void> {
+    const types = await this.dependencies.cloud.listMachineTypes();
+    if (!types) return;
+    this.machineTypesReadAt = steadyNow();
+    this.dependencies.machineTypes = types;
+    this.commandLoop.submit({ kind: 'machine-types', types });
+  }
+}
--- /dev/null
+++ b/src/service/store-listing.ts
@@ -0,0 +1,28 @@
+/** Lists a prefix of the key-value store for as long as it takes to be answered. */
+import type { StoredItem } from '../adapters/key-value-store/key-value-store-client.js';
+import { sleep } from '../adapters/runtime/clock.js';
+import type { Revision } from '../core/model/ids.js';
+import type { Dependencies } from './dependencies.js';
+import type { TermContext } from './term-context.js';
+
+const RETRY_MS = 200;
+
+/** All items under a prefix; a watch from the revision misses no change after them. */
+export interface StoreListing {
+  readonly items: readonly StoredItem[];
+  readonly revision: Revision;
+}
+
+/** Lists a prefix, again after each failure; null once the term has ended. */
+export const listPrefix = async (
+  { batchStore, jitter }: Pick<Dependencies, 'batchStore' | 'jitter'>,
+  term: TermContext,
+  prefix: string,
+): Promise<StoreListing | null> => {
+  while (term.isCurrent) {
+    const listing = await batchStore.listAll(prefix);
+    if (typeof listing === 'object') return listing;
+    await sleep(jitter.around(RETRY_MS));
+  }
+  return null;
+};
--- /dev/null
+++ b/src/service/worker-heartbeats.ts
@@ -0,0 +1,137 @@
+/** Workers' heartbeats on the leader: who is answered, and with what. */
+import type { Settings } from '../adapters/configuration/settings.js';
+import type { Log } from '../adapters/logging/log.js';
+import { steadyNow } from '../adapters/runtime/clock.js';
+import type { Heartbeat } from '../core/model/heartbeat.js';
+import type { MachineId } from '../core/model/ids.js';
+import { type Instant, seconds } from '../core/model/time.js';
+import type { WorkerCommand } from '../core/model/worker-command.js';
+import type { CommandLoop } from './command-loop.js';
+import type { LeaderElection } from './leader-election.js';
+import type { HeartbeatDecision } from './ports/heartbeat-service.js';
+import type { TermContext } from './term-context.js';
+import type { TermReplies } from './term-replies.js';
+
+/** While this node is isolated, a worker is redirected once within this share of its lease. */
+const REDIRECT_LEASE_SHARE = 0.75;
+
+/** When a leader takes the workers that it hears of for suspiciously few. */
+const COVERAGE = {
+  /** A worker is heard of if its heartbeat came within this many intervals. */
+  recentIntervals: 2.5,
+  /** Nothing is said before this many times that span: workers have yet to find the leader. */
+  settlingSpans: 2,
+  /** A single worker may have failed itself. */
+  minKnown: 2,
+  /** Suspicious is less than one in this many. */
+  suspiciousRatio: 3,
+} as const;
+
+const REDIRECT: HeartbeatDecision = { kind: 'redirect', leader: null };
+const UNAVAILABLE: HeartbeatDecision = { kind: 'unavailable' };
+
+/** How many of the known workers sent a heartbeat recently. */
+export interface HeartbeatCoverage {
+  readonly recent: number;
+  readonly known: number;
+}
+
+/** What the handling of heartbeats needs. */
+export interface WorkerHeartbeatsOptions {
+  readonly workers: Settings['workers'];
+  readonly log: Log;
+  readonly term: TermContext;
+  readonly election: LeaderElection;
+  readonly replies: TermReplies;
+  readonly commandLoop: CommandLoop;
+  /** True while neither the key-value store nor any peer answers this node. */
+  readonly isIsolated: () => boolean;
+}
+
+/** Answers heartbeats during one term, and owns which workers were redirected while isolated. */
+export class WorkerHeartbeats {
+  private readonly redirectedAt = new Map<MachineId, Instant>();
+
+  constructor(private readonly options: WorkerHeartbeatsOptions) {}
+
+  /** Decides a heartbeat's answer; it waits for the core, for a bounded time. */
+  async handle(heartbeat: Heartbeat): Promise<HeartbeatDecision> {
+    const { term, replies, commandLoop } = this.options;
+    if (heartbeat.fencingToken > term.fencingToken) return this.handleHigherToken(heartbeat);
+    if (this.shouldRedirect(heartbeat.machine)) return REDIRECT;
+    const commands = await replies.heartbeatReplies.request((ticket) =>
+      commandLoop.submit({ kind: 'heartbeat', heartbeat, ticket }),
+    );
+    if (!commands || !term.isCurrent) return UNAVAILABLE;
+    return this.decisionForCommands(commands);
+  }
+
+  /** The worker has heard from a later leader. */
+  private handleHigherToken({ machine, fencingToken }: Heartbeat): HeartbeatDecision {
+    const { log, election } = this.options;
+    log.info({ machineId: machine, fencingToken }, 'higher fencing token in heartbeat');
+    election.stepDown();
+    return REDIRECT;
+  }
+
+  private shouldRedirect(machine: MachineId): boolean {
+    switch (this.options.term.authority()) {
+      case 'lead':
+        return false;
+      case 'keep-alive':
+        return this.options.isIsolated() && this.shouldRedirectWhileIsolated(machine);
+      case 'none':
+        return true;
+    }
+  }
+
+  /**
+   * Without the key-value store and all peers, this node is most likely the one that is cut off, and
+   * another leads or soon will: it holds no worker that can reach that one. A worker that is back
+   * well within its lease has found no leader, and is kept alive here.
+   */
+  private shouldRedirectWhileIsolated(machine: MachineId): boolean {
+    const now = steadyNow();
+    const last = this.redirectedAt.get(machine);
+    const spanMs = seconds(this.options.workers.leaseS) * REDIRECT_LEASE_SHARE;
+    if (last !== undefined && now - last < spanMs) return false;
+    this.redirectedAt.set(machine, now);
+    return true;
+  }
+
+  /**
+   * The process may have stood still since the commands were decided: the authority is looked at
+   * again as they go out. Without the right to lead only kills do: they start nothing.
+   */
+  private decisionForCommands(commands: readonly WorkerCommand[]): HeartbeatDecision {
+    const { term } = this.options;
+    const { fencingToken } = term;
+    switch (term.authority()) {
+      case 'lead':
+        return { kind: 'commands', fencingToken, commands };
+      case 'keep-alive': {
+        const kills = commands.filter((command) => command.op === 'kill');
+        return { kind: 'commands', fencingToken, commands: kills };
+      }
+      case 'none':
+        return UNAVAILABLE;
+    }
+  }
+
+  /** How many workers the leader hears of when they are suspiciously few; null otherwise. */
+  coverage(): HeartbeatCoverage | null {
+    const { core } = this.options.commandLoop;
+    const now = steadyNow();
+    const spanMs = seconds(this.options.workers.heartbeatIntervalS) * COVERAGE.recentIntervals;
+    if (now - core.config.acquiredAt < COVERAGE.settlingSpans * spanMs) return null;
+    let recent = 0;
+    let known = 0;
+    for (const machine of core.machines.values()) {
+      if (!machine.hasReported) continue;
+      known += 1;
+      if (now - machine.lastHeartbeatAt < spanMs) recent += 1;
+    }
+    const isSuspicious = known >= COVERAGE.minKnown && recent * COVERAGE.suspiciousRatio < known;
+    return isSuspicious ? { recent, known } : null;
+  }
+}
--- a/test/isolated-leader.test.ts
+++ b/test/isolated-leader.test.ts
@@ -103,17 +103,20 @@
   it('sends no start that it decided before: right and time are looked at as the answer goes out', async () => {
     const { nodes, cloud } = await cluster(1);
     const { at, controller } = nodes[0]!;
-    type Inside = {
+    type TermInternals = {
       authority(): Authority;
-      runEffect(effect: Effect): void;
+      effectRunner: { run(effect: Effect): void };
     };
-    const { leaderTerm: leading } = controller as unknown as { leaderTerm: Inside };
+    const { leaderTerm } = controller as unknown as { leaderTerm: TermInternals };
+    const { effectRunner } = leaderTerm;
     let frozen = false;
     let decided = 0;
-    const authority = leading.authority.bind(leading);
-    vi.spyOn(leading, 'authority').mockImplementation(() => (frozen ? 'keep-alive' : authority()));
-    const runEffect = leading.runEffect.bind(leading);
-    vi.spyOn(leading, 'runEffect').mockImplementation((effect) => {
+    const authority = leaderTerm.authority.bind(leaderTerm);
+    vi.spyOn(leaderTerm, 'authority').mockImplementation(() =>
+      frozen ? 'keep-alive' : authority(),
+    );
+    const runEffect = effectRunner.run.bind(effectRunner);
+    vi.spyOn(effectRunner, 'run').mockImplementation((effect) => {
       runEffect(effect);
       if (effect.kind !== 'reply-to-heartbeat' || !effect.commands?.length || decided > 0) return;
       decided = effect.commands.length;
