--- a/src/service/job-watch.ts
+++ b/src/service/job-watch.ts
@@ -1,4 +1,4 @@
-/** Follows the jobs that other controllers admit: they show up as changes under the jobs' prefix. */
+/** Follows the jobs that other controllers admit: changes under the jobs' prefix tell of them. */
 import type { Change, StoredItem } from '../adapters/key-value-store/key-value-store-client.js';
 import { sleep } from '../adapters/runtime/clock.js';
 import type { Revision } from '../core/model/ids.js';
--- a/src/service/leader-election.ts
+++ b/src/service/leader-election.ts
@@ -6,12 +6,12 @@
  * - The key is claimed by compare-and-swap, and only while absent or left by an earlier run of this
  *   node. The revision of the successful write is the fencing token: each one is higher than all
  *   before it, and the store and the workers turn away what carries an older one.
- * - A lease counts from before its grant or renewal was sent, less the drift of the clocks. The store
- *   counts from when it carried the request out, which is later: this node stops acting first.
- * - A claim without an answer may have been carried out. The key is read back and counts as ours only
- *   with our incarnation and our lease; an earlier run or an earlier claim matches neither.
- * - When the outcome stays unknown, the lease is revoked: the store deletes the key if it was written,
- *   and turns a write away that arrives later.
+ * - A lease counts from before its grant or renewal was sent, less the drift of the clocks. The
+ *   store counts from when it carried the request out, which is later: this node stops first.
+ * - A claim without an answer may have been carried out. The key is read back, and counts as ours
+ *   only with our incarnation and our lease: an earlier run or an earlier claim matches neither.
+ * - When the outcome stays unknown, the lease is revoked: the store deletes the key if it was
+ *   written, and turns a write away that arrives later.
  */
 
 import type {
@@ -24,21 +24,12 @@
 import type { Jitter } from '../adapters/runtime/random.js';
 import type { FencingToken, NodeId, Revision } from '../core/model/ids.js';
 import type { Instant } from '../core/model/time.js';
+import { LeaderLease } from './leader-lease.js';
 import { decodeLeader, LEADER_KEY } from './stored-records.js';
 
 /** How long one watch of the leader key is held open, in milliseconds. */
 const WATCH_HOLD_MS = 10_000;
 
-/** How this node counts its lease. */
-const LEASE = {
-  /** Clocks of this node and the store may drift apart by this share of the lease. */
-  clockDrift: 0.001,
-  /** Further margin, in milliseconds. */
-  marginMs: 50,
-  /** Renewals sent in the time of one lease. */
-  renewalsPerLease: 4,
-} as const;
-
 /** Pauses before a request is repeated, in milliseconds; each is drawn around its value. */
 const RETRY_MS = {
   read: 250,
@@ -46,7 +37,6 @@
   grant: 200,
   claimLost: 50,
   claimReadBack: 200,
-  renewal: 150,
 } as const;
 
 const MAX_CLAIM_READ_BACKS = 5;
@@ -73,18 +63,6 @@
   readonly jitter: Jitter;
 }
 
-/** A lease under renewal. */
-interface HeldLease {
-  readonly id: LeaseId;
-  /** Until when the store surely keeps it, on this node's clock. */
-  validUntil: Instant;
-  /** It has expired or been given up: renewals stop. */
-  hasEnded: boolean;
-}
-
-/** How a renewal ended: `ended` when the lease is gone or given up; `failed` may be repeated. */
-type RenewalOutcome = 'renewed' | 'ended' | 'failed';
-
 /** Campaigns for the leader key, keeps its lease, and knows who leads. */
 export class LeaderElection {
   /**
@@ -104,7 +82,7 @@
   private readonly events: LeaderElectionEvents;
   private readonly log: Log;
   private readonly jitter: Jitter;
-  private heldLease: HeldLease | null = null;
+  private heldLease: LeaderLease | null = null;
   /** Until then this node leaves the leader key to others. */
   private campaignNotBefore = 0;
   private isStopped = false;
@@ -148,7 +126,7 @@
   private async handleLeaderRecord(value: unknown, revision: Revision): Promise<void> {
     const leader = decodeLeader(value);
     if (leader?.node === this.node) {
-      // Left by an earlier run of this node, which is over. The revision guards against a newer claim.
+      // Left by an earlier run of this node, which is over. The revision guards a newer claim.
       await this.campaign(revision);
       return;
     }
@@ -180,7 +158,7 @@
   stepDown(): void {
     if (this.fencingToken === null) return;
     this.fencingToken = null;
-    if (this.heldLease) this.heldLease.hasEnded = true;
+    this.heldLease?.end();
     this.heldLease = null;
     this.leaderNode = null;
     this.events.onDeposed();
@@ -203,25 +181,29 @@
 
   /** Claims the leader key if it stands at `expected`, and leads until the lease has ended. */
   private async campaign(expected: Revision): Promise<void> {
-    const sentAt = steadyNow();
-    const id = await this.store.grant(this.leaseMs);
-    if (typeof id === 'string') {
+    const lease = await LeaderLease.acquire({
+      store: this.store,
+      leaseMs: this.leaseMs,
+      jitter: this.jitter,
+      isStopped: () => this.isStopped,
+      onExpired: (expired) => this.handleLeaseExpired(expired),
+    });
+    if (!lease) {
       await sleep(this.jitter.around(RETRY_MS.grant));
       return;
     }
-    const lease: HeldLease = { id, validUntil: this.leaseValidityFrom(sentAt), hasEnded: false };
     // Renewed from the start: the lease must not run out while the key is slow to be written.
-    const renewing = this.keepRenewing(lease);
-    const token = await this.claimLeaderKey(id, expected);
+    const renewing = lease.keepRenewing();
+    const token = await this.claimLeaderKey(lease.id, expected);
     if (token === null || lease.hasEnded) {
-      lease.hasEnded = true;
-      await this.store.revoke(id);
+      lease.end();
+      await lease.revoke();
       await sleep(this.jitter.around(RETRY_MS.claimLost));
       return;
     }
     this.startLeading(token, lease);
     await renewing;
-    if (!this.isStopped) await this.store.revoke(id);
+    if (!this.isStopped) await lease.revoke();
   }
 
   /** The new fencing token, or null when the key was not written or the outcome stays unknown. */
@@ -253,7 +235,7 @@
     return claim?.life === this.incarnation && claim?.lease === lease;
   }
 
-  private startLeading(fencingToken: FencingToken, lease: HeldLease): void {
+  private startLeading(fencingToken: FencingToken, lease: LeaderLease): void {
     this.fencingToken = fencingToken;
     this.heldLease = lease;
     this.leaderNode = this.node;
@@ -262,50 +244,8 @@
     this.events.onElected(fencingToken, steadyNow());
   }
 
-  /** Until when a lease is surely alive whose grant or renewal was sent at this moment. */
-  private leaseValidityFrom(sentAt: Instant): Instant {
-    return (sentAt + this.leaseMs * (1 - LEASE.clockDrift) - LEASE.marginMs) as Instant;
-  }
-
-  /**
-   * Renews until the lease has ended. Renewals overlap: one that is slow to be answered holds up none
-   * after it, so that a store which takes seconds to answer does not cost the leader its lease.
-   */
-  private async keepRenewing(lease: HeldLease): Promise<void> {
-    const intervalMs = this.leaseMs / LEASE.renewalsPerLease;
-    while (!this.isStopped && !lease.hasEnded) {
-      const sentAt = steadyNow();
-      const outcome = await Promise.race([
-        this.renewOnce(lease),
-        sleep(intervalMs).then((): 'slow' => 'slow'),
-      ]);
-      switch (outcome) {
-        case 'slow':
-          break;
-        case 'renewed':
-          await sleep(Math.max(0, intervalMs - (steadyNow() - sentAt)));
-          break;
-        case 'ended':
-        case 'failed':
-          await sleep(this.jitter.around(RETRY_MS.renewal));
-          break;
-      }
-    }
-  }
-
-  private async renewOnce(lease: HeldLease): Promise<RenewalOutcome> {
-    const sentAt = steadyNow();
-    const result = await this.store.renew(lease.id);
-    if (lease.hasEnded) return 'ended';
-    if (result === 'gone') {
-      this.log.info({ fencingToken: this.fencingToken }, 'lease expired');
-      lease.hasEnded = true;
-      if (this.heldLease === lease) this.stepDown();
-      return 'ended';
-    }
-    if (result !== 'ok') return 'failed';
-    // The key hangs on the lease, so nobody else can have claimed it. Answers may come in any order.
-    lease.validUntil = Math.max(lease.validUntil, this.leaseValidityFrom(sentAt)) as Instant;
-    return 'renewed';
+  private handleLeaseExpired(lease: LeaderLease): void {
+    this.log.info({ fencingToken: this.fencingToken }, 'lease expired');
+    if (this.heldLease === lease) this.stepDown();
   }
 }
--- a/src/service/leader-term.ts
+++ b/src/service/leader-term.ts
@@ -1,7 +1,7 @@
 /**
- * One term of leadership: its lifecycle, its authority and the wiring of its parts. The parts recover
- * the state, watch jobs and machines, answer workers and carry effects out; the state itself belongs
- * to the command loop.
+ * One term of leadership: its lifecycle, its authority and the wiring of its parts. The parts
+ * recover the state, watch jobs and machines, answer workers and carry effects out; the state
+ * itself belongs to the command loop.
  */
 import { sleep, steadyNow } from '../adapters/runtime/clock.js';
 import { type CoreState, createCore } from '../core/core-state.js';
--- a/src/service/machine-poller.ts
+++ b/src/service/machine-poller.ts
@@ -34,7 +34,8 @@
   }
 
   private async pollMachines(): Promise<void> {
-    // Taken before the request: a machine that is up only since then may be missing from the list.
+    // Taken before the request: ages count back from here, and only a machine provisioned well
+    // before may be judged by its absence from the list.
     const askedAt = steadyNow();
     const machines = await this.dependencies.cloud.listMachines();
     if (machines) this.commandLoop.submit({ kind: 'machines-listed', askedAt, machines });
--- a/src/service/state-recovery.ts
+++ b/src/service/state-recovery.ts
@@ -1,7 +1,7 @@
 /**
  * Recovery of the leader's state from the key-value store, at the start of a term. Only a leader
- * writes the ledger, and an earlier leader's writes are refused since the leader key has changed: what
- * is read here is complete. Jobs that are accepted meanwhile reach the leader by the job watch.
+ * writes the ledger, and an earlier leader's writes are refused since the leader key has changed:
+ * what is read here is complete. Jobs accepted meanwhile reach the leader by the job watch.
  */
 import type { StoredItem } from '../adapters/key-value-store/key-value-store-client.js';
 import type { Command } from '../core/model/command.js';
--- a/src/service/worker-heartbeats.ts
+++ b/src/service/worker-heartbeats.ts
@@ -86,9 +86,9 @@
   }
 
   /**
-   * Without the key-value store and all peers, this node is most likely the one that is cut off, and
-   * another leads or soon will: it holds no worker that can reach that one. A worker that is back
-   * well within its lease has found no leader, and is kept alive here.
+   * Without the key-value store and all peers, this node is most likely the one that is cut off,
+   * and another leads or soon will: it holds no worker that can reach that one. A worker that is
+   * back well within its lease has found no leader, and is kept alive here.
    */
   private shouldRedirectWhileIsolated(machine: MachineId): boolean {
     const now = steadyNow();
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -138,7 +138,7 @@
     election.stop();
   });
 
-  it('gives each leader a new fencing token, and never elects two at once, while nodes restart', async () => {
+  it('gives each leader a new fencing token, and never has two at once, as nodes restart', async () => {
     const store = new SlowKeyValueStore();
     store.delayMs = 3;
     const tokens: FencingToken[] = [];
--- /dev/null
+++ b/test/failover.test.ts
@@ -0,0 +1,97 @@
+/** What a new leader may do, and what a leader without a lease may still do for its workers. */
+import { describe, expect, it } from 'vitest';
+import { applyCommands } from '../src/core/apply-commands.js';
+import { segmentKey } from '../src/core/ledger/segments.js';
+import type { Command } from '../src/core/model/command.js';
+import type { FencingToken, MachineId, ReplyTicket } from '../src/core/model/ids.js';
+import type { Instant } from '../src/core/model/time.js';
+import { core, entry, job, recordedAt, report, type } from './model/build.js';
+import { CoreDriver, running } from './model/core-driver.js';
+
+describe('a leader that has lost the key-value store and its peers, but not its workers', () => {
+  it('sends no commands; its successor starts nothing twice, in time for cancelled jobs too', () => {
+    const driver = new CoreDriver();
+    driver.submit('job-1', { tasks: 2 });
+    const starts = driver.starts(driver.up('n-1'));
+    const runningAttempts = starts.map(running);
+    driver.checkIn('n-1', runningAttempts);
+    driver.submit('job-2', { tasks: 2 });
+    for (let i = 0; i < 3; i += 1)
+      expect(driver.checkIn('n-1', runningAttempts, {}, 'keep-alive')).toEqual([]);
+    expect(driver.checkIn('n-1', runningAttempts, {}, 'none')).toBeNull();
+    // The successor gets no heartbeat from n-1, and the cloud does not answer its deletion.
+    const successor = core({ fencingToken: 8 as FencingToken });
+    const apply = (now: number, ...commands: Command[]) =>
+      applyCommands(successor, commands, now as Instant, 'lead');
+    const entries = starts.map((start) => entry(start.index, start.attempt));
+    apply(
+      0,
+      { kind: 'machine-types', types: [type('c8')] },
+      { kind: 'job', spec: job('job-1', { tasks: 2 }), submittedAt: 0 as Instant },
+      {
+        kind: 'recovered-attempts',
+        segment: segmentKey(7 as FencingToken, 1),
+        machine: 'n-1' as MachineId,
+        attributes: recordedAt,
+        entries,
+      },
+      { kind: 'recovery-completed' },
+    );
+    const { graceAfterLeaseLossMs, workerLeaseMs } = successor.config;
+    const firstSentAt = new Map<number, number>();
+    let sequence = 0;
+    for (let now = 500; now < 60_000; now += 500) {
+      sequence += 1;
+      const effects = apply(now, {
+        kind: 'heartbeat',
+        heartbeat: report('n-2', sequence, sequence < 3 ? 7 : 8),
+        ticket: sequence as ReplyTicket,
+      });
+      for (const effect of effects) {
+        if (effect.kind === 'store-batch')
+          effects.push(...apply(now, { kind: 'batch-stored', batch: effect.batch }));
+        if (effect.kind === 'delete-machines')
+          effects.push(
+            ...apply(now, { kind: 'deletion-result', machines: effect.machines, ok: false }),
+          );
+        if (effect.kind !== 'reply-to-heartbeat') continue;
+        for (const start of driver.starts(effect.commands))
+          if (!firstSentAt.has(start.attempt)) firstSentAt.set(start.attempt, now);
+      }
+    }
+    const startedAt = [...firstSentAt.values()];
+    expect(startedAt).toHaveLength(2);
+    // Longer than the old leader may answer and its answers count; shorter than a cancellation has.
+    for (const at of startedAt) expect(at).toBeGreaterThan(graceAfterLeaseLossMs + workerLeaseMs);
+    for (const at of startedAt)
+      expect(at).toBeLessThan(graceAfterLeaseLossMs + workerLeaseMs + 5000);
+  });
+});
+
+describe('a new leader', () => {
+  it('keeps machines known from the ledger alone for two leases while none reports', () => {
+    const state = core();
+    const apply = (now: number, ...commands: Command[]) =>
+      applyCommands(state, commands, now as Instant, 'lead');
+    const machines = Array.from({ length: 6 }, (_, i) => `n-${i}` as MachineId);
+    const segment = segmentKey(6 as FencingToken, 1);
+    apply(0, { kind: 'machine-types', types: [type('c8')] });
+    apply(0, { kind: 'job', spec: job('job-1', { tasks: 6 }), submittedAt: 0 as Instant });
+    for (const [i, machine] of machines.entries()) {
+      apply(0, {
+        kind: 'recovered-attempts',
+        segment,
+        machine,
+        attributes: recordedAt,
+        entries: [entry(i, 50 + i)],
+      });
+    }
+    apply(0, { kind: 'recovery-completed' });
+    const deletedAt: number[] = [];
+    for (let now = 500; now < 60_000; now += 500) {
+      const effects = apply(now, { kind: 'tick' });
+      if (effects.some((effect) => effect.kind === 'delete-machines')) deletedAt.push(now);
+    }
+    expect(Math.min(...deletedAt)).toBeGreaterThan(2 * state.config.workerLeaseMs);
+  });
+});
--- a/test/isolated-leader.test.ts
+++ b/test/isolated-leader.test.ts
@@ -1,3 +1,4 @@
+/** Leaders that are cut off from some of their surroundings, or that stood still. */
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { CloudClient } from '../src/adapters/cloud/cloud-client.js';
 import { parseEndpoint } from '../src/adapters/configuration/settings.js';
@@ -22,11 +23,11 @@
 
 afterEach(cleanUp);
 
-describe('a leader that is cut off', () => {
+describe('an isolated leader', () => {
   const leaderOf = (nodes: Node[]) => nodes.find((n) => n.controller.authority() === 'lead');
 
-  it('from the state service alone learns from a peer that another leads, and keeps no workers', async () => {
-    // Machines count as silent after four report periods: longer than a peer's word takes at the most.
+  it('without the key-value store learns of the next leader from a peer, and keeps no workers', async () => {
+    // Machines count as silent after four heartbeat intervals: longer than a peer's word takes.
     const { nodes, fronts, cloud } = await cluster(3, 3, 600, -1, 0.5);
     cloud.taskMs = 10_000_000;
     const old = leaderOf(nodes)!;
@@ -34,46 +35,46 @@
     await until(async () => (await status(old.at, 'job-31'))?.body.running === 3);
     fronts[nodes.indexOf(old)]!.refuse = true;
     const next = await until(() => leaderOf(nodes.filter((n) => n !== old)));
-    // It cannot read this from the state service: only a peer can have told it.
+    // It cannot read this from the key-value store: only a peer can have told it.
     await until(() => old.controller.election.leaderNode === `node-${nodes.indexOf(next)}`);
     expect(old.controller.authority()).toBe('none');
     await until(async () => (await status(next.at, 'job-31'))?.body.running === 3);
     expect(cloud.starts).toHaveLength(3);
   });
 
-  it('from the state service alone has a peer admit and look up jobs, and says no more than that peer', async () => {
+  it('without the key-value store has a peer admit and look up jobs, and says no more', async () => {
     const { nodes, fronts, state } = await cluster(3);
-    const cut = nodes.find((n) => n !== leaderOf(nodes))!;
-    fronts[nodes.indexOf(cut)]!.refuse = true;
-    await until(async () => (await post(cut.at, '/api/jobs', body('job-34')))?.status === 201);
+    const isolated = nodes.find((n) => n !== leaderOf(nodes))!;
+    fronts[nodes.indexOf(isolated)]!.refuse = true;
+    await until(async () => (await post(isolated.at, '/api/jobs', body('job-34')))?.status === 201);
     expect(state.keys.has('j/job-34') || state.keys.has('f/job-34')).toBe(true);
-    expect((await post(cut.at, '/api/jobs', body('job-34')))?.status).toBe(200);
-    expect((await status(cut.at, 'job-34'))?.status).toBe(200);
-    expect((await status(cut.at, 'job-35'))?.status).toBe(404);
-    expect((await post(cut.at, '/up', undefined, 'GET'))?.status).toBe(200);
+    expect((await post(isolated.at, '/api/jobs', body('job-34')))?.status).toBe(200);
+    expect((await status(isolated.at, 'job-34'))?.status).toBe(200);
+    expect((await status(isolated.at, 'job-35'))?.status).toBe(404);
+    expect((await post(isolated.at, '/up', undefined, 'GET'))?.status).toBe(200);
   });
 
-  it('from the state service and all peers leaves its users to others until either is back', async () => {
+  it('without the key-value store and all peers is not ready until either is back', async () => {
     const { nodes, fronts } = await cluster(2);
     nodes[1]!.stop();
     fronts[0]!.refuse = true;
-    const up = async () => (await post(nodes[0]!.at, '/up', undefined, 'GET'))?.status;
-    await until(async () => (await up()) === 503);
+    const readyStatus = async () => (await post(nodes[0]!.at, '/up', undefined, 'GET'))?.status;
+    await until(async () => (await readyStatus()) === 503);
     expect((await post(nodes[0]!.at, '/api/jobs', body('job-36')))?.status).toBe(503);
     fronts[0]!.refuse = false;
-    await until(async () => (await up()) === 200);
+    await until(async () => (await readyStatus()) === 200);
     await until(
       async () => (await post(nodes[0]!.at, '/api/jobs', body('job-36')))?.status === 201,
     );
   });
 
-  it('from the state service and its peers, but not its workers, lets them go to the next leader', async () => {
+  it('without the key-value store and its peers redirects its workers to the next leader', async () => {
     const { nodes, fronts, cloud } = await cluster(2, 3, 600, 0, 2);
     const [old, next] = nodes as [Node, Node];
     if (next.controller.authority() === 'lead') next.controller.election.resign(2000);
     await until(() => old.controller.authority() === 'lead');
     cloud.taskMs = 10_000_000;
-    // With report periods of 2 s none of the three machines is silent for too long while it finds the next leader.
+    // With heartbeats every 2 s no machine is silent for too long while it finds the next leader.
     await until(
       async () => (await post(old.at, '/api/jobs', body('job-37', { Cpus: 8 })))?.status === 201,
     );
@@ -86,7 +87,7 @@
     expect(cloud.starts).toHaveLength(3);
   });
 
-  it('from the workers alone steps aside for a peer that hears them', async () => {
+  it('without its workers resigns for a peer that hears from them', async () => {
     const { nodes, cloud } = await cluster(2);
     const old = leaderOf(nodes)!;
     const next = nodes.find((n) => n !== old)!;
@@ -99,8 +100,8 @@
   });
 });
 
-describe('a leader that has stood still since it decided', () => {
-  it('sends no start that it decided before: right and time are looked at as the answer goes out', async () => {
+describe('a leader that stood still after a decision', () => {
+  it('sends no start it decided before: its authority is checked as the reply goes out', async () => {
     const { nodes, cloud } = await cluster(1);
     const { at, controller } = nodes[0]!;
     type TermInternals = {
@@ -132,20 +133,24 @@
     expect(cloud.starts).toHaveLength(3);
   });
 
-  it('neither rents nor returns machines for it', async () => {
+  it('neither provisions nor deletes machines without the authority', async () => {
     const cloud = new Cloud(3);
     cloud.nodes = ['127.0.0.1:9'];
     cleanups.push(() => cloud.close());
     const client = new CloudClient(parseEndpoint(await cloud.listen()), 100);
     cleanups.push(() => client.close());
-    const names = ['r-1' as ProvisionRequestId, 'c8' as MachineTypeName, 'a' as ZoneName] as const;
-    expect(await client.provision(...names, true, 2, () => false)).toBe('refused');
+    const request = [
+      'r-1' as ProvisionRequestId,
+      'c8' as MachineTypeName,
+      'a' as ZoneName,
+    ] as const;
+    expect(await client.provision(...request, true, 2, () => false)).toBe('refused');
     expect(cloud.workers.size).toBe(0);
-    const rented = await client.provision(...names, true, 2, () => true);
+    const provisioned = await client.provision(...request, true, 2, () => true);
     expect(cloud.workers.size).toBe(2);
-    expect(await client.deleteMachines(rented as MachineId[], () => false)).toBe(false);
+    expect(await client.deleteMachines(provisioned as MachineId[], () => false)).toBe(false);
     expect(cloud.workers.size).toBe(2);
-    expect(await client.deleteMachines(rented as MachineId[], () => true)).toBe(true);
+    expect(await client.deleteMachines(provisioned as MachineId[], () => true)).toBe(true);
     expect(cloud.workers.size).toBe(0);
   });
 });
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -91,7 +91,7 @@
     expect((await status(at, 'job-1'))?.status).toBe(404);
   });
 
-  it('answers for every single job at every node while the state service is at its limit, and after a takeover', async () => {
+  it('answers for every single job at every node while the key-value store is at its limit, and after a failover', async () => {
     const { nodes, state, cloud } = await cluster(3);
     cloud.taskMs = 10_000_000;
     const ids = Array.from({ length: 12 }, (_, i) => `job-0001${String(i).padStart(2, '0')}`);
@@ -164,7 +164,7 @@
     await until(async () => (await status(nodes[0]!.at, 'job-8'))?.body.Status === 'done');
   });
 
-  it('hands over to another leader that neither loses nor doubles a task', async () => {
+  it('fails over to another leader that neither loses nor doubles a task', async () => {
     const { nodes, cloud } = await cluster(3);
     cloud.taskMs = 10_000_000;
     const first = nodes.find((n) => n.controller.authority() === 'lead')!;
@@ -183,7 +183,7 @@
 });
 
 describe('a restart', () => {
-  it('of the leader replaces its own former life at once, and neither loses nor doubles a task', async () => {
+  it('of the leader replaces its earlier incarnation at once, and neither loses nor doubles a task', async () => {
     // With a lease of ten minutes nobody could lead in the time of this test by waiting for its end.
     const { nodes, cloud, state, start } = await cluster(1, 3, 600_000);
     cloud.taskMs = 10_000_000;
