--- /dev/null
+++ b/src/adapters/http/api.ts
@@ -0,0 +1,35 @@
+/** The HTTP interface of one controller: its routes, and what is answered when none or all fail. */
+import { Hono } from 'hono';
+import type { ControllerApi } from '../../service/ports/controller-api.js';
+import type { Log } from '../logging/log.js';
+import { answerHealthCheck, NO_SUCH_PATH, UNEXPECTED_ERROR } from './answers.js';
+import type { HeartbeatHandler } from './heartbeat-connections.js';
+import { HEARTBEAT_PATH } from './heartbeat-framing.js';
+import { makeHeartbeatHandler } from './heartbeat-handler.js';
+import { type NodeEnv, sendAnswer } from './hono-listener.js';
+import { addJobRoutes } from './job-routes.js';
+import { addOperatorRoutes } from './operator-routes.js';
+import { MAX_HEARTBEAT_BYTES, readText } from './request-body.js';
+
+/** All routes. Heartbeats come here only if they are no plain requests: see `HeartbeatConnection`. */
+export const makeApi = (
+  controller: ControllerApi,
+  log: Log,
+  handleHeartbeat: HeartbeatHandler = makeHeartbeatHandler(controller, log),
+): Hono<NodeEnv> => {
+  const app = new Hono<NodeEnv>();
+  app.get('/up', (c) => sendAnswer(c, answerHealthCheck(controller.isReady())));
+  app.post(HEARTBEAT_PATH, async (c) => {
+    const text = await readText(c.env.incoming, MAX_HEARTBEAT_BYTES);
+    // One that is too long is malformed, as an empty one is.
+    return sendAnswer(c, await handleHeartbeat(text ?? ''));
+  });
+  addJobRoutes(app, controller.users, log);
+  addOperatorRoutes(app, controller, controller.extensions);
+  app.notFound((c) => sendAnswer(c, NO_SUCH_PATH));
+  app.onError((error, c) => {
+    log.error({ err: error, path: c.req.path }, 'request failed');
+    return sendAnswer(c, UNEXPECTED_ERROR);
+  });
+  return app;
+};
--- a/src/adapters/http/heartbeat-connections.ts
+++ b/src/adapters/http/heartbeat-connections.ts
@@ -1,22 +1,19 @@
 /**
- * Connections on which workers check in. Check-ins are nearly all of what a leader answers, and most of what Node's HTTP
- * server does for one request (streams, header objects, events) is of no use to them: plain ones are read from and
- * answered on the socket itself. A connection that brings anything else is handed to the HTTP server with all bytes that
- * have been read, and stays there.
+ * Connections on which workers send heartbeats. Heartbeats are nearly all of what a leader answers,
+ * and most of what Node's HTTP server does for one request (streams, header objects, events) is of
+ * no use to them: plain ones are read from and answered on the socket itself. A connection that
+ * brings anything else is handed to the HTTP server with all bytes that have been read, and stays
+ * there.
  */
 import type { Socket } from 'node:net';
 import { steadyNow } from '../runtime/clock.js';
-import { frameHeartbeat } from './plain-request.js';
+import { type HeartbeatReply, RETRY_AFTER_S, UNAVAILABLE_STATUS } from './answers.js';
+import { frameHeartbeat } from './heartbeat-framing.js';
 
-/** What a worker is answered. */
-export interface HeartbeatReply {
-  readonly status: 200 | 400 | 421 | 503;
-  readonly body: object;
-}
-
-/** Answers the body of a check-in; must not fail. */
+/** Answers the body of a heartbeat; must not reject. */
 export type HeartbeatHandler = (body: string) => Promise<HeartbeatReply>;
 
+/** What a connection may hold and how long it may take. */
 export interface HeartbeatLimits {
   readonly maxBodyBytes: number;
   /** A connection on which nothing has come for this long is closed. */
@@ -25,33 +22,30 @@
   readonly requestMs: number;
 }
 
-const REASONS: Record<HeartbeatReply['status'], string> = {
+const REASON_PHRASES: Record<HeartbeatReply['status'], string> = {
   200: 'OK',
   400: 'Bad Request',
   421: 'Misdirected Request',
   503: 'Service Unavailable',
 };
 
-/** Seconds after which a client that was answered 503 may ask again. */
-export const RETRY_AFTER_S = '1';
-
 const encodeReply = ({ status, body }: HeartbeatReply, close: boolean): string => {
   const text = JSON.stringify(body);
-  const retry = status === 503 ? `Retry-After: ${RETRY_AFTER_S}\r\n` : '';
+  const retry = status === UNAVAILABLE_STATUS ? `Retry-After: ${RETRY_AFTER_S}\r\n` : '';
   const connection = close ? 'close' : 'keep-alive';
   return (
-    `HTTP/1.1 ${status} ${REASONS[status]}\r\nContent-Type: application/json\r\n` +
+    `HTTP/1.1 ${status} ${REASON_PHRASES[status]}\r\nContent-Type: application/json\r\n` +
     `Content-Length: ${Buffer.byteLength(text)}\r\n${retry}Connection: ${connection}\r\n\r\n${text}`
   );
 };
 
 class HeartbeatConnection {
-  /** Bytes that have come and are not answered yet. */
+  /** Bytes that have come and are not yet read as a request. */
   private unread: Buffer | null = null;
-  /** When the first of them came. */
+  /** When the first of them came, or the request before them was read. */
   private unreadSince = 0;
-  private answering = false;
-  private ended = false;
+  private isAnswering = false;
+  private hasClientEnded = false;
 
   constructor(
     private readonly socket: Socket,
@@ -70,12 +64,12 @@
   };
 
   private readonly onIdle = (): void => {
-    if (!this.answering) this.socket.destroy();
+    if (!this.isAnswering) this.socket.destroy();
   };
 
   /** The client sends no more, but may still wait for an answer. */
   private readonly onEnd = (): void => {
-    if (this.answering) this.ended = true;
+    if (this.isAnswering) this.hasClientEnded = true;
     else this.socket.end();
   };
 
@@ -84,8 +78,8 @@
       this.unread = bytes;
       this.unreadSince = steadyNow();
     } else this.unread = Buffer.concat([this.unread, bytes]);
-    if (!this.answering) this.readNext();
-    // Requests are not pipelined: a client that sends on and on while it waits is cut off.
+    if (!this.isAnswering) this.readNext();
+    // Workers do not pipeline requests: a client that sends on and on while it waits is cut off.
     else if (this.unread.length > this.limits.maxBodyBytes) this.socket.destroy();
   };
 
@@ -98,29 +92,30 @@
         if (steadyNow() - this.unreadSince > limits.requestMs) this.socket.destroy();
         return;
       case 'unsupported':
-        this.release();
+        this.detach();
         this.handOver(unread);
         return;
       case 'request': {
         const body = unread.toString('utf8', framing.bodyStart, framing.bodyEnd);
         this.unread = unread.length > framing.bodyEnd ? unread.subarray(framing.bodyEnd) : null;
         this.unreadSince = steadyNow();
-        this.answering = true;
+        this.isAnswering = true;
         void this.handle(body).then((reply) => this.answer(reply, framing.close));
       }
     }
   }
 
   private answer(reply: HeartbeatReply, close: boolean): void {
-    this.answering = false;
+    this.isAnswering = false;
     // The worker may have hung up meanwhile.
     if (this.socket.destroyed || !this.socket.writable) return;
     this.socket.write(encodeReply(reply, close));
-    if (close || this.ended) this.socket.end();
+    if (close || this.hasClientEnded) this.socket.end();
     else this.readNext();
   }
 
-  private release(): void {
+  /** Leaves the socket as it was, for the HTTP server. */
+  private detach(): void {
     this.unread = null;
     this.socket.setTimeout(0);
     this.socket.off('timeout', this.onIdle);
@@ -130,7 +125,7 @@
   }
 }
 
-/** Takes a new connection; `handOver` gets its bytes once it turns out to be no worker's. */
+/** Takes a new connection; `handOver` gets its bytes once it brings anything but plain heartbeats. */
 export const acceptHeartbeats = (
   socket: Socket,
   handle: HeartbeatHandler,
--- a/src/adapters/http/plain-request.ts
+++ b/src/adapters/http/heartbeat-framing.ts
@@ -1,10 +1,12 @@
 /**
- * Frames the requests that workers send most: `POST /checkin` with a `Content-Length` and nothing out of the ordinary.
- * Whatever is not certain to be one of these is reported as `unsupported` and left to Node's HTTP parser, so that this
- * module never has to interpret the rest of HTTP/1.1.
+ * Frames plain heartbeats: `POST /checkin` with a `Content-Length` and nothing out of the ordinary.
+ * Whatever is not certain to be one of these is reported as `unsupported` and left to Node's HTTP
+ * parser, so that this module never has to interpret the rest of HTTP/1.1.
  */
 
-const REQUEST_LINE = 'POST /checkin HTTP/1.1\r\n';
+/** The path to which workers send their heartbeats. */
+export const HEARTBEAT_PATH = '/checkin';
+const REQUEST_LINE = `POST ${HEARTBEAT_PATH} HTTP/1.1\r\n`;
 const HEAD_END = '\r\n\r\n';
 /** Node's own parser answers larger heads with 431. */
 const MAX_HEAD_BYTES = 8 * 1024;
@@ -15,11 +17,14 @@
 const CONTENT_LENGTH = /\r\ncontent-length:[ \t]*(\d{1,9})[ \t]*(?=\r\n)/gi;
 const CONNECTION = /\r\nconnection:[ \t]*([^\r\n]*?)[ \t]*(?=\r\n)/gi;
 
+/** What the bytes on a connection begin with. */
 export type Framing =
+  /** Part of what may become a plain heartbeat. */
   | { readonly kind: 'incomplete' }
   | { readonly kind: 'unsupported' }
   | {
       readonly kind: 'request';
+      /** Offsets in the bytes, from the first byte of the body to the one after its last. */
       readonly bodyStart: number;
       readonly bodyEnd: number;
       /** The client asked for the connection to be closed after the answer. */
@@ -29,7 +34,7 @@
 const INCOMPLETE: Framing = { kind: 'incomplete' };
 const UNSUPPORTED: Framing = { kind: 'unsupported' };
 
-/** The only value of a header, `null` where it is absent, `undefined` where it stands more than once. */
+/** The only value of a header; `null` where it is absent, `undefined` where it stands twice. */
 const onlyValue = (head: string, header: RegExp): string | null | undefined => {
   header.lastIndex = 0;
   const first = header.exec(head);
@@ -37,11 +42,11 @@
   return header.exec(head) === null ? (first[1] ?? '') : undefined;
 };
 
-/** Where the first request in `bytes` lies, if it is a plain check-in whose body is at most `maxBodyBytes` long. */
+/** Where the first request lies, if it is a plain heartbeat of at most `maxBodyBytes`. */
 export const frameHeartbeat = (bytes: Buffer, maxBodyBytes: number): Framing => {
-  const start = bytes.toString('latin1', 0, REQUEST_LINE.length);
-  if (!REQUEST_LINE.startsWith(start)) return UNSUPPORTED;
-  if (start.length < REQUEST_LINE.length) return INCOMPLETE;
+  const beginning = bytes.toString('latin1', 0, REQUEST_LINE.length);
+  if (!REQUEST_LINE.startsWith(beginning)) return UNSUPPORTED;
+  if (beginning.length < REQUEST_LINE.length) return INCOMPLETE;
   const headEnd = bytes.indexOf(HEAD_END, REQUEST_LINE.length - 2, 'latin1');
   if (headEnd < 0) return bytes.length > MAX_HEAD_BYTES ? UNSUPPORTED : INCOMPLETE;
   if (headEnd > MAX_HEAD_BYTES) return UNSUPPORTED;
--- a/src/adapters/http/hono-listener.ts
+++ b/src/adapters/http/hono-listener.ts
@@ -1,10 +1,12 @@
 /**
- * Runs a Hono application on Node's HTTP server. Hono routes; handlers answer on Node's response by `sendJson`. Nothing
- * here touches the global `Request` and `Response`: the first use of either makes Node load its fetch implementation,
- * which was the largest part of this service's start-up.
+ * Runs a Hono application on Node's HTTP server. Hono routes; handlers answer on Node's response by
+ * `sendAnswer`. Nothing here touches the global `Request` and `Response`: the first use of either
+ * makes Node load its fetch implementation, which costs more than the rest of this service's
+ * start-up.
  */
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http';
 import type { Context } from 'hono';
+import { type HttpAnswer, RETRY_AFTER_S, UNAVAILABLE_STATUS } from './answers.js';
 
 /** What handlers find in `c.env`. */
 export interface NodeBindings {
@@ -12,18 +14,14 @@
   readonly outgoing: ServerResponse;
 }
 
+/** The environment of a Hono application that runs on Node's HTTP server. */
 export type NodeEnv = { Bindings: NodeBindings };
 
 /** What a handler returns that has answered on Node's response; Hono passes it through. */
 const ANSWERED = Object.freeze({ answered: true }) as unknown as Response;
 
-/** Answers a request with JSON. */
-export const sendJson = (
-  c: Context<NodeEnv>,
-  body: unknown,
-  status = 200,
-  headers: Readonly<Record<string, string>> = {},
-): Response => {
+/** Answers a request with JSON, and tells when to ask again where it has to be asked again. */
+export const sendAnswer = (c: Context<NodeEnv>, { status, body }: HttpAnswer): Response => {
   const { outgoing } = c.env;
   // Its client may have hung up meanwhile.
   if (outgoing.destroyed) return ANSWERED;
@@ -31,7 +29,7 @@
   outgoing.writeHead(status, {
     'content-type': 'application/json',
     'content-length': Buffer.byteLength(text),
-    ...headers,
+    ...(status === UNAVAILABLE_STATUS ? { 'Retry-After': RETRY_AFTER_S } : {}),
   });
   outgoing.end(text);
   return ANSWERED;
@@ -43,30 +41,30 @@
 }
 
 /**
- * Of a request, routing looks at the method and the address only. HEAD is routed as GET: Node leaves the body out by
- * itself, while Hono would make a `Response` for it.
+ * Of a request, routing looks at the method and the address only. HEAD is routed as GET: Node leaves
+ * the body out by itself, while Hono would make a `Response` for it.
  */
-const routable = ({ url = '/', method }: IncomingMessage): Request => {
+const toRoutableRequest = ({ url = '/', method }: IncomingMessage): Request => {
   const absolute = url.startsWith('/') ? `http://localhost${url}` : url;
   return { url: absolute, method: method === 'HEAD' ? 'GET' : method } as Request;
 };
 
-/** A handler that makes a `Response` of its own is served as well. */
-const send = async (response: Response, outgoing: ServerResponse): Promise<void> => {
+/** Serves a handler that makes a `Response` of its own. */
+const sendResponse = async (response: Response, outgoing: ServerResponse): Promise<void> => {
   const text = await response.text();
   outgoing.writeHead(response.status, Object.fromEntries(response.headers));
   outgoing.end(text);
 };
 
-/** The listener for Node's HTTP server. */
+/** The listener for Node's HTTP server. It never rejects. */
 export const listenerOf =
   (app: NodeApplication): RequestListener =>
   async (incoming, outgoing) => {
     try {
-      const response = await app.fetch(routable(incoming), { incoming, outgoing });
-      if (response !== ANSWERED) await send(response, outgoing);
+      const response = await app.fetch(toRoutableRequest(incoming), { incoming, outgoing });
+      if (response !== ANSWERED) await sendResponse(response, outgoing);
     } catch {
-      // Handlers' own faults are answered by the application; this one could not even be written.
+      // The application answers its handlers' errors; this answer could not even be written.
       outgoing.destroy();
     }
   };
--- a/src/adapters/wire.ts
+++ b/src/adapters/wire.ts
@@ -8,9 +8,10 @@
   TeamName,
   ZoneName,
 } from '../core/model/ids.js';
-import type { JobShape, JobSpec } from '../core/model/job.js';
+import type { JobSpec } from '../core/model/job.js';
 import type { ListedMachine, MachineType } from '../core/model/machine.js';
 import type { WorkerCommand } from '../core/model/worker-command.js';
+import type { JobView } from '../service/ports/user-api.js';
 
 const JOB_ID = /^job-\d{1,18}$/;
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0), v.maxValue(1e12));
@@ -85,18 +86,6 @@
   };
 };
 
-export interface JobView {
-  readonly id: JobId;
-  readonly team: TeamName;
-  readonly shape?: JobShape | undefined;
-  /** How many tasks it has, or how many replicas it wants. */
-  readonly tasks?: number | undefined;
-  readonly status: 'queued' | 'running' | 'done' | 'cancelled';
-  readonly done: number;
-  readonly running: number;
-  readonly waiting?: string;
-}
-
 const STATUS = {
   queued: 'queued',
   running: 'running',
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -27,7 +27,7 @@
   const droppedForReason = new Once();
   servePeers(
     settings.peerAddress,
-    (question) => controller.respond(question),
+    (question) => controller.handlePeerRequest(question),
     (reason) => {
       if (droppedForReason.isFirst(reason)) log.info({ reason }, 'peer message dropped');
     },
--- /dev/null
+++ b/src/service/create-dependencies.ts
@@ -0,0 +1,83 @@
+/** Opens what a controller needs from outside, and shares the outside's limits among it. */
+import { CloudClient } from '../adapters/cloud/cloud-client.js';
+import type { Settings } from '../adapters/configuration/settings.js';
+import {
+  KeyValueStoreClient,
+  type RateShares,
+} from '../adapters/key-value-store/key-value-store-client.js';
+import { type Log, Once } from '../adapters/logging/log.js';
+import { Peer } from '../adapters/peers/peer-link.js';
+import { WorkerClient } from '../adapters/workers/worker-client.js';
+import type { Dependencies } from './dependencies.js';
+import { MIN_BATCH_WRITE_SHARE } from './write-share.js';
+
+/**
+ * Shares of the key-value store's limits. Admissions of all nodes may go beyond what the leader's
+ * batches leave: users come first, and a batch that is refused for the rate is sent again.
+ */
+const RATE_SHARES = {
+  batches: { reads: 0.3, writes: MIN_BATCH_WRITE_SHARE },
+  allNodes: { reads: 0.7, writes: 1.25 },
+} as const;
+/** Share of all sockets that commands sent to workers may use at a time, and the least of them. */
+const COMMAND_SOCKET_SHARE = 0.08;
+const MIN_COMMAND_SOCKETS = 10;
+
+/** This part of the store's limits, as they are and once the store has lowered them. */
+const rateSharesOf = (
+  { rps, writeRps, nextRps, nextWriteRps }: Settings['keyValueStoreLimits'],
+  { reads, writes }: { readonly reads: number; readonly writes: number },
+): RateShares => ({
+  rps: rps * reads,
+  writeRps: writeRps * writes,
+  lowered: { rps: nextRps * reads, writeRps: nextWriteRps * writes },
+});
+
+/** Logs an answer that is none of the protocol's once for each kind of request. */
+const makeMalformedAnswerLogger = (log: Log) => {
+  const logged = new Once();
+  return (service: string) =>
+    (request: string): void => {
+      if (logged.isFirst(`${service} ${request}`))
+        log.info({ service, request }, 'malformed answer');
+    };
+};
+
+/** What the caller provides; the rest is opened here and belongs to the controller, which closes it. */
+export type GivenDependencies = Pick<
+  Dependencies,
+  'settings' | 'policy' | 'log' | 'jitter' | 'extensions' | 'spawn'
+>;
+
+/** Opens the clients of the key-value store, the cloud, the workers and the peers. */
+export const createDependencies = (given: GivenDependencies): Dependencies => {
+  const { settings, log } = given;
+  const malformedAnswerFrom = makeMalformedAnswerLogger(log);
+  const nodes = settings.peers.length + 1;
+  const { allNodes, batches } = RATE_SHARES;
+  const nodeShare = { reads: allNodes.reads / nodes, writes: allNodes.writes / nodes };
+  const openStore = (share: { readonly reads: number; readonly writes: number }) =>
+    new KeyValueStoreClient(
+      settings.keyValueStore,
+      rateSharesOf(settings.keyValueStoreLimits, share),
+      malformedAnswerFrom('key-value store'),
+    );
+  const commandSockets = Math.floor(settings.quota.maxConnections * COMMAND_SOCKET_SHARE);
+  return {
+    ...given,
+    store: openStore(nodeShare),
+    batchStore: openStore(batches),
+    cloud: new CloudClient(settings.cloud, settings.cloudLimits.rps, malformedAnswerFrom('cloud')),
+    workers: new WorkerClient(Math.max(MIN_COMMAND_SOCKETS, commandSockets)),
+    peers: new Map(settings.peers.map((peer) => [peer.node, new Peer(peer.node, peer.at)])),
+    machineTypes: null,
+  };
+};
+
+/** Closes what `createDependencies` has opened. */
+export const closeDependencies = ({ store, batchStore, cloud, peers }: Dependencies): void => {
+  store.close();
+  batchStore.close();
+  cloud.close();
+  for (const peer of peers.values()) peer.close();
+};
--- a/src/service/dependencies.ts
+++ b/src/service/dependencies.ts
@@ -1,4 +1,4 @@
-/** What the parts of a controller share. */
+/** What the parts of a controller share: settings, logging, and the clients of the outside. */
 import type { CloudClient } from '../adapters/cloud/cloud-client.js';
 import type { Settings } from '../adapters/configuration/settings.js';
 import type { KeyValueStoreClient } from '../adapters/key-value-store/key-value-store-client.js';
@@ -11,21 +11,23 @@
 import type { MachineType } from '../core/model/machine.js';
 import type { Policy } from '../core/model/policy.js';
 
+/** Made once for each controller; all but the machine types stays as it is. */
 export interface Dependencies {
   readonly settings: Settings;
   readonly policy: Policy;
   readonly log: Log;
   readonly jitter: Jitter;
-  /** The leader's batches and admissions draw on separate shares of the write limit. */
+  /** For admissions and reads; it draws on another share of the write limit than the batches. */
   readonly store: KeyValueStoreClient;
+  /** For the leader's batches and watches. */
   readonly batchStore: KeyValueStoreClient;
   readonly cloud: CloudClient;
   readonly workers: WorkerClient;
   readonly peers: ReadonlyMap<NodeId, Peer>;
-  /** Optional packages that are enabled. */
+  /** Enabled extensions. */
   readonly extensions: readonly ExtensionModule[];
-  /** null until they are known. */
+  /** null until discovered; no submission is judged before. */
   machineTypes: readonly MachineType[] | null;
-  /** Work that goes on by itself; should it fail, the process ends. */
+  /** Runs work in the background; should it fail, the process ends. */
   readonly spawn: (name: string, work: () => Promise<void>) => void;
 }
--- /dev/null
+++ b/src/service/jobs/cancellation-service.ts
@@ -0,0 +1,61 @@
+/** Cancellation of jobs. The leader alone stores ends; a cancelled job is told of once stored. */
+import type { JobId } from '../../core/model/ids.js';
+import type { Dependencies } from '../dependencies.js';
+import type { LeaderTerm } from '../leader-term.js';
+import type { PeerMonitor } from '../peers/peer-monitor.js';
+import { requestCancellation } from '../peers/peer-requests.js';
+import type { LookupResult } from '../ports/user-api.js';
+import { jobKey } from '../stored-records.js';
+import type { CompletionCache } from './completion-cache.js';
+import type { JobQueryService } from './job-query-service.js';
+import { STORE_UNAVAILABLE } from './job-views.js';
+
+/** The second attempt follows once a job that the leader did not know was read from the store. */
+const MAX_ATTEMPTS = 2;
+
+/** Cancels jobs at any controller. */
+export class CancellationService {
+  constructor(
+    private readonly dependencies: Dependencies,
+    private readonly completions: CompletionCache,
+    private readonly queries: JobQueryService,
+    private readonly peerMonitor: PeerMonitor,
+    private readonly currentTerm: () => LeaderTerm | null,
+  ) {}
+
+  /** Cancels here if this node leads, else through the leader; a job found unfinished may be tried again. */
+  async cancel(id: JobId): Promise<LookupResult> {
+    const ended = this.completions.view(id);
+    if (ended) return { kind: 'found', job: ended };
+    if (this.currentTerm()) return this.cancelAsLeader(id);
+    const leader = this.peerMonitor.leaderPeer();
+    const job = leader && (await requestCancellation(leader, id));
+    if (job && this.completions.rememberIfEnded(job)) return { kind: 'found', job };
+    const stored = await this.queries.lookUpInStore(id);
+    const isUnfinished =
+      stored.kind === 'found' &&
+      (stored.job.status === 'queued' || stored.job.status === 'running');
+    return isUnfinished ? STORE_UNAVAILABLE : stored;
+  }
+
+  /** Cancels under this node's own term; unavailable when it has none, or no valid lease. */
+  async cancelAsLeader(id: JobId): Promise<LookupResult> {
+    const term = this.currentTerm();
+    if (term?.authority() !== 'lead') return STORE_UNAVAILABLE;
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
+      const result = await term.cancelJob(id);
+      if (result.kind === 'timed-out') return STORE_UNAVAILABLE;
+      if (result.kind === 'ended') {
+        const ended = this.completions.view(id);
+        return ended ? { kind: 'found', job: ended } : this.queries.lookUpInStore(id);
+      }
+      // Not known here: over, never accepted, or accepted elsewhere a moment ago.
+      const item = await this.dependencies.store.get(jobKey(id));
+      if (typeof item !== 'object') break;
+      term.addStoredJob(item.key, item.value, item.revision);
+    }
+    const stored = await this.queries.lookUpInStore(id);
+    const isQueued = stored.kind === 'found' && stored.job.status === 'queued';
+    return isQueued ? STORE_UNAVAILABLE : stored;
+  }
+}
--- /dev/null
+++ b/src/service/jobs/job-service.ts
@@ -0,0 +1,62 @@
+/** Users' requests at one controller: submission, queries and cancellation over one cache of ends. */
+import type { JobId, TeamName } from '../../core/model/ids.js';
+import type { Dependencies } from '../dependencies.js';
+import type { LeaderTerm } from '../leader-term.js';
+import type { PeerMonitor } from '../peers/peer-monitor.js';
+import type {
+  ExplainResult,
+  ListResult,
+  LookupResult,
+  SubmissionRequest,
+  SubmissionResult,
+  UserApi,
+} from '../ports/user-api.js';
+import { CancellationService } from './cancellation-service.js';
+import { CompletionCache } from './completion-cache.js';
+import { JobQueryService } from './job-query-service.js';
+import { SubmissionService } from './submission-service.js';
+
+/** Implements the users' port by the three services; peers' requests reach these directly. */
+export class JobService implements UserApi {
+  readonly completions = new CompletionCache();
+  readonly queries: JobQueryService;
+  readonly submissions: SubmissionService;
+  readonly cancellations: CancellationService;
+
+  constructor(
+    dependencies: Dependencies,
+    peerMonitor: PeerMonitor,
+    currentTerm: () => LeaderTerm | null,
+  ) {
+    const { completions } = this;
+    this.queries = new JobQueryService(dependencies, completions, peerMonitor, currentTerm);
+    this.submissions = new SubmissionService(dependencies, this.queries, peerMonitor, currentTerm);
+    this.cancellations = new CancellationService(
+      dependencies,
+      completions,
+      this.queries,
+      peerMonitor,
+      currentTerm,
+    );
+  }
+
+  submit(id: JobId, request: SubmissionRequest): Promise<SubmissionResult> {
+    return this.submissions.submit(id, request);
+  }
+
+  lookUp(id: JobId): Promise<LookupResult> {
+    return this.queries.lookUp(id);
+  }
+
+  explain(id: JobId): Promise<ExplainResult> {
+    return this.queries.explain(id);
+  }
+
+  list(team: TeamName): Promise<ListResult> {
+    return this.queries.list(team);
+  }
+
+  cancel(id: JobId): Promise<LookupResult> {
+    return this.cancellations.cancel(id);
+  }
+}
--- /dev/null
+++ b/src/service/jobs/submission-service.ts
@@ -0,0 +1,138 @@
+/** Submission of jobs: feasibility, and admission by a write to the key-value store. */
+import type {
+  Mutation,
+  Precondition,
+} from '../../adapters/key-value-store/key-value-store-client.js';
+import type { Peer } from '../../adapters/peers/peer-link.js';
+import { sleep } from '../../adapters/runtime/clock.js';
+import type { JobId, Revision } from '../../core/model/ids.js';
+import type { Dependencies } from '../dependencies.js';
+import type { LeaderTerm } from '../leader-term.js';
+import type { PeerMonitor } from '../peers/peer-monitor.js';
+import { requestAdmission } from '../peers/peer-requests.js';
+import type { SubmissionRefusal, SubmissionRequest, SubmissionResult } from '../ports/user-api.js';
+import { completionKey, encodeJob, type JobRecord, jobKey } from '../stored-records.js';
+import type { JobQueryService } from './job-query-service.js';
+import { STORE_UNAVAILABLE, viewOfAcceptedJob } from './job-views.js';
+import { findInfeasibility } from './submission-validation.js';
+
+/** Attempts at an admission that is refused for the rate, within what a user waits for. */
+const MAX_ADMISSION_ATTEMPTS = 3;
+const ADMISSION_RETRY_MS = 150;
+/** How long an admission waits for its share of the write rate. */
+const ADMISSION_QUEUE_MS = 500;
+/** How long the store's answer to an admission is waited for. */
+const ADMISSION_TIMEOUT_MS = 1500;
+
+const TOO_LARGE: SubmissionRefusal = {
+  kind: 'infeasible',
+  reason: 'the description is larger than what the state service takes',
+};
+
+/** Accepts jobs at any controller. A job is accepted when its record is stored, never before. */
+export class SubmissionService {
+  private nextPeerIndex = 0;
+
+  constructor(
+    private readonly dependencies: Dependencies,
+    private readonly queries: JobQueryService,
+    private readonly peerMonitor: PeerMonitor,
+    private readonly currentTerm: () => LeaderTerm | null,
+  ) {}
+
+  /** An accepted id is answered as known, even if the body is wrong this time. */
+  async submit(id: JobId, request: SubmissionRequest): Promise<SubmissionResult> {
+    const known = this.queries.viewLocally(id);
+    if (known) return { kind: 'already-known', job: known };
+    if ('fault' in request) return this.refuse(id, { kind: 'malformed', reason: request.fault });
+    const { machineTypes, settings, store } = this.dependencies;
+    if (!machineTypes) return { kind: 'unavailable', reason: 'machine types not known yet' };
+    const reason = findInfeasibility(request, settings.teams.get(request.team), machineTypes);
+    if (reason !== null) return this.refuse(id, { kind: 'infeasible', reason });
+    const record: JobRecord = { acceptedAt: Date.now(), spec: request };
+    const size = Buffer.byteLength(JSON.stringify(encodeJob(record)));
+    if (size > settings.keyValueStoreLimits.maxValueBytes) return this.refuse(id, TOO_LARGE);
+    return store.isDown
+      ? this.admitThroughPeer(record, this.peerMonitor.reachablePeer())
+      : this.admit(record, { mayAskPeer: true });
+  }
+
+  /**
+   * Stores the job's record. `mayAskPeer` is false for what a peer has passed on: an admission is
+   * passed on only once.
+   */
+  async admit(
+    record: JobRecord,
+    { mayAskPeer }: { readonly mayAskPeer: boolean },
+  ): Promise<SubmissionResult> {
+    const { store, jitter } = this.dependencies;
+    const { id } = record.spec;
+    const key = jobKey(id);
+    const absent = 0 as Revision;
+    const preconditions: Precondition[] = [
+      { key, revision: absent },
+      { key: completionKey(id), revision: absent },
+    ];
+    const mutations: Mutation[] = [{ put: key, value: encodeJob(record) }];
+    const write = () =>
+      store.compareAndSwap(preconditions, mutations, ADMISSION_QUEUE_MS, ADMISSION_TIMEOUT_MS);
+    let result = await write();
+    for (
+      let attempt = 1;
+      attempt < MAX_ADMISSION_ATTEMPTS && result === 'refused' && !store.isDown;
+      attempt += 1
+    ) {
+      // The load balancer does not spread users evenly: a peer may have some of its share of the
+      // rate left.
+      if (mayAskPeer && attempt === 1) {
+        const passedOn = await this.admitThroughPeer(record, this.nextPeer());
+        if (passedOn.kind !== 'unavailable') return passedOn;
+      } else await sleep(jitter.around(ADMISSION_RETRY_MS));
+      result = await write();
+    }
+    return this.concludeAdmission(record, result);
+  }
+
+  private async concludeAdmission(
+    record: JobRecord,
+    result: Awaited<ReturnType<Dependencies['store']['compareAndSwap']>>,
+  ): Promise<SubmissionResult> {
+    const { id } = record.spec;
+    if (typeof result === 'object') {
+      this.currentTerm()?.addAdmittedJob(record, result.revision);
+      return { kind: 'accepted', job: viewOfAcceptedJob(record.spec) };
+    }
+    // The store's limit has fallen below what the settings say.
+    if (result === 'too-large') return this.refuse(id, TOO_LARGE);
+    if (result === 'conflict' || (result === 'unknown' && !this.dependencies.store.isDown)) {
+      const stored = await this.queries.lookUpInStore(id);
+      if (stored.kind === 'found') return { kind: 'already-known', job: stored.job };
+    }
+    return STORE_UNAVAILABLE;
+  }
+
+  /** Peers in turn, so that no single one gets all that is passed on. */
+  private nextPeer(): Peer | null {
+    const peers = [...this.dependencies.peers.values()];
+    return peers[this.nextPeerIndex++ % Math.max(1, peers.length)] ?? null;
+  }
+
+  /** Has a peer write the job; it counts as accepted only on that peer's word. */
+  private async admitThroughPeer(record: JobRecord, peer: Peer | null): Promise<SubmissionResult> {
+    const admission = peer && (await requestAdmission(peer, record));
+    return admission ?? STORE_UNAVAILABLE;
+  }
+
+  /** A bad repeat of an accepted job is still answered with the job. */
+  private async refuse(id: JobId, refusal: SubmissionRefusal): Promise<SubmissionResult> {
+    const known = await this.queries.lookUp(id);
+    switch (known.kind) {
+      case 'found':
+        return { kind: 'already-known', job: known.job };
+      case 'not-found':
+        return refusal;
+      case 'unavailable':
+        return known;
+    }
+  }
+}
--- /dev/null
+++ b/src/service/machine-type-discovery.ts
@@ -0,0 +1,64 @@
+/** Finds the machine types that the cloud offers, without which no submission can be judged. */
+import { sleep } from '../adapters/runtime/clock.js';
+import type { Revision } from '../core/model/ids.js';
+import type { MachineType } from '../core/model/machine.js';
+import type { Dependencies } from './dependencies.js';
+import { decodeMachineTypes, MACHINE_TYPES_KEY } from './stored-records.js';
+
+const RETRY_MS = 700;
+
+/**
+ * Reads the machine types from the key-value store or the cloud, whichever answers first, so that a
+ * node that starts while one of them is away need not wait for it.
+ */
+export class MachineTypeDiscovery {
+  private isStopped = false;
+
+  constructor(
+    private readonly dependencies: Dependencies,
+    private readonly onDiscovered: (types: readonly MachineType[]) => void,
+  ) {}
+
+  stop(): void {
+    this.isStopped = true;
+  }
+
+  /** Ends once the types are known. */
+  async run(): Promise<void> {
+    const { dependencies } = this;
+    while (!this.isStopped && !dependencies.machineTypes) {
+      const storedItem = this.readStored();
+      const listed = await dependencies.cloud.listMachineTypes();
+      if (listed) this.use(listed);
+      if (listed && this.fitsStore(listed) && (await storedItem) === 'absent')
+        await this.store(listed);
+      await storedItem;
+      if (!dependencies.machineTypes) await sleep(dependencies.jitter.around(RETRY_MS));
+    }
+  }
+
+  private use(types: readonly MachineType[]): void {
+    this.dependencies.machineTypes = types;
+    this.onDiscovered(types);
+  }
+
+  private async readStored() {
+    const item = await this.dependencies.store.get(MACHINE_TYPES_KEY);
+    const types = typeof item === 'object' ? decodeMachineTypes(item.value) : null;
+    if (types && !this.dependencies.machineTypes) this.use(types);
+    return item;
+  }
+
+  /** Types that are larger than a value may be are left out: the cloud tells them too. */
+  private fitsStore(types: readonly MachineType[]): boolean {
+    const { maxValueBytes } = this.dependencies.settings.keyValueStoreLimits;
+    return Buffer.byteLength(JSON.stringify(types)) <= maxValueBytes;
+  }
+
+  private async store(types: readonly MachineType[]): Promise<void> {
+    await this.dependencies.store.compareAndSwap(
+      [{ key: MACHINE_TYPES_KEY, revision: 0 as Revision }],
+      [{ put: MACHINE_TYPES_KEY, value: types }],
+    );
+  }
+}
--- /dev/null
+++ b/src/service/peers/peer-request-handler.ts
@@ -0,0 +1,68 @@
+/** Answers the questions of other controllers. None of them is passed on a second time. */
+import type { Question } from '../../adapters/peers/peer-link.js';
+import type { OperatorAnswer } from '../../core/extensions/extension.js';
+import type { JobId, TeamName } from '../../core/model/ids.js';
+import type { Dependencies } from '../dependencies.js';
+import type { JobService } from '../jobs/job-service.js';
+import { STORE_UNAVAILABLE } from '../jobs/job-views.js';
+import type { LeaderTerm } from '../leader-term.js';
+import type { JobView } from '../ports/user-api.js';
+import { decodeJob } from '../stored-records.js';
+import { encodeAdmission, encodeHealth, encodeLookup } from './peer-messages.js';
+import type { PeerMonitor } from './peer-monitor.js';
+
+/** One handler for each kind of question; null is the answer where this node has none. */
+export class PeerRequestHandler {
+  constructor(
+    private readonly dependencies: Dependencies,
+    private readonly jobs: JobService,
+    private readonly peerMonitor: PeerMonitor,
+    private readonly currentTerm: () => LeaderTerm | null,
+  ) {}
+
+  async handle(question: Question): Promise<unknown> {
+    const job = question.job as JobId | undefined;
+    switch (question.ask) {
+      case 'status':
+        return job ? this.jobs.queries.viewLocally(job) : null;
+      case 'abort':
+        return this.handleCancellation(job);
+      case 'explain':
+        return job ? this.jobs.queries.explainLocally(job) : null;
+      case 'list':
+        return question.team ? this.jobs.queries.listLocally(question.team as TeamName) : null;
+      case 'operate':
+        return this.handleOperatorCall(question);
+      case 'health':
+        return encodeHealth(this.peerMonitor.health());
+      case 'look':
+        return job ? this.handleLookup(job) : null;
+      case 'admit':
+        return this.handleAdmission(question.record);
+      default:
+        return question.ask satisfies never;
+    }
+  }
+
+  private async handleCancellation(job: JobId | undefined): Promise<JobView | string> {
+    if (!job || !this.currentTerm()) return encodeLookup(STORE_UNAVAILABLE);
+    return encodeLookup(await this.jobs.cancellations.cancelAsLeader(job));
+  }
+
+  private handleOperatorCall({ extension, call }: Question): Promise<OperatorAnswer | null> | null {
+    const term = this.currentTerm();
+    if (!term || extension === undefined || call === undefined) return null;
+    return term.handleOperatorCall(extension, call);
+  }
+
+  private async handleLookup(job: JobId): Promise<JobView | string> {
+    const local = this.jobs.queries.viewLocally(job);
+    return local ?? encodeLookup(await this.jobs.queries.lookUpInStore(job));
+  }
+
+  private async handleAdmission(stored: unknown): Promise<object | null> {
+    const record = decodeJob(stored);
+    if (!record || this.dependencies.store.isDown) return null;
+    return encodeAdmission(await this.jobs.submissions.admit(record, { mayAskPeer: false }));
+  }
+}
--- a/test/api-limits.test.ts
+++ b/test/api-limits.test.ts
@@ -2,11 +2,12 @@
 import pino from 'pino';
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { parseSettings } from '../src/adapters/configuration/settings.js';
-import { MAX_IN_FLIGHT, makeApi, serveApi } from '../src/adapters/http/api-server.js';
+import { makeApi } from '../src/adapters/http/api.js';
+import { MAX_REQUESTS_IN_FLIGHT, serveApi } from '../src/adapters/http/api-server.js';
 import type { JobId, ReplyTicket } from '../src/core/model/ids.js';
 import type { Instant } from '../src/core/model/time.js';
 import { CommandLoop } from '../src/service/command-loop.js';
-import type { Controller } from '../src/service/controller.js';
+import type { ControllerApi } from '../src/service/ports/controller-api.js';
 import { core } from './model/build.js';
 import { post } from './stand-ins/cloud.js';
 import { cleanUp, cleanups, freePort, log, until } from './stand-ins/cluster.js';
@@ -20,7 +21,8 @@
     const settings = parseSettings(settingsText({ api_addr: `127.0.0.1:${port}` }));
     const lines: string[] = [];
     const told = pino({ level: 'info' }, { write: (line: string) => lines.push(line) });
-    const server = serveApi(settings, makeApi({} as Controller, told), told);
+    const app = makeApi({ extensions: [] } as unknown as ControllerApi, told);
+    const server = serveApi({ settings, app, log: told });
     cleanups.push(
       () => server.close(),
       () => server.closeAllConnections(),
@@ -46,17 +48,17 @@
       if (!fast) await new Promise<void>((resolve) => held.push(resolve));
       return c.json({});
     });
-    const server = serveApi(settings, app, log);
+    const server = serveApi({ settings, app, log });
     cleanups.push(
       () => server.close(),
       () => server.closeAllConnections(),
     );
     const at = `127.0.0.1:${port}`;
     await until(() => server.listening);
-    const waiting = Array.from({ length: MAX_IN_FLIGHT }, () =>
+    const waiting = Array.from({ length: MAX_REQUESTS_IN_FLIGHT }, () =>
       post(at, '/slow', undefined, 'GET'),
     );
-    await until(() => held.length === MAX_IN_FLIGHT);
+    await until(() => held.length === MAX_REQUESTS_IN_FLIGHT);
     const refused = await post(at, '/slow', undefined, 'GET');
     expect([refused?.status, refused?.headers['retry-after']]).toEqual([503, '1']);
     fast = true;
--- a/test/check-ins.test.ts
+++ b/test/check-ins.test.ts
@@ -2,13 +2,14 @@
 import { connect, type Socket } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
 import { parseSettings } from '../src/adapters/configuration/settings.js';
-import { makeApi, serveApi } from '../src/adapters/http/api-server.js';
-import type { HeartbeatReply } from '../src/adapters/http/heartbeat-connections.js';
+import type { HeartbeatReply } from '../src/adapters/http/answers.js';
+import { makeApi } from '../src/adapters/http/api.js';
+import { serveApi } from '../src/adapters/http/api-server.js';
+import { type Framing, frameHeartbeat } from '../src/adapters/http/heartbeat-framing.js';
 import { makeHeartbeatHandler } from '../src/adapters/http/heartbeat-handler.js';
-import { type Framing, frameHeartbeat } from '../src/adapters/http/plain-request.js';
 import { HeartbeatParser, parseHeartbeat } from '../src/adapters/workers/heartbeat-parser.js';
 import type { Heartbeat } from '../src/core/model/heartbeat.js';
-import type { Controller } from '../src/service/controller.js';
+import type { ControllerApi } from '../src/service/ports/controller-api.js';
 import { post } from './stand-ins/cloud.js';
 import { cleanUp, cleanups, freePort, log, until } from './stand-ins/cluster.js';
 import { settingsText } from './stand-ins/settings.js';
@@ -94,13 +95,14 @@
   const bodies: string[] = [];
   const waiting: (() => void)[] = [];
   const control = { hold: false };
-  const checkIn = async (body: string): Promise<HeartbeatReply> => {
+  const handleHeartbeat = async (body: string): Promise<HeartbeatReply> => {
     bodies.push(body);
     if (control.hold) await new Promise<void>((resolve) => waiting.push(resolve));
     return { status: 200, body: { got: body } };
   };
-  const controller = { isReady: () => true } as unknown as Controller;
-  const server = serveApi(settings, makeApi(controller, log, checkIn), log, checkIn);
+  const controller = { isReady: () => true, extensions: [] } as unknown as ControllerApi;
+  const app = makeApi(controller, log, handleHeartbeat);
+  const server = serveApi({ settings, app, log, handleHeartbeat });
   cleanups.push(
     () => server.close(),
     () => server.closeAllConnections(),
@@ -189,9 +191,13 @@
     const port = await freePort();
     const settings = parseSettings(settingsText({ api_addr: `127.0.0.1:${port}` }));
     let decision: unknown = { kind: 'unavailable' };
-    const controller = { handleHeartbeat: async () => decision } as unknown as Controller;
-    const checkIn = makeHeartbeatHandler(controller, log);
-    const server = serveApi(settings, makeApi(controller, log, checkIn), log, checkIn);
+    const controller = {
+      handleHeartbeat: async () => decision,
+      extensions: [],
+    } as unknown as ControllerApi;
+    const handleHeartbeat = makeHeartbeatHandler(controller, log);
+    const app = makeApi(controller, log, handleHeartbeat);
+    const server = serveApi({ settings, app, log, handleHeartbeat });
     cleanups.push(
       () => server.close(),
       () => server.closeAllConnections(),
--- a/test/pinned-http.test.ts
+++ b/test/pinned-http.test.ts
@@ -135,7 +135,7 @@
   const server = startApi(settings, controller, log);
   const peers = servePeers(
     settings.peerAddress,
-    (question) => controller.respond(question),
+    (question) => controller.handlePeerRequest(question),
     () => {},
   );
   controller.start();
--- a/test/stand-ins/cluster.ts
+++ b/test/stand-ins/cluster.ts
@@ -94,7 +94,7 @@
     const api = startApi(settings, controller, told);
     const peers: Server = servePeers(
       settings.peerAddress,
-      (q) => controller.respond(q),
+      (q) => controller.handlePeerRequest(q),
       () => {},
     );
     controller.start();
--- a/test/standing.test.ts
+++ b/test/standing.test.ts
@@ -181,7 +181,7 @@
     await until(() => cloud.workers.size > 0);
     cloud.odd = true;
     state.multi({ Apply: [{ Write: 'j/job-000077', Data: { odd: true } }] });
-    const told = () => lines.filter((l) => l.includes('answer of an unknown form'));
+    const told = () => lines.filter((l) => l.includes('malformed answer'));
     // More than the machines that may have been rented before the cloud became odd can do in that time.
     cloud.taskMs = 500;
     await post(at, '/api/jobs', body('job-1', { Pieces: 300, Cpus: 8 }));
