--- a/src/adapters/http/answers.ts
+++ b/src/adapters/http/answers.ts
@@ -1,6 +1,6 @@
 /**
- * The one place that maps results and errors to HTTP statuses and bodies. Clients know both, down to
- * the words.
+ * The one place that maps results and errors to HTTP statuses and bodies. Clients rely on both, and
+ * on the words.
  */
 import type { OperatorAnswer } from '../../core/extensions/extension.js';
 import type { HeartbeatDecision } from '../../service/ports/heartbeat-service.js';
--- a/src/adapters/http/api-server.ts
+++ b/src/adapters/http/api-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server of one controller: its connections, their limits, and heartbeats ahead of all else. */
+/** The HTTP server of one controller: its connections and their limits. */
 import { type RequestListener, Server } from 'node:http';
 import type { Socket } from 'node:net';
 import type { ControllerApi } from '../../service/ports/controller-api.js';
@@ -18,7 +18,7 @@
 
 /** Users' requests under way beyond which new ones are turned away: memory is bounded by it. */
 export const MAX_REQUESTS_IN_FLIGHT = 400;
-/** Share of all sockets; the rest is for the outside services, the peers and commands sent to workers. */
+/** Share of all sockets; the rest is for outside services, peers and commands sent to workers. */
 const API_SOCKET_SHARE = 0.85;
 const MIN_API_SOCKETS = 10;
 const REQUEST_TIMEOUT_MS = 20_000;
@@ -90,8 +90,8 @@
 export const serveApi = ({ settings, app, log, handleHeartbeat }: ServedApi): Server => {
   const server = new ApiServer(limitInFlight(listenerOf(app)));
   // A worker or user that has gone elsewhere, or whose machine is gone, may leave its connection
-  // open for good. What has been silent for a lease is closed, so that a whole fleet that comes back
-  // by new connections finds room.
+  // open for good. What has been silent for a lease is closed, so that a whole fleet that comes
+  // back by new connections finds room.
   const idleMs = Math.max(MIN_IDLE_TIMEOUT_MS, settings.workers.leaseS * 1000);
   server.keepAliveTimeout = idleMs;
   server.headersTimeout = REQUEST_TIMEOUT_MS;
--- a/src/adapters/http/api.ts
+++ b/src/adapters/http/api.ts
@@ -11,7 +11,7 @@
 import { addOperatorRoutes } from './operator-routes.js';
 import { MAX_HEARTBEAT_BYTES, readText } from './request-body.js';
 
-/** All routes. Heartbeats come here only if they are no plain requests: see `HeartbeatConnection`. */
+/** All routes. Only heartbeats that are not plain requests come here: see `HeartbeatConnection`. */
 export const makeApi = (
   controller: ControllerApi,
   log: Log,
--- a/src/adapters/http/heartbeat-connections.ts
+++ b/src/adapters/http/heartbeat-connections.ts
@@ -39,6 +39,7 @@
   );
 };
 
+/** One connection, until it closes or is handed over. Answers one request at a time. */
 class HeartbeatConnection {
   /** Bytes that have come and are not yet read as a request. */
   private unread: Buffer | null = null;
@@ -125,7 +126,7 @@
   }
 }
 
-/** Takes a new connection; `handOver` gets its bytes once it brings anything but plain heartbeats. */
+/** Takes a new connection; `handOver` gets its bytes once it brings anything but heartbeats. */
 export const acceptHeartbeats = (
   socket: Socket,
   handle: HeartbeatHandler,
--- a/src/adapters/http/heartbeat-handler.ts
+++ b/src/adapters/http/heartbeat-handler.ts
@@ -21,7 +21,7 @@
   return { machineId: String(id).slice(0, MAX_LOGGED_ID_LENGTH), reason: 'fields' };
 };
 
-/** The handler of heartbeats; it answers 400 to what is none, and logs that once for each machine. */
+/** The handler of heartbeats; it answers 400 to what is none, and logs it once for each machine. */
 export const makeHeartbeatHandler = (service: HeartbeatService, log: Log): HeartbeatHandler => {
   const parser = new HeartbeatParser();
   const logged = new Once();
--- a/src/adapters/http/hono-listener.ts
+++ b/src/adapters/http/hono-listener.ts
@@ -41,8 +41,8 @@
 }
 
 /**
- * Of a request, routing looks at the method and the address only. HEAD is routed as GET: Node leaves
- * the body out by itself, while Hono would make a `Response` for it.
+ * Of a request, routing looks at the method and the address only. HEAD is routed as GET: Node
+ * leaves the body out by itself, while Hono would make a `Response` for it.
  */
 const toRoutableRequest = ({ url = '/', method }: IncomingMessage): Request => {
   const absolute = url.startsWith('/') ? `http://localhost${url}` : url;
--- a/src/adapters/http/request-body.ts
+++ b/src/adapters/http/request-body.ts
@@ -14,7 +14,7 @@
 const BODY_TOO_LARGE: JsonBody = { kind: 'malformed', reason: 'body too large' };
 const NOT_JSON: JsonBody = { kind: 'malformed', reason: 'body is not JSON' };
 
-/** The whole body as text, or null when it is longer than allowed; rejects if the client hangs up. */
+/** The whole body as text, null when it is longer than allowed; rejects if the client hangs up. */
 export const readText = (request: IncomingMessage, maxBytes: number): Promise<string | null> =>
   new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -22,7 +22,13 @@
   const { settings, policy, extensions } = await loadFiles(files);
   const log = createLog(settings.node);
   process.on('uncaughtException', (error) => exitWith(log, 'uncaught exception', error));
-  const controller = new Controller(settings, policy, log, new Jitter(jitterSeed()), extensions);
+  const controller = new Controller({
+    settings,
+    policy,
+    log,
+    jitter: new Jitter(jitterSeed()),
+    extensions,
+  });
   startApi(settings, controller, log);
   const droppedForReason = new Once();
   servePeers(
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -25,10 +25,21 @@
 import type { ControllerApi } from './ports/controller-api.js';
 import type { HeartbeatDecision } from './ports/heartbeat-service.js';
 
-/** Joins the parts of a controller and owns the current term of leadership, if this node has one. */
+/** What a controller is started with. */
+export interface ControllerOptions {
+  readonly settings: Settings;
+  readonly policy: Policy;
+  readonly log: Log;
+  readonly jitter: Jitter;
+  /** Enabled extensions; none unless given. */
+  readonly extensions?: readonly ExtensionModule[];
+}
+
+/** Joins the parts of a controller, and owns the term of leadership while this node has one. */
 export class Controller implements ControllerApi {
   readonly election: LeaderElection;
   readonly users: JobService;
+  readonly extensions: readonly ExtensionModule[];
   private readonly dependencies: Dependencies;
   private readonly peerMonitor: PeerMonitor;
   private readonly peerRequests: PeerRequestHandler;
@@ -36,19 +47,15 @@
   private leaderTerm: LeaderTerm | null = null;
   private isStopped = false;
 
-  constructor(
-    settings: Settings,
-    policy: Policy,
-    log: Log,
-    jitter: Jitter,
-    readonly extensions: readonly ExtensionModule[] = [],
-  ) {
+  constructor(options: ControllerOptions) {
+    const { settings, policy, log, jitter } = options;
+    this.extensions = options.extensions ?? [];
     const dependencies = createDependencies({
       settings,
       policy,
       log,
       jitter,
-      extensions,
+      extensions: this.extensions,
       spawn: (name, work) => this.spawn(name, work),
     });
     this.dependencies = dependencies;
--- a/src/service/create-dependencies.ts
+++ b/src/service/create-dependencies.ts
@@ -43,7 +43,7 @@
     };
 };
 
-/** What the caller provides; the rest is opened here and belongs to the controller, which closes it. */
+/** What the caller provides; the rest is opened here, and closed by `closeDependencies`. */
 export type GivenDependencies = Pick<
   Dependencies,
   'settings' | 'policy' | 'log' | 'jitter' | 'extensions' | 'spawn'
--- a/src/service/jobs/cancellation-service.ts
+++ b/src/service/jobs/cancellation-service.ts
@@ -23,7 +23,7 @@
     private readonly currentTerm: () => LeaderTerm | null,
   ) {}
 
-  /** Cancels here if this node leads, else through the leader; a job found unfinished may be tried again. */
+  /** Cancels here if this node leads, else through the leader; idempotent. */
   async cancel(id: JobId): Promise<LookupResult> {
     const ended = this.completions.view(id);
     if (ended) return { kind: 'found', job: ended };
--- a/src/service/jobs/job-query-service.ts
+++ b/src/service/jobs/job-query-service.ts
@@ -38,7 +38,7 @@
     return term?.authority() === 'lead' ? term : null;
   }
 
-  /** What this node may say by itself: stored ends and, as leader with a valid lease, all it knows. */
+  /** What this node may say alone: stored ends and, as leader with a valid lease, all it knows. */
   viewLocally(id: JobId): JobView | null {
     const ended = this.completions.view(id);
     if (ended) return ended;
@@ -68,7 +68,7 @@
     return { id, team: '' as TeamName, status: 'queued', done: 0, running: 0, waiting };
   }
 
-  /** Here, from the leader, from the store, or from a peer that reaches the store, in this order. */
+  /** From here, the leader, the store, or a peer that reaches the store, in this order. */
   async lookUp(id: JobId): Promise<LookupResult> {
     const local = this.viewLocally(id);
     if (local) return { kind: 'found', job: local };
--- a/src/service/jobs/job-service.ts
+++ b/src/service/jobs/job-service.ts
@@ -1,4 +1,4 @@
-/** Users' requests at one controller: submission, queries and cancellation over one cache of ends. */
+/** Users' requests at one controller: submission, queries and cancellation. */
 import type { JobId, TeamName } from '../../core/model/ids.js';
 import type { Dependencies } from '../dependencies.js';
 import type { LeaderTerm } from '../leader-term.js';
@@ -16,7 +16,7 @@
 import { JobQueryService } from './job-query-service.js';
 import { SubmissionService } from './submission-service.js';
 
-/** Implements the users' port by the three services; peers' requests reach these directly. */
+/** The users' port over three services with one cache; peers' requests reach these directly. */
 export class JobService implements UserApi {
   readonly completions = new CompletionCache();
   readonly queries: JobQueryService;
--- a/src/service/peers/peer-monitor.ts
+++ b/src/service/peers/peer-monitor.ts
@@ -25,7 +25,7 @@
 export class PeerMonitor {
   /** Workers that have turned to this node while it did not lead, and when. */
   private readonly redirectedWorkers = new Map<MachineId, number>();
-  /** Peers that the store answered at the last poll; looked at while it does not answer this node. */
+  /** Peers that the store answered at the last poll; for when it does not answer this node. */
   private peersReachingStore: readonly Peer[] = [];
   /** Since when neither the store nor any peer answers. */
   private isolatedSince: Instant | null = null;
--- a/test/api-limits.test.ts
+++ b/test/api-limits.test.ts
@@ -1,3 +1,4 @@
+/** Limits of the HTTP interface and of the command loop behind it, under floods and overload. */
 import { Hono } from 'hono';
 import pino from 'pino';
 import { afterEach, describe, expect, it, vi } from 'vitest';
@@ -15,29 +16,29 @@
 
 afterEach(cleanUp);
 
-describe('malformed reports', () => {
-  it('are refused each time and logged once for each machine, however often they come', async () => {
+describe('malformed heartbeats', () => {
+  it('are refused each time, and logged once for each machine', async () => {
     const port = await freePort();
     const settings = parseSettings(settingsText({ api_addr: `127.0.0.1:${port}` }));
     const lines: string[] = [];
-    const told = pino({ level: 'info' }, { write: (line: string) => lines.push(line) });
-    const app = makeApi({ extensions: [] } as unknown as ControllerApi, told);
-    const server = serveApi({ settings, app, log: told });
+    const captured = pino({ level: 'info' }, { write: (line: string) => lines.push(line) });
+    const app = makeApi({ extensions: [] } as unknown as ControllerApi, captured);
+    const server = serveApi({ settings, app, log: captured });
     cleanups.push(
       () => server.close(),
       () => server.closeAllConnections(),
     );
     for (let i = 0; i < 5; i += 1) {
-      for (const bad of [{ Berth: 'n-1' }, { Berth: 'n-2' }, 'not json', null]) {
-        expect((await post(`127.0.0.1:${port}`, '/checkin', bad))?.status).toBe(400);
+      for (const malformed of [{ Berth: 'n-1' }, { Berth: 'n-2' }, 'not json', null]) {
+        expect((await post(`127.0.0.1:${port}`, '/checkin', malformed))?.status).toBe(400);
       }
     }
     expect(lines).toHaveLength(4);
   });
 });
 
-describe('under overload', () => {
-  it('turns users away at once beyond a bound, with Retry-After, and serves again when there is room', async () => {
+describe('overload', () => {
+  it('turns users away beyond a bound with Retry-After, and serves again once there is room', async () => {
     const port = await freePort();
     const given = parseSettings(settingsText({ api_addr: `127.0.0.1:${port}` }));
     const settings = { ...given, quota: { ...given.quota, maxConnections: 1000 } };
@@ -68,12 +69,12 @@
     expect(server.maxConnections).toBeLessThan(settings.quota.maxConnections);
   });
 
-  it('answers within one long turn of the event loop, as when a whole fleet reports after a takeover', () => {
+  it('settles commands within one long turn of the event loop, as after a failover', () => {
     vi.useFakeTimers();
     cleanups.push(() => vi.useRealTimers());
     let clock = 0;
     let settled = 0;
-    const loop = new CommandLoop({
+    const commandLoop = new CommandLoop({
       core: core(),
       authority: () => 'lead',
       runEffect: (effect) => {
@@ -81,11 +82,11 @@
       },
       clock: () => clock as Instant,
     });
-    loop.start([]);
+    commandLoop.start([]);
     vi.advanceTimersByTime(1);
     // No timer fires while the turn lasts.
     for (let i = 0; i < 500; i += 1) {
-      loop.submit({ kind: 'cancel-job', job: 'job-1' as JobId, ticket: 1 as ReplyTicket });
+      commandLoop.submit({ kind: 'cancel-job', job: 'job-1' as JobId, ticket: 1 as ReplyTicket });
       clock += 8;
     }
     expect(settled).toBeGreaterThan(400);
@@ -93,13 +94,13 @@
     expect(settled).toBe(500);
   });
 
-  it('widens its batches: what comes in while a round is paid off is decided together', () => {
+  it('decides together what comes in while the processor time of a round is paid off', () => {
     vi.useFakeTimers();
     cleanups.push(() => vi.useRealTimers());
     const steps: number[] = [];
     const state = core();
     let cost = 0;
-    const loop = new CommandLoop({
+    const commandLoop = new CommandLoop({
       core: state,
       authority: () => {
         // Stands for a costly decision: the clock moves on while it is made.
@@ -113,12 +114,12 @@
       clock: () => clock as Instant,
     });
     let clock = 0;
-    const abort = () =>
-      loop.submit({ kind: 'cancel-job', job: 'job-1' as JobId, ticket: 1 as ReplyTicket });
+    const cancelJob = () =>
+      commandLoop.submit({ kind: 'cancel-job', job: 'job-1' as JobId, ticket: 1 as ReplyTicket });
     const load = (every: number, count: number) => {
       steps.length = 0;
       for (let i = 0; i < count; i += 1) {
-        abort();
+        cancelJob();
         clock += every;
         const before = state.lastTickAt;
         steps.push(0);
@@ -127,7 +128,7 @@
       }
       return Math.max(...steps);
     };
-    loop.start([]);
+    commandLoop.start([]);
     vi.advanceTimersByTime(1);
     const light = load(2, 40);
     cost = 40;
--- a/test/check-ins.test.ts
+++ b/test/heartbeat-http.test.ts
@@ -1,4 +1,4 @@
-/** Check-ins: how plain requests are framed, what is left to the HTTP server, and what an unchanged report costs. */
+/** Heartbeats over HTTP: framing, what is left to the HTTP server, and the parser's memory. */
 import { connect, type Socket } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
 import { parseSettings } from '../src/adapters/configuration/settings.js';
@@ -27,8 +27,8 @@
 
 const kindOf = (text: string): Framing['kind'] => frameHeartbeat(Buffer.from(text), MAX_BODY).kind;
 
-describe('framing of a check-in', () => {
-  it('needs every byte of it, whatever the cuts', () => {
+describe('frameHeartbeat', () => {
+  it('reports a request as incomplete until its last byte has come', () => {
     const whole = request('{"a":1}');
     for (let n = 1; n < whole.length; n += 1) expect(kindOf(whole.slice(0, n))).toBe('incomplete');
     const framing = frameHeartbeat(Buffer.from(`${whole}POST`), MAX_BODY);
@@ -37,7 +37,7 @@
     expect(framing.close).toBe(false);
   });
 
-  it('leaves to the HTTP server what is anything but plain', () => {
+  it('leaves all but plain heartbeats to the HTTP server', () => {
     const others = [
       request('{}', [], 'GET /checkin HTTP/1.1'),
       request('{}', [], 'POST /checkin?x=1 HTTP/1.1'),
@@ -62,7 +62,7 @@
       expect([text.slice(0, 80), kindOf(text)]).toEqual([text.slice(0, 80), 'unsupported']);
   });
 
-  it('sees that the connection is to be closed', () => {
+  it('recognizes that the client wants the connection closed', () => {
     const framing = frameHeartbeat(Buffer.from(request('{}', ['Connection: Close'])), MAX_BODY);
     expect(framing).toMatchObject({ kind: 'request', close: true });
   });
@@ -88,7 +88,7 @@
 
 const answersIn = (text: string): number => text.split('HTTP/1.1 ').length - 1;
 
-/** An API whose check-ins say back what they got, once `release` is called where `hold` is set. */
+/** An API that answers a heartbeat with its body; with `hold`, once its `waiting` is called. */
 const echoServer = async () => {
   const port = await freePort();
   const settings = parseSettings(settingsText({ api_addr: `127.0.0.1:${port}` }));
@@ -108,17 +108,17 @@
     () => server.closeAllConnections(),
   );
   /** Requests that Node's HTTP server has seen, of whatever kind. */
-  const passed = { count: 0 };
+  const httpRequests = { count: 0 };
   server.on('request', () => {
-    passed.count += 1;
+    httpRequests.count += 1;
   });
   await until(() => server.listening);
-  return { port, bodies, waiting, control, passed };
+  return { port, bodies, waiting, control, httpRequests };
 };
 
-describe('connections of workers', () => {
-  it('answer one request after the other, also cut into single bytes or sent at once', async () => {
-    const { port, bodies, passed } = await echoServer();
+describe('heartbeat connections', () => {
+  it('answer one request after the other, cut into single bytes or sent at once', async () => {
+    const { port, bodies, httpRequests } = await echoServer();
     const { socket, text } = await dial(port);
     for (const byte of request('{"n":1}')) socket.write(byte);
     await until(() => answersIn(text()) === 1);
@@ -128,11 +128,11 @@
     );
     await until(() => answersIn(text()) === 3);
     expect(bodies).toEqual(['{"n":1}', '{"n":2}', '{"n":"\u00e4"}']);
-    expect(passed.count).toBe(0);
+    expect(httpRequests.count).toBe(0);
   });
 
-  it('hand over to the HTTP server whatever is no plain check-in, without losing a byte of it', async () => {
-    const { port, bodies, passed } = await echoServer();
+  it('hand all but plain heartbeats over to the HTTP server, without losing a byte', async () => {
+    const { port, bodies, httpRequests } = await echoServer();
     const { socket, text } = await dial(port);
     socket.write(request('{"n":1}'));
     await until(() => answersIn(text()) === 1);
@@ -148,11 +148,11 @@
     socket.write(request('{"n":3}'));
     await until(() => answersIn(text()) === 4);
     expect(bodies).toEqual(['{"n":1}', '{"n":2}', '{"n":3}']);
-    expect(passed.count).toBe(3);
+    expect(httpRequests.count).toBe(3);
     expect(text()).toContain('{"ok":true}');
   });
 
-  it('are closed when asked to be, and a worker that hangs up costs nothing', async () => {
+  it('close when asked to, and survive a worker that hangs up', async () => {
     const { port, control, waiting, bodies } = await echoServer();
     const asked = await dial(port);
     asked.socket.write(request('{}', ['Connection: close']));
@@ -175,7 +175,7 @@
     expect(bodies).toHaveLength(3);
   });
 
-  it('are cut off when they send on and on while they wait', async () => {
+  it('are closed when the worker keeps sending while it waits for its answer', async () => {
     const { port, control, waiting } = await echoServer();
     control.hold = true;
     const { socket, closed } = await dial(port);
@@ -187,7 +187,7 @@
     await until(() => closed());
   });
 
-  it('are answered as by the HTTP server: 400 for what is no report, 421, 503 with Retry-After', async () => {
+  it('answer as the HTTP server does: 400 for malformed, 421, 503 with Retry-After', async () => {
     const port = await freePort();
     const settings = parseSettings(settingsText({ api_addr: `127.0.0.1:${port}` }));
     let decision: unknown = { kind: 'unavailable' };
@@ -203,27 +203,27 @@
       () => server.closeAllConnections(),
     );
     const at = `127.0.0.1:${port}`;
-    const told = report(1, []);
+    const heartbeat = report(1, []);
     const answers: unknown[] = [];
-    const ask = async (body: unknown, chunked: boolean) => {
-      const line = chunked ? '/checkin?' : '/checkin';
-      const reply = await post(at, line, body);
+    const ask = async (body: unknown, viaHttpServer: boolean) => {
+      const path = viaHttpServer ? '/checkin?' : '/checkin';
+      const reply = await post(at, path, body);
       answers.push([reply?.status, reply?.body, reply?.headers['retry-after']]);
     };
-    for (const other of [false, true]) {
+    for (const viaHttpServer of [false, true]) {
       decision = { kind: 'unavailable' };
-      await ask(told, other);
+      await ask(heartbeat, viaHttpServer);
       decision = { kind: 'redirect', leader: 'node-1' };
-      await ask(told, other);
+      await ask(heartbeat, viaHttpServer);
       decision = { kind: 'redirect', leader: null };
-      await ask(told, other);
-      await ask('[1]', other);
+      await ask(heartbeat, viaHttpServer);
+      await ask('[1]', viaHttpServer);
       decision = {
         kind: 'commands',
         fencingToken: 7,
         commands: [{ op: 'reap', job: 'job-1', index: 2, attempt: 3 }],
       };
-      await ask(told, other);
+      await ask(heartbeat, viaHttpServer);
     }
     expect(answers.slice(0, 5)).toEqual([
       [503, { error: 'not now' }, '1'],
@@ -262,24 +262,24 @@
 /** As it comes from the wire: nothing is shared between two reports. */
 const fresh = <T>(value: T): T => JSON.parse(JSON.stringify(value)) as T;
 
-describe('reports', () => {
-  it('are checked only where they differ from the last one', () => {
-    const reader = new HeartbeatParser();
+describe('HeartbeatParser', () => {
+  it('validates only the attempts that differ from those of the last heartbeat', () => {
+    const parser = new HeartbeatParser();
     const tasks = Array.from({ length: 40 }, (_, n) => running(n));
-    reader.parse(fresh(report(1, tasks)));
-    expect(reader.checked).toBe(40);
-    for (let tick = 2; tick < 12; tick += 1) reader.parse(fresh(report(tick, tasks)));
-    expect(reader.checked).toBe(40);
+    parser.parse(fresh(report(1, tasks)));
+    expect(parser.checked).toBe(40);
+    for (let tick = 2; tick < 12; tick += 1) parser.parse(fresh(report(tick, tasks)));
+    expect(parser.checked).toBe(40);
     // One ends, one is gone, one is new.
     const changed = tasks.map((t, n) => (n === 5 ? { ...t, Status: 'ended', Cause: 'done' } : t));
     changed.splice(20, 1);
     changed.push(running(90));
-    reader.parse(fresh(report(12, changed)));
-    expect(reader.checked).toBe(42);
+    parser.parse(fresh(report(12, changed)));
+    expect(parser.checked).toBe(42);
   });
 
-  it('say the same whether remembered or read alone, whatever changes, and malformed ones are refused alike', () => {
-    const reader = new HeartbeatParser();
+  it('parses with its memory as without it, and refuses malformed heartbeats alike', () => {
+    const parser = new HeartbeatParser();
     let seed = 7;
     const draw = (n: number): number => {
       seed = (seed * 1_103_515_245 + 12_345) % 2_147_483_648;
@@ -297,11 +297,11 @@
         tasks = tasks.map((t, n) => (n === at ? { ...t, Status: status, ...cause } : t));
       }
       if (draw(9) === 0) tasks = [...tasks].reverse();
-      const bad = draw(12) === 0;
-      const body = report(tick, bad ? [...tasks, { ...running(1), Try: -1 }] : tasks);
+      const isMalformed = draw(12) === 0;
+      const body = report(tick, isMalformed ? [...tasks, { ...running(1), Try: -1 }] : tasks);
       const alone: Heartbeat | null = parseHeartbeat(fresh(body));
-      expect(reader.parse(fresh(body))).toEqual(alone);
-      if (bad) {
+      expect(parser.parse(fresh(body))).toEqual(alone);
+      if (isMalformed) {
         expect(alone).toBeNull();
         refused += 1;
       }
--- a/test/monotonic-reads.test.ts
+++ b/test/monotonic-reads.test.ts
@@ -1,6 +1,7 @@
 /**
- * Users ask at all nodes, again and again within milliseconds, and repeat the submission, right after a job was accepted, ended or
- * confirmed as cancelled: no node may then answer something older, whatever the state service and the controllers do meanwhile.
+ * Monotonic reads: users ask at all nodes, again and again within milliseconds, and repeat the
+ * submission, right after a job was accepted, ended or confirmed as cancelled. No node may then
+ * answer something older, whatever the key-value store and the controllers do meanwhile.
  */
 import { afterEach, describe, expect, it } from 'vitest';
 import { cleanUp, cluster, type Node, until } from './stand-ins/cluster.js';
@@ -10,8 +11,8 @@
 
 const leaderOf = (nodes: readonly Node[]) => nodes.find((n) => n.controller.authority() === 'lead');
 
-/** A job's life under close looks: accepted, cancelled or not, ended, and long after. */
-const live = async (users: Recorder, id: string, cancel: boolean): Promise<void> => {
+/** Follows a job by frequent queries: accepted, cancelled or not, ended, and long after. */
+const followJob = async (users: Recorder, id: string, cancel: boolean): Promise<void> => {
   await users.untilTold((at) => users.submission(id, at));
   const looks = users.look(id);
   if (cancel) {
@@ -28,23 +29,23 @@
   await users.look(id);
 };
 
-const lives = (users: Recorder, from: number, count: number) =>
+const followJobs = (users: Recorder, from: number, count: number) =>
   Promise.all(
     Array.from({ length: count }, async (_, i) => {
       await new Promise((resolve) => setTimeout(resolve, i * 15));
-      await live(users, `job-${from + i}`, i % 4 === 0);
+      await followJob(users, `job-${from + i}`, i % 4 === 0);
     }),
   );
 
-describe('no user is told something older, at any node', () => {
-  it('while transactions lose their answers, or are carried out late and after newer ones', async () => {
+describe('reads are monotonic across all nodes', () => {
+  it('while transactions lose their answers, or are executed late and after newer ones', async () => {
     const { nodes, state } = await cluster(3);
     const users = new Recorder(() => nodes.map((n) => n.at));
     state.loseEvery = 3;
-    await lives(users, 100, 12);
+    await followJobs(users, 100, 12);
     state.loseEvery = 0;
     state.lateEvery = 4;
-    await lives(users, 200, 12);
+    await followJobs(users, 200, 12);
     expect(users.problems).toEqual([]);
     expect(state.lost).toBeGreaterThan(5);
     expect(state.late).toBeGreaterThan(5);
@@ -53,16 +54,16 @@
     expect((users.said.queued ?? 0) + (users.said.running ?? 0)).toBeGreaterThan(50);
   });
 
-  it('while leaders change, controllers come back cold, and one is refused by the state service alone', async () => {
+  it('while leaders change, controllers restart, and the key-value store refuses one of them', async () => {
     const { nodes, fronts, start, cloud } = await cluster(3);
     cloud.taskMs = 60;
     const users = new Recorder(() => nodes.map((n) => n.at));
     let changes = 0;
-    let over = false;
-    const troubles = (async () => {
-      while (!over) {
-        const leader = await until(() => leaderOf(nodes) ?? over);
-        if (over || leader === true) return;
+    let isFinished = false;
+    const faults = (async () => {
+      while (!isFinished) {
+        const leader = await until(() => leaderOf(nodes) ?? isFinished);
+        if (isFinished || leader === true) return;
         const i = nodes.indexOf(leader);
         if (changes % 2 === 0) {
           leader.stop();
@@ -70,7 +71,8 @@
         } else {
           fronts[i]!.refuse = true;
           await until(
-            () => over || nodes.some((n, j) => j !== i && n.controller.authority() === 'lead'),
+            () =>
+              isFinished || nodes.some((n, j) => j !== i && n.controller.authority() === 'lead'),
           );
           await new Promise((resolve) => setTimeout(resolve, 150));
           fronts[i]!.refuse = false;
@@ -79,9 +81,9 @@
         await new Promise((resolve) => setTimeout(resolve, 300));
       }
     })();
-    await lives(users, 300, 24);
-    over = true;
-    await troubles;
+    await followJobs(users, 300, 24);
+    isFinished = true;
+    await faults;
     expect(users.problems).toEqual([]);
     expect(changes).toBeGreaterThan(1);
     expect(users.said.done).toBeGreaterThan(100);
--- a/test/pinned-http.test.ts
+++ b/test/pinned-http.test.ts
@@ -131,7 +131,13 @@
     settingsText({ api_addr: api, back, seeds, outside, params: quick }),
   );
   const drains = drainModule(settingsOf('(drain (budgets (team blue (at-once 2) (within 60 3))))'));
-  const controller = new Controller(settings, DEFAULT_POLICY, log, new Jitter(1), [drains]);
+  const controller = new Controller({
+    settings,
+    policy: DEFAULT_POLICY,
+    log,
+    jitter: new Jitter(1),
+    extensions: [drains],
+  });
   const server = startApi(settings, controller, log);
   const peers = servePeers(
     settings.peerAddress,
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -1,3 +1,4 @@
+/** Controllers in this process, against stand-ins of the outside: what users are answered. */
 import { afterEach, describe, expect, it } from 'vitest';
 import { HttpClient } from '../src/adapters/outbound/http-client.js';
 import { post } from './stand-ins/cloud.js';
@@ -5,8 +6,8 @@
 
 afterEach(cleanUp);
 
-describe('the service against stand-ins', () => {
-  it('runs a job to its end through any node, and says the same of it everywhere and ever after', async () => {
+describe('a cluster of controllers', () => {
+  it('runs a job to completion through any node, and answers alike at every node ever after', async () => {
     const { nodes, cloud, state } = await cluster(3);
     const [a, b, c] = nodes as [Node, Node, Node];
     expect((await post(a.at, '/api/jobs', body('job-000001')))?.status).toBe(201);
@@ -21,17 +22,20 @@
       const again = await post(b.at, '/api/jobs', body('job-000001', change));
       expect([again?.status, (again!.body as { Status: string }).Status]).toEqual([200, 'done']);
     }
-    const abort = await post(c.at, '/api/jobs/job-000001/abort', {});
-    expect([abort?.status, (abort!.body as { Status: string }).Status]).toEqual([200, 'done']);
+    const cancellation = await post(c.at, '/api/jobs/job-000001/abort', {});
+    expect([cancellation?.status, (cancellation!.body as { Status: string }).Status]).toEqual([
+      200,
+      'done',
+    ]);
     expect((await status(a.at, 'job-000777'))?.status).toBe(404);
     expect((await status(a.at, 'nonsense'))?.status).toBe(404);
     expect((await post(b.at, '/api/jobs/job-000777/abort', {}))?.status).toBe(404);
   });
 
-  it('refuses what is malformed with 400 and what can never run with 422', async () => {
+  it('refuses malformed submissions with 400 and infeasible ones with 422', async () => {
     const { nodes } = await cluster(1);
     const at = nodes[0]!.at;
-    const bad: [unknown, number][] = [
+    const refused: [unknown, number][] = [
       ['{', 400],
       ['[]', 400],
       ['null', 400],
@@ -63,7 +67,7 @@
       }
     }
     expect(Object.keys(needed)).toHaveLength(16);
-    for (const [text, expected] of bad) {
+    for (const [text, expected] of refused) {
       expect((await post(at, '/api/jobs', text))?.status, JSON.stringify(text).slice(0, 200)).toBe(
         expected,
       );
@@ -91,7 +95,7 @@
     expect((await status(at, 'job-1'))?.status).toBe(404);
   });
 
-  it('answers for every single job at every node while the key-value store is at its limit, and after a failover', async () => {
+  it('answers for every job at every node while the key-value store limits rates, and after a failover', async () => {
     const { nodes, state, cloud } = await cluster(3);
     cloud.taskMs = 10_000_000;
     const ids = Array.from({ length: 12 }, (_, i) => `job-0001${String(i).padStart(2, '0')}`);
@@ -115,7 +119,7 @@
     expect(cloud.starts).toHaveLength(12);
   });
 
-  it('still knows a job whose record cannot be read, at every node, also when it is submitted again', async () => {
+  it('knows a job whose record is unreadable at every node, also when it is submitted again', async () => {
     const { nodes, state } = await cluster(2);
     state.multi({ Apply: [{ Write: 'j/job-000077', Data: { odd: true } }] });
     for (const node of nodes) {
@@ -125,7 +129,7 @@
     expect((await status(nodes[0]!.at, 'job-000078'))?.status).toBe(404);
   });
 
-  it('says withdrawn only once that is stored, and ends the tasks', async () => {
+  it('reports a cancellation only once it is stored, and kills the tasks', async () => {
     const { nodes, cloud, state } = await cluster(2);
     cloud.taskMs = 10_000_000;
     const [a, b] = nodes as [Node, Node];
@@ -138,7 +142,7 @@
     expect((answer.body as { Status: string }).Status).toBe('withdrawn');
     expect(state.keys.get('f/job-5')?.data).toMatchObject({ o: 'cancelled' });
     await until(() => [...cloud.workers.values()].every((w) => w.running().length === 0));
-    // Repeats of what was carried out, at any node, change nothing: neither of the abort nor of the submission.
+    // Repeats at any node change nothing: neither of the cancellation nor of the submission.
     const { epoch } = state;
     for (const node of nodes) {
       const again = [
@@ -154,17 +158,17 @@
     expect(cloud.starts).toHaveLength(3);
   });
 
-  it('answers 503 with Retry-After at once while the state service is away, and takes up again after', async () => {
+  it('answers 503 with Retry-After while the key-value store is down, and recovers with it', async () => {
     const { nodes, state } = await cluster(1);
     state.down = true;
-    const refused = await post(nodes[0]!.at, '/api/jobs', body('job-8'));
-    expect([refused?.status, refused?.headers['retry-after']]).toEqual([503, '1']);
+    const unavailable = await post(nodes[0]!.at, '/api/jobs', body('job-8'));
+    expect([unavailable?.status, unavailable?.headers['retry-after']]).toEqual([503, '1']);
     state.down = false;
     await until(async () => (await post(nodes[0]!.at, '/api/jobs', body('job-8')))?.status === 201);
     await until(async () => (await status(nodes[0]!.at, 'job-8'))?.body.Status === 'done');
   });
 
-  it('fails over to another leader that neither loses nor doubles a task', async () => {
+  it('fails over to another leader without losing or doubling a task', async () => {
     const { nodes, cloud } = await cluster(3);
     cloud.taskMs = 10_000_000;
     const first = nodes.find((n) => n.controller.authority() === 'lead')!;
@@ -182,9 +186,10 @@
   });
 });
 
-describe('a restart', () => {
-  it('of the leader replaces its earlier incarnation at once, and neither loses nor doubles a task', async () => {
-    // With a lease of ten minutes nobody could lead in the time of this test by waiting for its end.
+describe('a restarted leader', () => {
+  it('replaces its earlier incarnation at once, without losing or doubling a task', async () => {
+    // No other leader is elected within ten minutes of lease: only the earlier incarnation's key can
+    // be replaced.
     const { nodes, cloud, state, start } = await cluster(1, 3, 600_000);
     cloud.taskMs = 10_000_000;
     await post(nodes[0]!.at, '/api/jobs', body('job-41'));
@@ -200,7 +205,7 @@
 });
 
 describe('a team', () => {
-  it('sees and stops its own jobs only, and is told why they wait', async () => {
+  it('sees and cancels its own jobs only, and gets an explanation of why they wait', async () => {
     const { nodes, cloud } = await cluster(2, 1);
     cloud.taskMs = 10_000_000;
     const [a, b] = nodes as [Node, Node];
@@ -220,8 +225,8 @@
     await until(async () =>
       /no machine with room/.test(String((await status(a.at, 'job-21'))?.body.waiting)),
     );
-    const told = (await status(b.at, 'job-21/explain'))?.body;
-    expect(told).toMatchObject({
+    const explanation = (await status(b.at, 'job-21/explain'))?.body;
+    expect(explanation).toMatchObject({
       team: 'green',
       rank: 1,
       ofJobs: 1,
@@ -237,15 +242,15 @@
   });
 });
 
-describe('a node that starts while the cloud hangs', () => {
-  it('takes requests as soon as it has read the machine types from the state service', async () => {
+describe('a controller that starts while the cloud does not answer', () => {
+  it('is ready once it has read the machine types from the key-value store', async () => {
     const { nodes, cloud, state, start } = await cluster(1);
     await until(() => state.keys.has('c/types'));
     nodes[0]!.stop();
     cloud.silent = true;
     const again = start(0);
     await until(async () => (await post(again.at, '/up', undefined, 'GET'))?.status === 200);
-    // The cloud has been asked, and its answer still stands out: no request to it has been given up yet.
+    // The request to the cloud is still under way: none has timed out yet.
     expect(cloud.unanswered).toBeGreaterThan(0);
     expect(cloud.givenUp).toBe(0);
     expect((await post(again.at, '/api/jobs', body('job-1')))?.status).toBe(201);
--- a/test/stand-ins/cluster.ts
+++ b/test/stand-ins/cluster.ts
@@ -85,12 +85,12 @@
         outside: { cloud: cloudAt, state: fronts[i]!.at },
       }),
     );
-    const controller = new Controller(
+    const controller = new Controller({
       settings,
-      { ...DEFAULT_POLICY, leaderLeaseMs },
-      told,
-      new Jitter(i + 1),
-    );
+      policy: { ...DEFAULT_POLICY, leaderLeaseMs },
+      log: told,
+      jitter: new Jitter(i + 1),
+    });
     const api = startApi(settings, controller, told);
     const peers: Server = servePeers(
       settings.peerAddress,
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -1,6 +1,7 @@
 /**
- * This version and the one in production, side by side: what that one stored is read by this one, and what this one stores is
- * read rightly, or left alone, by that one. The fixtures were recorded from the production version's own code.
+ * This version and the one in production, side by side: this one reads what that one stored, and
+ * that one reads rightly, or leaves alone, what this one stores. The fixtures were recorded from
+ * the production version's own code.
  */
 import { readFileSync } from 'node:fs';
 import * as v from 'valibot';
@@ -54,8 +55,8 @@
 const frame = (name: keyof typeof old.frames): unknown =>
   new FrameReader().push(Buffer.from(old.frames[name], 'base64'))[0];
 
-/** A new leader that reads what a leader of the production version left behind. */
-const takeOver = (valueBytes: number) => {
+/** A new leader that recovers from what a leader of the production version stored. */
+const recover = (valueBytes: number) => {
   const state = core({
     fencingToken: 50 as FencingToken,
     maxValueBytes: valueBytes,
@@ -84,8 +85,8 @@
   return state;
 };
 
-describe('what the version in production has stored', () => {
-  it('is read whole: jobs, final states, the leader, machine types', () => {
+describe('records of the version in production', () => {
+  it('decode whole: jobs, completions, the leader, machine types', () => {
     const record = decodeJob(old.job.value);
     expect(record).toMatchObject({
       acceptedAt: 1790000000123,
@@ -101,9 +102,9 @@
   });
 
   it.each([16_384, 2048, 1024])(
-    'is taken over: attempts, progress, and then moved in pieces (values of %i bytes)',
+    'are recovered, attempts and progress, and then moved in pieces (values of %i bytes)',
     (bytes) => {
-      const state = takeOver(bytes);
+      const state = recover(bytes);
       const first = state.jobs.get('job-000412' as JobId)!;
       expect(first.doneCount).toBe(5000);
       let entries = 0;
@@ -113,7 +114,8 @@
       for (const m of state.machines.values()) held += m.attemptCount;
       expect(entries).toBeGreaterThan(300);
       expect(held).toBe(entries);
-      // Most of one record is over: what is left moves into records that fit, in small batches, and then the old one goes.
+      // Most attempts of one record end: the others move into records that fit, in small batches,
+      // and then the old record is dropped.
       const large = old.ledger[0]!.key as SegmentKey;
       const placements = [...state.segments.get(large)!.placements];
       const machines = [...new Set(placements.map((p) => p.machine.id))];
@@ -150,17 +152,17 @@
     },
   );
 
-  it('reaches this version as frames between controllers, too', () => {
+  it('decode from frames between controllers, too', () => {
     const admit = frame('admit') as { record: unknown };
     expect(decodeJob(admit.record)?.spec.id).toBe('job-000412');
     expect(frame('view')).toMatchObject({ is: { status: 'running', done: 5000 } });
   });
 });
 
-describe('what this version stores', () => {
+describe('records of this version', () => {
   const service = job('job-9', { shape: 'service', tasks: 4, estimateS: 0 });
 
-  it('of arrays is read by the version in production as its own; a service it finds unreadable, and leaves alone', () => {
+  it('of arrays are readable to the version in production; those of services are not, and left alone', () => {
     const spec = job('job-8', { tasks: 7, deadlineS: 60 });
     expect(spec.shape).toBe('array');
     const record = encodeJob({ acceptedAt: 5, spec });
@@ -201,7 +203,7 @@
     expect(v.is(oldTypes, decodeMachineTypes(old.types.value))).toBe(true);
   });
 
-  it('of the ledger is read by it: attempts of services are counted there like those of a job it does not know', () => {
+  it('of the ledger are readable to it: attempts of services count as those of an unknown job', () => {
     const bits = Uint8Array.of(255, 7);
     const written = encodeSegment({
       machines: [
@@ -219,7 +221,8 @@
     const read = v.parse(oldSegment, JSON.parse(JSON.stringify(written)));
     expect(read.j[0]![0]).toBe('job-9');
     expect(read.m).toEqual([['n-1', 'c8', 'a', false, [[0, 0, 41_000_001]]]]);
-    // A block's row it reads as its own; a smaller part, written only where no block fits, it does not see.
+    // It reads a block's row as its own; it does not see a smaller part, which is written only where
+    // no block fits.
     expect(TASKS_PER_BLOCK).toBe(OLD_BLOCK_TASKS);
     expect(read.d).toEqual([['job-8', 1, Buffer.from(bits).toString('base64')]]);
     expect(
@@ -227,7 +230,7 @@
     ).toEqual([8192, 1024]);
   });
 
-  it('and asks is understood by it, or goes unanswered without harm', () => {
+  it('sent as questions are understood by it, or go unanswered without harm', () => {
     const asked = [
       { n: 1, ask: 'admit', record: encodeJob({ acceptedAt: 5, spec: service }) },
       { n: 2, ask: 'status', job: 'job-9' },
