--- a/src/core/apply-commands.ts
+++ b/src/core/apply-commands.ts
@@ -8,12 +8,9 @@
   updateMachineTypes,
 } from './fleet/inventory.js';
 import { handleProvisionResult } from './fleet/provision-requests.js';
-import {
-  buildNextBatch,
-  handleBatchStored,
-  recoverLedgerRow,
-  recoverProgress,
-} from './ledger/batch-builder.js';
+import { buildNextBatch } from './ledger/batch-builder.js';
+import { handleBatchStored } from './ledger/batch-result.js';
+import { recoverAttempts, recoverProgress } from './ledger/recovery.js';
 import { dropSegmentIfObsolete } from './ledger/segments.js';
 import { reconcileHeartbeat } from './lifecycle/heartbeat-reconciliation.js';
 import { addJob, cancelJob } from './lifecycle/jobs.js';
@@ -40,7 +37,7 @@
     case 'recovered-progress':
       return recoverProgress(state, command);
     case 'recovered-attempts':
-      return recoverLedgerRow(state, command, now);
+      return recoverAttempts(state, command, now);
     case 'unreadable-segment':
       state.unreadableSegments.add(command.segment);
       return;
@@ -64,14 +61,7 @@
     case 'heartbeat':
       return reconcileHeartbeat(state, command.heartbeat, command.ticket, now, effects);
     case 'batch-stored':
-      return handleBatchStored(
-        state,
-        command.batch,
-        command.refused ?? [],
-        command.revision,
-        now,
-        effects,
-      );
+      return handleBatchStored(state, command, now, effects);
     case 'machine-types':
       return updateMachineTypes(state, command.types);
     case 'machines-listed':
--- /dev/null
+++ b/src/core/ledger/batch-result.ts
@@ -0,0 +1,92 @@
+/** What follows from a batch that is stored, or of which the store refused operations. */
+
+import type { CoreState } from '../core-state.js';
+import { releasePlacement } from '../lifecycle/attempts.js';
+import { completeStoredJob } from '../lifecycle/jobs.js';
+import type { Command } from '../model/command.js';
+import type { Effect } from '../model/effect.js';
+import type { Batch } from '../model/entities.js';
+import type { AttemptId, JobId } from '../model/ids.js';
+import type { StoreOperation } from '../model/ledger-record.js';
+import { addMillis, type Instant, type Millis } from '../model/time.js';
+
+/** How long a job waits, of which an attempt could not be stored, before its tasks are tried again. */
+const RETRY_DELAY_AFTER_REFUSAL_MS = 30_000 as Millis;
+
+interface RefusedSubjects {
+  readonly jobs: ReadonlySet<JobId>;
+  readonly attempts: ReadonlySet<AttemptId>;
+}
+
+/** The jobs whose progress or completion, and the attempts whose entries, are not stored. */
+const refusedSubjects = (refused: readonly StoreOperation[]): RefusedSubjects => {
+  const jobs = new Set<JobId>();
+  const attempts = new Set<AttemptId>();
+  for (const operation of refused) {
+    if (operation.kind === 'job-completion') jobs.add(operation.job);
+    if (operation.kind !== 'write-segment') continue;
+    for (const { entries } of operation.machines)
+      for (const { attempt } of entries) attempts.add(attempt);
+    for (const { job } of operation.progress) jobs.add(job);
+  }
+  return { jobs, attempts };
+};
+
+/** An attempt that could not be entered was never sent to its machine: its task waits again. */
+const requeueRefusedAttempts = (
+  state: CoreState,
+  batch: Batch,
+  attempts: ReadonlySet<AttemptId>,
+  now: Instant,
+): void => {
+  for (const placement of [...batch.enteredPlacements]) {
+    const { attempt } = placement.entry;
+    if (!attempts.has(attempt) || placement.phase !== 'persisting') continue;
+    if (placement.job) placement.job.retryAt = addMillis(now, RETRY_DELAY_AFTER_REFUSAL_MS);
+    releasePlacement(state, placement, now);
+    placement.machine.placements.delete(attempt);
+  }
+};
+
+/** Operations that the store takes in no size hold up only what they speak of. */
+const handleRefusedOperations = (
+  state: CoreState,
+  batch: Batch,
+  refused: readonly StoreOperation[],
+  now: Instant,
+): void => {
+  const { jobs, attempts } = refusedSubjects(refused);
+  requeueRefusedAttempts(state, batch, attempts, now);
+  for (const operation of refused) {
+    if (operation.kind !== 'write-extension-records') continue;
+    batch.extensionWrites = batch.extensionWrites.filter(
+      ({ writes }) => writes !== operation.writes,
+    );
+    state.extensions?.handleStoreResult(operation, 'refused');
+  }
+  batch.progress = batch.progress.filter(({ job }) => !jobs.has(job.spec.id));
+  batch.completedJobs = batch.completedJobs.filter((job) => !jobs.has(job.spec.id));
+};
+
+/** Dispatches, settles and reports what the pending batch stored; a late result changes nothing. */
+export const handleBatchStored = (
+  state: CoreState,
+  command: Extract<Command, { kind: 'batch-stored' }>,
+  now: Instant,
+  effects: Effect[],
+): void => {
+  const { revision, refused } = command;
+  if (revision !== undefined && revision > state.storedRevision) state.storedRevision = revision;
+  const batch = state.pendingBatch;
+  if (!batch || batch.id !== command.batch) return;
+  state.pendingBatch = null;
+  if (refused && refused.length > 0) handleRefusedOperations(state, batch, refused, now);
+  for (const placement of batch.enteredPlacements)
+    if (placement.phase === 'persisting') placement.phase = 'dispatched';
+  for (const { job, chunk: number, version } of batch.progress) {
+    const chunk = job.chunks.get(number);
+    if (chunk) chunk.storedVersion = Math.max(chunk.storedVersion, version);
+  }
+  for (const writes of batch.extensionWrites) state.extensions?.handleStoreResult(writes, 'stored');
+  for (const job of batch.completedJobs) completeStoredJob(state, job, now, effects);
+};
--- /dev/null
+++ b/src/core/ledger/recovery.ts
@@ -0,0 +1,115 @@
+/** Recovery of a new leader from the ledger rows that former leaders have stored. */
+
+import type { CoreState } from '../core-state.js';
+import { getOrCreateMachine, recoverPlacement } from '../lifecycle/heartbeat-reconciliation.js';
+import { getOrCreateChunk, isTaskDone, recountPendingTasks } from '../lifecycle/job-tasks.js';
+import type { Command } from '../model/command.js';
+import type { Job, LedgerSegment, ProgressChunk } from '../model/entities.js';
+import type { TaskIndex } from '../model/ids.js';
+import { isService } from '../model/job.js';
+import type { ProgressRow } from '../model/ledger-record.js';
+import type { Instant } from '../model/time.js';
+import { detachChunk, getOrCreateSegment } from './segments.js';
+
+const TASKS_PER_BYTE = 8;
+/** Progress that counts as unsaved since then is due at once. */
+const LONG_AGO = 0 as Instant;
+
+interface MergeResult {
+  /** The row told of tasks that were not known as done. */
+  readonly hasNews: boolean;
+  /** The row alone tells all that is now known of the chunk. */
+  readonly isComplete: boolean;
+}
+
+/** Adds a row's bits to a chunk; `offset` is the chunk's first byte in the row, or before it. */
+const mergeBits = (chunk: ProgressChunk, row: Uint8Array, offset: number): MergeResult => {
+  let hasNews = false;
+  let isComplete = true;
+  for (const [i, known] of chunk.bits.entries()) {
+    const stored = row[offset + i] ?? 0;
+    const merged = known | stored;
+    hasNews ||= merged !== known;
+    isComplete &&= merged === stored;
+    chunk.bits[i] = merged;
+  }
+  return { hasNews, isComplete };
+};
+
+const recoverChunk = (
+  state: CoreState,
+  job: Job,
+  number: number,
+  { firstTask, bits }: ProgressRow,
+  segment: LedgerSegment,
+): void => {
+  const chunkStart = (number * job.tasksPerChunk) as TaskIndex;
+  const chunk = getOrCreateChunk(job, chunkStart);
+  // Several segments may tell of one chunk; mostly the newest tells all that the others do.
+  const isFirst = chunk.segment === null;
+  const { hasNews, isComplete } = mergeBits(chunk, bits, (chunkStart - firstTask) / TASKS_PER_BYTE);
+  if (!isFirst && !hasNews) return;
+  detachChunk(state, chunk);
+  chunk.segment = segment;
+  segment.chunks.set(chunk, { job, number });
+  segment.initialSize += 1;
+  if (isComplete) return;
+  // Rows of smaller chunks each tell their own tasks only: they are stored anew as one, before any
+  // of their segments is deleted.
+  chunk.version += 1;
+  state.unsavedProgress.set(`${job.spec.id}/${number}`, { job, chunk: number });
+  state.unsavedProgressSince = LONG_AGO;
+};
+
+const countDoneTasks = ({ chunks }: Job): number => {
+  let done = 0;
+  for (const { bits } of chunks.values()) {
+    // `byte & (byte - 1)` clears the lowest bit that is set.
+    for (let byte of bits) for (; byte > 0; byte &= byte - 1) done += 1;
+  }
+  return done;
+};
+
+const isRowWithinJob = ({ firstTask }: ProgressRow, job: Job): boolean =>
+  Number.isInteger(firstTask) &&
+  firstTask >= 0 &&
+  firstTask % TASKS_PER_BYTE === 0 &&
+  firstTask < job.spec.tasks;
+
+/** Takes up which tasks of a job are done; a row that fits no such job is passed over. */
+export const recoverProgress = (
+  state: CoreState,
+  row: Extract<Command, { kind: 'recovered-progress' }>,
+): void => {
+  const job = state.jobs.get(row.job);
+  const segment = getOrCreateSegment(state, row.segment);
+  // A service is never done, in no part.
+  if (!job || isService(job) || !isRowWithinJob(row, job)) return;
+  const { tasksPerChunk } = job;
+  const rowEnd = row.firstTask + Math.max(1, row.bits.length) * TASKS_PER_BYTE;
+  const end = Math.min(rowEnd, job.spec.tasks);
+  const firstChunk = Math.floor(row.firstTask / tasksPerChunk);
+  for (let number = firstChunk; number * tasksPerChunk < end; number += 1) {
+    recoverChunk(state, job, number, row, segment);
+  }
+  job.doneCount = countDoneTasks(job);
+  recountPendingTasks(job);
+};
+
+/** Takes up which attempts may be on a machine. Progress must be recovered first. */
+export const recoverAttempts = (
+  state: CoreState,
+  row: Extract<Command, { kind: 'recovered-attempts' }>,
+  now: Instant,
+): void => {
+  const segment = getOrCreateSegment(state, row.segment);
+  const machine = getOrCreateMachine(state, row.machine, null, now, row.attributes);
+  for (const entry of row.entries) {
+    segment.initialSize += 1;
+    const job = state.jobs.get(entry.job);
+    // A task that is stored as done needs no second look: its result is safe.
+    if (job && isTaskDone(job, entry.index)) continue;
+    if (!machine.placements.has(entry.attempt))
+      recoverPlacement(state, machine, entry, now, segment);
+  }
+};
--- /dev/null
+++ b/src/core/ledger/segment-draft.ts
@@ -0,0 +1,117 @@
+/** One ledger segment in the making: takes attempts and progress while its value has room. */
+
+import type { CoreState } from '../core-state.js';
+import type { Job, LedgerSegment, Placement, ProgressChunk } from '../model/entities.js';
+import type { JobId, MachineId, SegmentKey } from '../model/ids.js';
+import type {
+  LedgerEntry,
+  LedgerRow,
+  ProgressRow,
+  StoreOperation,
+} from '../model/ledger-record.js';
+import { createSegment, detachChunk, detachPlacement } from './segments.js';
+
+/** Upper bounds, in bytes, of the JSON around the variable parts of a stored segment. */
+const FRAME_BYTES = 40;
+const ENTRY_BYTES = 9;
+const MACHINE_BYTES = 22;
+const JOB_BYTES = 14;
+const PROGRESS_BYTES = 20;
+
+/** Names from outside may need escapes in JSON: their URI form is never shorter. */
+const escapedLength = (name: string): number => encodeURIComponent(name).length;
+
+const base64Length = (bytes: number): number => Math.ceil(bytes / 3) * 4;
+
+interface MachineRow extends LedgerRow {
+  readonly entries: LedgerEntry[];
+}
+
+/** A ledger segment that is being filled; its estimated size never falls below the stored one. */
+export class SegmentDraft {
+  /** What the core keeps of the segment once it is written. */
+  readonly segment: LedgerSegment;
+  /** Estimated size of the stored value. */
+  bytes = FRAME_BYTES;
+  private readonly machineRows = new Map<MachineId, MachineRow>();
+  private readonly progressRows: ProgressRow[] = [];
+  /** Jobs named in it: a stored segment names each once. */
+  private readonly jobs = new Set<JobId>();
+
+  constructor(
+    private readonly state: CoreState,
+    key: SegmentKey,
+    private readonly maxBytes: number,
+  ) {
+    this.segment = createSegment(key);
+  }
+
+  /** Enters an attempt and detaches it from its former segment; false when there is no room. */
+  enterPlacement(placement: Placement): boolean {
+    if (!this.reserve(this.placementBytes(placement))) return false;
+    const { entry } = placement;
+    this.jobs.add(entry.job);
+    this.getOrCreateMachineRow(placement).entries.push(entry);
+    detachPlacement(this.state, placement);
+    placement.segment = this.segment;
+    this.segment.placements.add(placement);
+    this.segment.initialSize += 1;
+    return true;
+  }
+
+  /** Records which tasks of a chunk are done, as of now; false when there is no room. */
+  recordProgress(job: Job, number: number, chunk: ProgressChunk): boolean {
+    const bytes = PROGRESS_BYTES + job.spec.id.length + base64Length(chunk.bits.length);
+    if (!this.reserve(bytes)) return false;
+    this.progressRows.push({
+      job: job.spec.id,
+      firstTask: number * job.tasksPerChunk,
+      bits: chunk.bits.slice(),
+    });
+    detachChunk(this.state, chunk);
+    chunk.segment = this.segment;
+    this.segment.chunks.set(chunk, { job, number });
+    this.segment.initialSize += 1;
+    return true;
+  }
+
+  /** The operation that stores the segment. */
+  toOperation(): StoreOperation {
+    return {
+      kind: 'write-segment',
+      key: this.segment.key,
+      machines: [...this.machineRows.values()],
+      progress: this.progressRows,
+    };
+  }
+
+  private reserve(bytes: number): boolean {
+    if (this.bytes + bytes > this.maxBytes) return false;
+    this.bytes += bytes;
+    return true;
+  }
+
+  private placementBytes({ entry, machine }: Placement): number {
+    const { job, team, cpus, gpus, memoryGb } = entry;
+    const machineBytes = this.machineRows.has(machine.id)
+      ? 0
+      : MACHINE_BYTES +
+        escapedLength(machine.id) +
+        escapedLength(machine.type) +
+        escapedLength(machine.zone);
+    const jobBytes = this.jobs.has(job)
+      ? 0
+      : JOB_BYTES + job.length + escapedLength(team) + `${cpus}${gpus}${memoryGb}`.length;
+    return ENTRY_BYTES + `${entry.index}${entry.attempt}`.length + machineBytes + jobBytes;
+  }
+
+  private getOrCreateMachineRow({ machine }: Placement): MachineRow {
+    let row = this.machineRows.get(machine.id);
+    if (!row) {
+      const { id, type, zone, spot } = machine;
+      row = { machine: id, attributes: { type, zone, spot }, entries: [] };
+      this.machineRows.set(id, row);
+    }
+    return row;
+  }
+}
--- a/src/core/ledger/segments.ts
+++ b/src/core/ledger/segments.ts
@@ -1,47 +1,61 @@
-/** Records of the placement ledger: what stays in each, and when it may go. */
+/** Segments of the placement ledger: what each still holds, and when it becomes obsolete. */
 import type { CoreConfig, CoreState } from '../core-state.js';
 import type { LedgerSegment, Placement, ProgressChunk } from '../model/entities.js';
 import type { FencingToken, SegmentKey } from '../model/ids.js';
 
-const RECORD_BYTES = 14_000;
+/** Bound of a segment's value where the store would take more: a long write holds up its batch. */
+const MAX_SEGMENT_BYTES = 14_000;
+/** Share of a value that a segment fills: sizes are estimated, and the store counts its own way. */
+const VALUE_FILL_SHARE = 0.96;
 
-/** What a ledger record may hold, by the settings' bound for a value. */
+/** How many bytes a segment's value may have, within the settings' bound for any value. */
 export const maxSegmentBytes = ({ maxValueBytes }: CoreConfig): number =>
-  Math.min(maxValueBytes * 0.96, RECORD_BYTES);
+  Math.min(maxValueBytes * VALUE_FILL_SHARE, MAX_SEGMENT_BYTES);
 
-/** Where ledger records stand in the state service; the term in the name keeps every name new. */
+/** Where segments stand in the key-value store. */
 export const SEGMENT_PREFIX = 'l/';
+
+/** The key of a term's nth segment. The fencing token in it keeps every key new. */
 export const segmentKey = (fencingToken: FencingToken, n: number): SegmentKey =>
   `${SEGMENT_PREFIX}${fencingToken}/${n}` as SegmentKey;
 
+/** A segment that holds nothing yet. */
+export const createSegment = (key: SegmentKey): LedgerSegment => ({
+  key,
+  placements: new Set(),
+  chunks: new Map(),
+  initialSize: 0,
+});
+
+/** The segment of that key, added as the newest one if it is not known. */
 export const getOrCreateSegment = (state: CoreState, key: SegmentKey): LedgerSegment => {
   let segment = state.segments.get(key);
   if (!segment) {
-    segment = { key, placements: new Set(), chunks: new Map(), initialSize: 0 };
+    segment = createSegment(key);
     state.segments.set(key, segment);
   }
   return segment;
 };
 
-/** Drops the record once nothing in it matters. */
+/** How many attempts and chunks a segment still speaks for. */
+export const liveSize = ({ placements, chunks }: LedgerSegment): number =>
+  placements.size + chunks.size;
+
+/** Marks a segment for deletion once nothing in it matters. */
 export const dropSegmentIfObsolete = (state: CoreState, segment: LedgerSegment): void => {
-  // While the ledger is read, a record that seems spent may have rows yet to come.
-  if (
-    !state.isRecovered ||
-    segment.placements.size + segment.chunks.size > 0 ||
-    !state.segments.delete(segment.key)
-  )
-    return;
-  state.obsoleteSegments.add(segment.key);
+  // During recovery a segment that seems empty may have rows yet to be read.
+  if (!state.isRecovered || liveSize(segment) > 0) return;
+  if (state.segments.delete(segment.key)) state.obsoleteSegments.add(segment.key);
 };
 
-/** From now on another record speaks for the attempt, or none needs to. */
+/** From now on another segment speaks for the attempt, or none needs to. */
 export const detachPlacement = (state: CoreState, placement: Placement): void => {
   const { segment } = placement;
   placement.segment = null;
   if (segment?.placements.delete(placement)) dropSegmentIfObsolete(state, segment);
 };
 
+/** From now on another segment tells the chunk's progress, or none needs to. */
 export const detachChunk = (state: CoreState, chunk: ProgressChunk): void => {
   const { segment } = chunk;
   chunk.segment = null;
