--- a/src/core/extensions/extension-host.ts
+++ b/src/core/extensions/extension-host.ts
@@ -22,8 +22,6 @@
 } from './extension.js';
 import type { ExtensionRuntime, ExtensionWrites } from './extension-runtime.js';
 
-/** Where extensions keep their records in the state service. */
-export const EXTENSION_PREFIX = 'x/';
 const FAULT = { status: 503, body: { error: 'fault' } };
 
 class CoreFleetView implements FleetView {
--- a/src/service/batch-writer.ts
+++ b/src/service/batch-writer.ts
@@ -1,262 +1,210 @@
-/** Stores the leader's batches, one after the other, each guarded by the leader key and by its keys' versions. */
+/** Stores the leader's batches, one after the other, in transactions that the store takes. */
 
 import type {
   KeyValueStoreClient,
   Mutation,
-  Precondition,
 } from '../adapters/key-value-store/key-value-store-client.js';
 import type { Log } from '../adapters/logging/log.js';
-import { sleep } from '../adapters/runtime/clock.js';
 import type { Jitter } from '../adapters/runtime/random.js';
 import type { RecordWrite } from '../core/model/extension-record.js';
 import type { FencingToken, Revision, SegmentKey } from '../core/model/ids.js';
 import type { StoreOperation } from '../core/model/ledger-record.js';
+import { GuardedWriter } from './guarded-writer.js';
+import { type SegmentWrite, splitSegment } from './segment-splitting.js';
 import {
   completionKey,
   encodeCompletion,
   encodeSegment,
   extensionKey,
   jobKey,
-  LEADER_KEY,
 } from './stored-records.js';
 
-const NONE = 0 as Revision;
+/** What the batch writer works with. */
+export interface BatchWriterOptions {
+  readonly store: KeyValueStoreClient;
+  readonly fencingToken: FencingToken;
+  readonly log: Log;
+  readonly jitter: Jitter;
+  /** Mutations of one transaction, by the settings; the store may turn out to take fewer. */
+  readonly maxMutations?: number;
+}
 
-interface Unit {
-  readonly op: StoreOperation;
-  readonly writes: readonly Mutation[];
+/**
+ * What became of a batch. `refused`: the operations that the store takes in no size; all others are
+ * stored. After `leadership-lost` some of the batch may be stored.
+ */
+export type StoreBatchResult =
+  | { readonly kind: 'stored'; readonly refused: readonly StoreOperation[] }
+  | { readonly kind: 'leadership-lost' };
+
+/** Mutations that are stored together; units are stored in their order. */
+interface WriteUnit {
+  readonly operation: StoreOperation;
+  readonly mutations: readonly Mutation[];
 }
 
-type SegmentOp = Extract<StoreOperation, { kind: 'write-segment' }>;
+const segmentUnit = (operation: SegmentWrite): WriteUnit => ({
+  operation,
+  mutations: [{ put: operation.key, value: encodeSegment(operation) }],
+});
 
-/** Two records that say together what one did, under names of their own; null for one that is a single row. */
-const halve = (op: SegmentOp): [SegmentOp, SegmentOp] | null => {
-  const half = <T>(list: readonly T[]): [readonly T[], readonly T[]] => {
-    const at = Math.ceil(list.length / 2);
-    return [list.slice(0, at), list.slice(at)];
-  };
-  const made = (
-    a: Pick<SegmentOp, 'machines' | 'progress'>,
-    b: Pick<SegmentOp, 'machines' | 'progress'>,
-  ): [SegmentOp, SegmentOp] => [
-    { kind: 'write-segment', key: `${op.key}.0` as SegmentKey, ...a },
-    { kind: 'write-segment', key: `${op.key}.1` as SegmentKey, ...b },
-  ];
-  const { machines, progress } = op;
-  if (machines.length > 0 && progress.length > 0)
-    return made({ machines, progress: [] }, { machines: [], progress });
-  if (machines.length > 1) {
-    const [a, b] = half(machines);
-    return made({ machines: a, progress }, { machines: b, progress });
-  }
-  if (progress.length > 1) {
-    const [a, b] = half(progress);
-    return made({ machines, progress: a }, { machines, progress: b });
-  }
-  const row = machines[0];
-  if (!row || row.entries.length < 2) return null;
-  const [a, b] = half(row.entries);
-  return made(
-    { machines: [{ ...row, entries: a }], progress },
-    { machines: [{ ...row, entries: b }], progress },
-  );
-};
+const countMutations = (units: readonly WriteUnit[]): number =>
+  units.reduce((sum, unit) => sum + unit.mutations.length, 0);
 
+/** Writes batches under one fencing token. */
 export class BatchWriter {
-  /** Version of each key that this leader has read or written. */
-  readonly keyRevisions = new Map<string, Revision>();
-  /** Records that had to be cut, by the name the core knows. */
+  private readonly writer: GuardedWriter;
+  private readonly log: Log;
+  private maxMutations: number;
+  /** Segments that had to be split: the keys of their pieces, by the key that the core knows. */
   private readonly pieces = new Map<SegmentKey, SegmentKey[]>();
-  private cuts = 0;
-  private toldTooLarge = false;
-  private stopped = false;
-  /** Revision of the newest change that is known to be stored under this term. */
-  lastRevision: Revision;
+  /** How many units the store has refused as too large on their own. */
+  private oversizedUnits = 0;
+  private hasLoggedTooLarge = false;
+
+  constructor({ store, fencingToken, log, jitter, maxMutations }: BatchWriterOptions) {
+    this.writer = new GuardedWriter({ store, fencingToken, jitter });
+    this.log = log;
+    this.maxMutations = maxMutations ?? Number.POSITIVE_INFINITY;
+  }
+
+  /** Revision of each key that this leader has read or written. */
+  get keyRevisions(): Map<string, Revision> {
+    return this.writer.keyRevisions;
+  }
 
-  constructor(
-    private readonly state: KeyValueStoreClient,
-    private readonly fencingToken: FencingToken,
-    private readonly log: Log,
-    private readonly jitter: Jitter,
-    /** Changes that the service takes at once, by the settings; should it refuse them, fewer. */
-    private mostChanges = Number.POSITIVE_INFINITY,
-  ) {
-    this.lastRevision = fencingToken as number as Revision;
+  /** Revision of the newest transaction that is known to be stored under this token. */
+  get lastRevision(): Revision {
+    return this.writer.lastRevision;
   }
 
+  /** Ends retries: a batch of unknown outcome then counts as lost. */
   stop(): void {
-    this.stopped = true;
+    this.writer.stop();
   }
 
-  /** null for a deletion of what is not there. */
-  private extensionWrite(extension: string, { key, value }: RecordWrite): Mutation | null {
-    const stored = extensionKey(extension, key);
-    if (value !== null) return { put: stored, value };
-    return this.keyRevisions.has(stored) ? { del: stored } : null;
+  /** Stores a batch; until the outcome is known, it goes on trying. */
+  async storeBatch(operations: readonly StoreOperation[]): Promise<StoreBatchResult> {
+    const refused: StoreOperation[] = [];
+    const rest = this.toUnits(operations);
+    while (rest.length > 0) {
+      const units = rest.splice(0, this.countUnitsAtOnce(rest));
+      if (!(await this.store(units, refused))) return { kind: 'leadership-lost' };
+    }
+    return { kind: 'stored', refused };
   }
 
-  /** What must be written together; each unit may be written apart from the others, in their order. */
-  private unitsOf(ops: readonly StoreOperation[]): Unit[] {
-    const units: Unit[] = [];
-    for (const op of ops) {
-      if (op.kind === 'job-completion') {
-        const writes: Mutation[] = [
-          { put: completionKey(op.job), value: encodeCompletion(op) },
-          { del: jobKey(op.job) },
-        ];
-        units.push({ op, writes });
-      } else if (op.kind === 'write-extension-records') {
-        const writes = op.writes.map((write) => this.extensionWrite(op.extension, write));
-        const changes = writes.filter((write) => write !== null);
-        if (changes.length > 0) units.push({ op, writes: changes });
-      } else if (op.kind === 'write-segment') {
-        units.push({ op, writes: [{ put: op.key, value: encodeSegment(op) }] });
-      } else {
-        for (const key of this.pieces.get(op.key) ?? [op.key]) {
-          if (this.keyRevisions.has(key)) units.push({ op, writes: [{ del: key }] });
+  /** How many of the first units the store is known to take in one transaction; at least one. */
+  private countUnitsAtOnce(units: readonly WriteUnit[]): number {
+    let count = 0;
+    let mutations = 0;
+    for (const unit of units) {
+      mutations += unit.mutations.length;
+      if (count > 0 && mutations > this.maxMutations) break;
+      count += 1;
+    }
+    return count;
+  }
+
+  private toUnits(operations: readonly StoreOperation[]): WriteUnit[] {
+    const units: WriteUnit[] = [];
+    for (const operation of operations) {
+      switch (operation.kind) {
+        case 'job-completion':
+          units.push({
+            operation,
+            mutations: [
+              { put: completionKey(operation.job), value: encodeCompletion(operation) },
+              { del: jobKey(operation.job) },
+            ],
+          });
+          break;
+        case 'write-extension-records': {
+          const mutations = this.toExtensionMutations(operation.extension, operation.writes);
+          if (mutations.length > 0) units.push({ operation, mutations });
+          break;
         }
-        this.pieces.delete(op.key);
+        case 'write-segment':
+          units.push(segmentUnit(operation));
+          break;
+        case 'drop-segment':
+          // Each piece on its own: a segment may have more pieces than one transaction takes.
+          for (const key of this.pieces.get(operation.key) ?? [operation.key])
+            if (this.keyRevisions.has(key)) units.push({ operation, mutations: [{ del: key }] });
+          this.pieces.delete(operation.key);
+          break;
       }
     }
     return units;
   }
 
-  /**
-   * Null when the right to write is lost; else what the state service takes in no size, while all the rest is stored. Until
-   * it knows, it goes on trying.
-   */
-  async storeBatch(ops: readonly StoreOperation[]): Promise<readonly StoreOperation[] | null> {
-    const refused: StoreOperation[] = [];
-    const rest = this.unitsOf(ops);
-    while (rest.length > 0) {
-      // As much as the service is known to take at once.
-      let n = 0;
-      for (let changes = 0; n < rest.length; n += 1) {
-        changes += rest[n]!.writes.length;
-        if (n > 0 && changes > this.mostChanges) break;
-      }
-      if (!(await this.store(rest.splice(0, n), refused))) return null;
+  /** A deletion of what is not there is left out. */
+  private toExtensionMutations(extension: string, writes: readonly RecordWrite[]): Mutation[] {
+    const mutations: Mutation[] = [];
+    for (const { key, value } of writes) {
+      const storedKey = extensionKey(extension, key);
+      if (value !== null) mutations.push({ put: storedKey, value });
+      else if (this.keyRevisions.has(storedKey)) mutations.push({ del: storedKey });
     }
-    return refused;
+    return mutations;
   }
 
   /**
-   * Stores these in one transaction, or in smaller ones where the service refuses it as too large: its limits may have fallen
-   * below what any setting said. What was refused is never sent again unchanged. False when the right to write is lost.
+   * Stores units in one transaction, or in smaller ones where the store refuses it as too large: its
+   * limits may have fallen below what any setting said. What was refused is never sent again
+   * unchanged. False when leadership is lost.
    */
-  private async store(units: readonly Unit[], refused: StoreOperation[]): Promise<boolean> {
-    const outcome = await this.write(units.flatMap((unit) => unit.writes));
+  private async store(units: readonly WriteUnit[], refused: StoreOperation[]): Promise<boolean> {
+    const outcome = await this.writer.write(units.flatMap((unit) => unit.mutations));
     if (outcome !== 'too-large') return outcome === 'stored';
-    if (!this.toldTooLarge) {
-      this.toldTooLarge = true;
-      const changes = units.reduce((sum, unit) => sum + unit.writes.length, 0);
-      this.log.info(
-        { changes },
-        'the state service refuses a batch as too large: cutting it smaller',
-      );
+    if (!this.hasLoggedTooLarge) {
+      this.hasLoggedTooLarge = true;
+      this.log.info({ mutations: countMutations(units) }, 'batch too large, splitting it');
     }
-    if (units.length > 1) {
-      const half = Math.ceil(units.length / 2);
-      const before = refused.length;
-      const cuts = this.cuts;
-      if (!(await this.store(units.slice(0, half), refused))) return false;
-      if (!(await this.store(units.slice(half), refused))) return false;
-      // Where each half was taken as it is, the number of changes was at fault.
-      if (refused.length === before && this.cuts === cuts) {
-        const changes = units.slice(0, half).reduce((sum, unit) => sum + unit.writes.length, 0);
-        this.mostChanges = Math.min(this.mostChanges, changes);
-      }
-      return true;
-    }
-    this.cuts += 1;
-    const { op } = units[0]!;
-    const halves = op.kind === 'write-segment' ? halve(op) : null;
-    if (!halves) {
-      this.log.error({ op: op.kind }, 'the state service takes a change in no size');
-      refused.push(op);
+    if (units.length > 1) return this.storeHalves(units, refused);
+    const [unit] = units;
+    return unit ? this.storePieces(unit.operation, refused) : true;
+  }
+
+  private async storeHalves(
+    units: readonly WriteUnit[],
+    refused: StoreOperation[],
+  ): Promise<boolean> {
+    const middle = Math.ceil(units.length / 2);
+    const firstHalf = units.slice(0, middle);
+    const oversizedBefore = this.oversizedUnits;
+    if (!(await this.store(firstHalf, refused))) return false;
+    if (!(await this.store(units.slice(middle), refused))) return false;
+    // Where each unit was taken as it is, the number of mutations was at fault.
+    if (this.oversizedUnits === oversizedBefore)
+      this.maxMutations = Math.min(this.maxMutations, countMutations(firstHalf));
+    return true;
+  }
+
+  /** Stores one operation that is too large on its own: a segment in pieces, any other not at all. */
+  private async storePieces(
+    operation: StoreOperation,
+    refused: StoreOperation[],
+  ): Promise<boolean> {
+    this.oversizedUnits += 1;
+    const segments = operation.kind === 'write-segment' ? splitSegment(operation) : null;
+    if (operation.kind !== 'write-segment' || !segments) {
+      this.log.error({ operation: operation.kind }, 'operation refused in any size');
+      refused.push(operation);
       return true;
     }
-    const whole = op.kind === 'write-segment' ? op.key : null;
-    for (const half of halves) {
-      if (
-        !(await this.store(
-          [{ op: half, writes: [{ put: half.key, value: encodeSegment(half) }] }],
-          refused,
-        ))
-      )
-        return false;
-      if (whole !== null) this.rememberPieces(whole, half.key);
+    for (const segment of segments) {
+      if (!(await this.store([segmentUnit(segment)], refused))) return false;
+      this.notePiece(operation.key, segment.key);
     }
     return true;
   }
 
-  /** The core knows a record by one name; what it was cut into goes when it goes. */
-  private rememberPieces(whole: SegmentKey, piece: SegmentKey): void {
+  /** The core knows a segment by one key; its pieces are deleted when it is. */
+  private notePiece(whole: SegmentKey, piece: SegmentKey): void {
     const known = this.pieces.get(whole) ?? [];
     for (const key of this.pieces.get(piece) ?? [piece]) known.push(key);
     this.pieces.delete(piece);
     this.pieces.set(whole, known);
   }
-
-  /** Tries until it is known whether these were written. */
-  private async write(writes: readonly Mutation[]): Promise<'stored' | 'lost' | 'too-large'> {
-    const keys = writes.map((w) => ('del' in w ? w.del : w.put));
-    for (let tries = 0; !this.stopped; tries += 1) {
-      const guards: Precondition[] = [
-        { key: LEADER_KEY, revision: this.fencingToken as number as Revision },
-      ];
-      for (const key of keys) guards.push({ key, revision: this.keyRevisions.get(key) ?? NONE });
-      const result = await this.state.compareAndSwap(guards, writes, 5000);
-      if (typeof result === 'object') {
-        this.remember(writes, result.revision);
-        return 'stored';
-      }
-      if (result === 'too-large') return result;
-      if (result === 'conflict' || result === 'unknown') {
-        // An unanswered write may have been carried out: the first key's version tells.
-        const seen = await this.readBack(writes, keys);
-        if (seen !== 'not-yet') return seen;
-      }
-      await sleep(
-        this.jitter.around(
-          result === 'refused' && !this.state.isDown
-            ? 120
-            : Math.min(1000, 60 * 2 ** Math.min(tries, 4)),
-        ),
-      );
-    }
-    return 'lost';
-  }
-
-  private remember(writes: readonly Mutation[], revision: Revision): void {
-    this.lastRevision = Math.max(this.lastRevision, revision) as Revision;
-    for (const w of writes) {
-      if ('del' in w) this.keyRevisions.delete(w.del);
-      else if (!w.put.startsWith('f/')) this.keyRevisions.set(w.put, revision);
-    }
-  }
-
-  private async readBack(
-    writes: readonly Mutation[],
-    keys: readonly string[],
-  ): Promise<'stored' | 'lost' | 'not-yet'> {
-    const leader = await this.state.get(LEADER_KEY);
-    if (leader === 'absent') return 'lost';
-    if (typeof leader === 'string') return 'not-yet';
-    if ((leader.revision as number) !== (this.fencingToken as number)) return 'lost';
-    const first = await this.state.get(keys[0]!);
-    if (typeof first === 'string' && first !== 'absent') return 'not-yet';
-    const now = first === 'absent' ? NONE : (first as { revision: Revision }).revision;
-    if (now !== (this.keyRevisions.get(keys[0]!) ?? NONE)) {
-      this.remember(writes, now);
-      return 'stored';
-    }
-    // Not carried out: make sure of the versions we hold before the next try.
-    for (const key of keys) {
-      const item = await this.state.get(key);
-      if (item === 'absent') this.keyRevisions.delete(key);
-      else if (typeof item === 'object') this.keyRevisions.set(key, item.revision);
-    }
-    return 'not-yet';
-  }
 }
--- a/src/service/effect-runner.ts
+++ b/src/service/effect-runner.ts
@@ -72,11 +72,11 @@
 
   private async storeBatch({ batch, ops }: EffectOf<'store-batch'>): Promise<void> {
     const { batchWriter, commandLoop, election, term } = this.options;
-    const refused = await batchWriter.storeBatch(ops);
+    const result = await batchWriter.storeBatch(ops);
     if (!term.isCurrent) return;
     const revision = batchWriter.lastRevision;
-    // Without the right to write, this node does not lead any more.
-    if (refused) commandLoop.submit({ kind: 'batch-stored', batch, refused, revision });
+    if (result.kind === 'stored')
+      commandLoop.submit({ kind: 'batch-stored', batch, refused: result.refused, revision });
     else election.stepDown();
   }
 
--- /dev/null
+++ b/src/service/guarded-writer.ts
@@ -0,0 +1,141 @@
+/** The leader's transactions, each guarded by the leader key and by the revisions of its own keys. */
+
+import type {
+  KeyValueStoreClient,
+  Mutation,
+  Precondition,
+} from '../adapters/key-value-store/key-value-store-client.js';
+import { sleep } from '../adapters/runtime/clock.js';
+import type { Jitter } from '../adapters/runtime/random.js';
+import type { FencingToken, Revision } from '../core/model/ids.js';
+import { COMPLETION_PREFIX, LEADER_KEY } from './stored-records.js';
+
+/** The revision of a key that is not there. */
+const ABSENT = 0 as Revision;
+/** How long a transaction may wait for its share of the write rate, in milliseconds. */
+const MAX_RATE_WAIT_MS = 5000;
+/** Pause after the store has refused a transaction for its rate, in milliseconds. */
+const RATE_REFUSAL_DELAY_MS = 120;
+/** Pauses while the store is down, in milliseconds: doubled up to four times. */
+const FIRST_RETRY_DELAY_MS = 60;
+const MAX_RETRY_DOUBLINGS = 4;
+const MAX_RETRY_DELAY_MS = 1000;
+
+/** What became of a transaction; too large: surely not executed, in this size. */
+export type WriteOutcome = 'stored' | 'leadership-lost' | 'too-large';
+
+/** What the guarded writer works with. */
+export interface GuardedWriterOptions {
+  readonly store: KeyValueStoreClient;
+  readonly fencingToken: FencingToken;
+  readonly jitter: Jitter;
+}
+
+const keyOf = (mutation: Mutation): string => ('del' in mutation ? mutation.del : mutation.put);
+
+/** Executes transactions one after the other; each is retried until its outcome is known. */
+export class GuardedWriter {
+  /** Revision of each key that this leader has read or written. */
+  readonly keyRevisions = new Map<string, Revision>();
+  /** Revision of the newest transaction that is known to be stored under this token. */
+  lastRevision: Revision;
+  private readonly store: KeyValueStoreClient;
+  private readonly fencingToken: FencingToken;
+  private readonly jitter: Jitter;
+  private isStopped = false;
+
+  constructor({ store, fencingToken, jitter }: GuardedWriterOptions) {
+    this.store = store;
+    this.fencingToken = fencingToken;
+    this.jitter = jitter;
+    this.lastRevision = fencingToken as number as Revision;
+  }
+
+  /** Ends retries: a transaction of unknown outcome then counts as lost. */
+  stop(): void {
+    this.isStopped = true;
+  }
+
+  /** Executes mutations as one transaction, and tries until it is known whether they are stored. */
+  async write(mutations: readonly Mutation[]): Promise<WriteOutcome> {
+    const keys = mutations.map(keyOf);
+    for (let retries = 0; !this.isStopped; retries += 1) {
+      const result = await this.store.compareAndSwap(
+        this.preconditions(keys),
+        mutations,
+        MAX_RATE_WAIT_MS,
+      );
+      if (typeof result === 'object') {
+        this.noteStored(mutations, result.revision);
+        return 'stored';
+      }
+      if (result === 'too-large') return result;
+      if (result === 'conflict' || result === 'unknown') {
+        const outcome = await this.readBack(mutations, keys);
+        if (outcome !== 'not-stored') return outcome;
+      }
+      const isRateRefusal = result === 'refused' && !this.store.isDown;
+      await sleep(this.jitter.around(isRateRefusal ? RATE_REFUSAL_DELAY_MS : retryDelay(retries)));
+    }
+    return 'leadership-lost';
+  }
+
+  private preconditions(keys: readonly string[]): Precondition[] {
+    const preconditions: Precondition[] = [
+      { key: LEADER_KEY, revision: this.fencingToken as number as Revision },
+    ];
+    for (const key of keys) preconditions.push({ key, revision: this.knownRevision(key) });
+    return preconditions;
+  }
+
+  private knownRevision(key: string): Revision {
+    return this.keyRevisions.get(key) ?? ABSENT;
+  }
+
+  private noteStored(mutations: readonly Mutation[], revision: Revision): void {
+    this.lastRevision = Math.max(this.lastRevision, revision) as Revision;
+    for (const mutation of mutations) {
+      if ('del' in mutation) this.keyRevisions.delete(mutation.del);
+      // A completion is written once: its revision would only take memory.
+      else if (!mutation.put.startsWith(COMPLETION_PREFIX))
+        this.keyRevisions.set(mutation.put, revision);
+    }
+  }
+
+  /**
+   * An unanswered transaction may have been executed: the revision of its first key tells, under
+   * the same leader key. `not-stored` also stands for what could not be read.
+   */
+  private async readBack(
+    mutations: readonly Mutation[],
+    keys: readonly string[],
+  ): Promise<'stored' | 'leadership-lost' | 'not-stored'> {
+    const leader = await this.store.get(LEADER_KEY);
+    if (leader === 'absent') return 'leadership-lost';
+    if (typeof leader === 'string') return 'not-stored';
+    if ((leader.revision as number) !== (this.fencingToken as number)) return 'leadership-lost';
+    const [firstKey] = keys;
+    if (firstKey === undefined) return 'stored';
+    const first = await this.store.get(firstKey);
+    if (typeof first === 'string' && first !== 'absent') return 'not-stored';
+    const revision = first === 'absent' ? ABSENT : first.revision;
+    if (revision !== this.knownRevision(firstKey)) {
+      this.noteStored(mutations, revision);
+      return 'stored';
+    }
+    await this.refreshRevisions(keys);
+    return 'not-stored';
+  }
+
+  /** Makes sure of the known revisions before the next try. */
+  private async refreshRevisions(keys: readonly string[]): Promise<void> {
+    for (const key of keys) {
+      const item = await this.store.get(key);
+      if (item === 'absent') this.keyRevisions.delete(key);
+      else if (typeof item === 'object') this.keyRevisions.set(key, item.revision);
+    }
+  }
+}
+
+const retryDelay = (retries: number): number =>
+  Math.min(MAX_RETRY_DELAY_MS, FIRST_RETRY_DELAY_MS * 2 ** Math.min(retries, MAX_RETRY_DOUBLINGS));
--- a/src/service/leader-term.ts
+++ b/src/service/leader-term.ts
@@ -110,13 +110,13 @@
       cores: quota.cores,
     });
     this.commandLoop = commandLoop;
-    this.batchWriter = new BatchWriter(
-      dependencies.batchStore,
+    this.batchWriter = new BatchWriter({
+      store: dependencies.batchStore,
       fencingToken,
       log,
-      dependencies.jitter,
-      keyValueStoreLimits.maxTransactionOperations,
-    );
+      jitter: dependencies.jitter,
+      maxMutations: keyValueStoreLimits.maxTransactionOperations,
+    });
     this.writeShare = new WriteShare(dependencies);
     this.jobIntake = new JobIntake(this.batchWriter.keyRevisions, this.writeShare, log);
     const { batchWriter, replies } = this;
--- /dev/null
+++ b/src/service/segment-splitting.ts
@@ -0,0 +1,54 @@
+/** Splits a segment that the key-value store takes in no value of its own. */
+
+import type { SegmentKey } from '../core/model/ids.js';
+import type { StoreOperation } from '../core/model/ledger-record.js';
+
+/** The operation that writes one ledger segment. */
+export type SegmentWrite = Extract<StoreOperation, { kind: 'write-segment' }>;
+
+type SegmentRows = Pick<SegmentWrite, 'machines' | 'progress'>;
+
+const halves = <T>(list: readonly T[]): [readonly T[], readonly T[]] => {
+  const middle = Math.ceil(list.length / 2);
+  return [list.slice(0, middle), list.slice(middle)];
+};
+
+const splitRows = ({ machines, progress }: SegmentRows): [SegmentRows, SegmentRows] | null => {
+  if (machines.length > 0 && progress.length > 0)
+    return [
+      { machines, progress: [] },
+      { machines: [], progress },
+    ];
+  if (machines.length > 1) {
+    const [first, second] = halves(machines);
+    return [
+      { machines: first, progress },
+      { machines: second, progress },
+    ];
+  }
+  if (progress.length > 1) {
+    const [first, second] = halves(progress);
+    return [
+      { machines, progress: first },
+      { machines, progress: second },
+    ];
+  }
+  const [row] = machines;
+  if (!row || row.entries.length < 2) return null;
+  const [first, second] = halves(row.entries);
+  return [
+    { machines: [{ ...row, entries: first }], progress },
+    { machines: [{ ...row, entries: second }], progress },
+  ];
+};
+
+/** Two segments that hold together what one did, with keys of their own; null for a single row. */
+export const splitSegment = (segment: SegmentWrite): [SegmentWrite, SegmentWrite] | null => {
+  const rows = splitRows(segment);
+  if (!rows) return null;
+  const { kind, key } = segment;
+  return [
+    { kind, key: `${key}.0` as SegmentKey, ...rows[0] },
+    { kind, key: `${key}.1` as SegmentKey, ...rows[1] },
+  ];
+};
--- /dev/null
+++ b/src/service/stored-records/segment-record.ts
@@ -0,0 +1,145 @@
+/**
+ * The record of a ledger segment: the attempts that one batch entered, and the progress that it
+ * stored. Each job is named once; attempts refer to it by its row.
+ */
+import * as v from 'valibot';
+import { TASKS_PER_BLOCK } from '../../core/lifecycle/job-tasks.js';
+import type {
+  AttemptId,
+  JobId,
+  MachineId,
+  MachineTypeName,
+  TaskIndex,
+  TeamName,
+  ZoneName,
+} from '../../core/model/ids.js';
+import type { LedgerEntry, LedgerRow, ProgressRow } from '../../core/model/ledger-record.js';
+import { amount, name, whole } from './validators.js';
+
+/** [job, team, cpus, gpus, memory in GB] */
+const jobRowSchema = v.tuple([name<JobId>(), name<TeamName>(), amount, amount, amount]);
+/** [row of the job, task, attempt] */
+const attemptRowSchema = v.tuple([whole(), whole<TaskIndex>(), whole<AttemptId>()]);
+/** [machine, type, zone, spot, attempts] */
+const machineRowSchema = v.tuple([
+  name<MachineId>(),
+  name<MachineTypeName>(),
+  name<ZoneName>(),
+  v.boolean(),
+  v.array(attemptRowSchema),
+]);
+/** [job, block or first task, bits of done tasks in base64] */
+const progressRowSchema = v.tuple([name<JobId>(), whole(), v.string()]);
+
+const segmentSchema = v.object({
+  j: v.array(jobRowSchema),
+  m: v.array(machineRowSchema),
+  /** Progress of chunks that begin at a block, by the block's number. */
+  d: v.array(progressRowSchema),
+  /**
+   * Progress of the other chunks, by their first task: they exist where a block does not fit a
+   * value. A version that does not know them runs these tasks again; they end at once, since
+   * workers keep results.
+   */
+  e: v.optional(v.array(progressRowSchema), []),
+});
+type StoredSegment = v.InferInput<typeof segmentSchema>;
+type StoredJobRow = v.InferInput<typeof jobRowSchema>;
+type StoredAttemptRow = v.InferInput<typeof attemptRowSchema>;
+type StoredMachineRow = v.InferInput<typeof machineRowSchema>;
+type StoredProgressRow = v.InferInput<typeof progressRowSchema>;
+
+/** What one ledger segment holds. */
+export interface SegmentRecord {
+  readonly machines: readonly LedgerRow[];
+  readonly progress: readonly ProgressRow[];
+}
+
+/** Numbers the jobs of a segment as they come, and gathers their rows. */
+class JobRows {
+  readonly rows: StoredJobRow[] = [];
+  private readonly numbers = new Map<JobId, number>();
+
+  numberOf({ job, team, cpus, gpus, memoryGb }: LedgerEntry): number {
+    let number = this.numbers.get(job);
+    if (number === undefined) {
+      number = this.rows.push([job, team, cpus, gpus, memoryGb]) - 1;
+      this.numbers.set(job, number);
+    }
+    return number;
+  }
+}
+
+const encodeMachine = (
+  { machine, attributes, entries }: LedgerRow,
+  jobs: JobRows,
+): StoredMachineRow => [
+  machine,
+  attributes.type,
+  attributes.zone,
+  attributes.spot,
+  entries.map((entry): StoredAttemptRow => [jobs.numberOf(entry), entry.index, entry.attempt]),
+];
+
+const encodeProgress = ({ job, bits }: ProgressRow, position: number): StoredProgressRow => [
+  job,
+  position,
+  Buffer.from(bits).toString('base64'),
+];
+
+const beginsAtBlock = ({ firstTask }: ProgressRow): boolean => firstTask % TASKS_PER_BLOCK === 0;
+
+/** The stored form of a segment. */
+export const encodeSegment = ({ machines, progress }: SegmentRecord): StoredSegment => {
+  const jobs = new JobRows();
+  const blocks = progress.filter(beginsAtBlock);
+  const smallChunks = progress.filter((row) => !beginsAtBlock(row));
+  return {
+    j: jobs.rows,
+    m: machines.map((row) => encodeMachine(row, jobs)),
+    d: blocks.map((row) => encodeProgress(row, row.firstTask / TASKS_PER_BLOCK)),
+    ...(smallChunks.length > 0
+      ? { e: smallChunks.map((row) => encodeProgress(row, row.firstTask)) }
+      : {}),
+  };
+};
+
+/** null where an attempt refers to a job that the segment does not name. */
+const decodeMachine = (
+  [machine, type, zone, spot, attempts]: StoredMachineRow,
+  jobRows: readonly StoredJobRow[],
+): LedgerRow | null => {
+  const entries: LedgerEntry[] = [];
+  for (const [number, index, attempt] of attempts) {
+    const jobRow = jobRows[number];
+    if (!jobRow) return null;
+    const [job, team, cpus, gpus, memoryGb] = jobRow;
+    entries.push({ job, index, attempt, team, cpus, gpus, memoryGb });
+  }
+  return { machine, attributes: { type, zone, spot }, entries };
+};
+
+const decodeProgress = (job: JobId, firstTask: number, bits: string): ProgressRow => ({
+  job,
+  firstTask,
+  bits: new Uint8Array(Buffer.from(bits, 'base64')),
+});
+
+/** null for a record that is not wholly as written: what it spoke of may then be anywhere. */
+export const decodeSegment = (value: unknown): SegmentRecord | null => {
+  const parsed = v.safeParse(segmentSchema, value);
+  if (!parsed.success) return null;
+  const { j: jobRows, m: machineRows, d: blocks, e: smallChunks } = parsed.output;
+  const machines: LedgerRow[] = [];
+  for (const machineRow of machineRows) {
+    const machine = decodeMachine(machineRow, jobRows);
+    if (!machine) return null;
+    machines.push(machine);
+  }
+  const progress: ProgressRow[] = [];
+  for (const [job, block, bits] of blocks)
+    progress.push(decodeProgress(job, block * TASKS_PER_BLOCK, bits));
+  for (const [job, firstTask, bits] of smallChunks)
+    progress.push(decodeProgress(job, firstTask, bits));
+  return { machines, progress };
+};
--- a/test/persister.test.ts
+++ b/test/batch-writer.test.ts
@@ -1,3 +1,4 @@
+/** The batch writer against a stand-in of the key-value store that loses requests and answers. */
 import { afterEach, describe, expect, it } from 'vitest';
 import { KeyValueStoreClient } from '../src/adapters/key-value-store/key-value-store-client.js';
 import { Jitter } from '../src/adapters/runtime/random.js';
@@ -10,7 +11,9 @@
 
 afterEach(cleanUp);
 
-describe('the persister', () => {
+const STORED = { kind: 'stored', refused: [] };
+
+describe('the batch writer', () => {
   const RATES = { rps: 1000, writeRps: 1000 };
   const setUp = async () => {
     const state = new StateService();
@@ -23,8 +26,9 @@
     );
     cleanups.push(() => client.close());
     state.multi({ Apply: [{ Write: 'leader', Data: {} }] });
-    const persister = new BatchWriter(client, state.epoch as FencingToken, log, new Jitter(3));
-    return { state, persister };
+    const fencingToken = state.epoch as FencingToken;
+    const writer = new BatchWriter({ store: client, fencingToken, log, jitter: new Jitter(3) });
+    return { state, writer };
   };
   const key = (n: number) => segmentKey(7 as FencingToken, n);
   const segment = (n: number, bits = n): StoreOperation => ({
@@ -35,40 +39,39 @@
   });
 
   it('finds out by reading back that an unanswered write was carried out', async () => {
-    const { state, persister } = await setUp();
+    const { state, writer } = await setUp();
     state.swallow = 1;
-    expect(await persister.storeBatch([segment(1)])).toEqual([]);
+    expect(await writer.storeBatch([segment(1)])).toEqual(STORED);
     expect(state.transactions).toBe(1);
-    expect(await persister.storeBatch([segment(3), { kind: 'drop-segment', key: key(1) }])).toEqual(
-      [],
-    );
+    const dropped: StoreOperation = { kind: 'drop-segment', key: key(1) };
+    expect(await writer.storeBatch([segment(3), dropped])).toEqual(STORED);
     expect(state.keys.get(key(3))?.data).toMatchObject({ d: [['job-1', 0, 'Aw==']] });
     expect(state.keys.has(key(1))).toBe(false);
   });
 
   it('writes again what was not carried out', async () => {
-    const { state, persister } = await setUp();
+    const { state, writer } = await setUp();
     state.drop = 2;
-    expect(await persister.storeBatch([segment(1)])).toEqual([]);
+    expect(await writer.storeBatch([segment(1)])).toEqual(STORED);
     expect(state.transactions).toBe(3);
   });
 
   it('gives up once another leads, and changes nothing', async () => {
-    const { state, persister } = await setUp();
+    const { state, writer } = await setUp();
     state.multi({ Apply: [{ Write: 'leader', Data: { node: 'other' } }] });
     const gone: StoreOperation = { kind: 'drop-segment', key: key(9) };
-    expect(await persister.storeBatch([segment(1), gone])).toBeNull();
+    expect(await writer.storeBatch([segment(1), gone])).toEqual({ kind: 'leadership-lost' });
     expect(state.keys.has(key(1))).toBe(false);
   });
 
   it('a late copy of an older write fails, since each key is guarded by its version', async () => {
-    const { state, persister } = await setUp();
-    await persister.storeBatch([segment(1)]);
+    const { state, writer } = await setUp();
+    await writer.storeBatch([segment(1)]);
     const late = {
       Guards: [{ Path: key(1), Stamp: 0 as Revision }],
       Apply: [{ Write: key(1), Data: 'old' }],
     };
-    await persister.storeBatch([segment(3)]);
+    await writer.storeBatch([segment(3)]);
     expect(state.multi(late).status).toBe(409);
   });
 });
--- a/test/extensions.test.ts
+++ b/test/extensions.test.ts
@@ -193,7 +193,8 @@
 
   it('are guarded by the leader key and by their own versions, and a deletion of what is not there is left out', async () => {
     const sent: unknown[] = [];
-    const state = {
+    const STORED = { kind: 'stored', refused: [] };
+    const store = {
       isDown: false,
       compareAndSwap: async (guards: unknown, writes: unknown) => {
         sent.push({ guards, writes });
@@ -201,7 +202,12 @@
       },
     };
     const jitter = { around: (ms: number) => ms };
-    const persister = new BatchWriter(state as never, 7 as never, log, jitter as never);
+    const writer = new BatchWriter({
+      store: store as never,
+      fencingToken: 7 as never,
+      log,
+      jitter: jitter as never,
+    });
     const ops: StoreOperation[] = [
       {
         kind: 'write-extension-records',
@@ -217,16 +223,16 @@
         writes: [{ key: 'gone', value: null }],
       },
     ];
-    expect(await persister.storeBatch(ops)).toEqual([]);
+    expect(await writer.storeBatch(ops)).toEqual(STORED);
     expect(
-      await persister.storeBatch([
+      await writer.storeBatch([
         {
           kind: 'write-extension-records',
           extension: 'drain',
           writes: [{ key: 'a', value: null }],
         },
       ]),
-    ).toEqual([]);
+    ).toEqual(STORED);
     expect(sent).toEqual([
       {
         guards: [
@@ -243,6 +249,6 @@
         writes: [{ del: 'x/drain/a' }],
       },
     ]);
-    expect(persister.lastRevision).toBe(9);
+    expect(writer.lastRevision).toBe(9);
   });
 });
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -169,6 +169,7 @@
 
 describe('a leader whose batch is refused as too large', () => {
   const log = pino({ level: 'silent' });
+  const STORED = { kind: 'stored', refused: [] };
   const setUp = async () => {
     const state = new StateService();
     cleanups.push(() => state.close());
@@ -180,8 +181,9 @@
     );
     cleanups.push(() => client.close());
     state.multi({ Apply: [{ Write: 'leader', Data: {} }] });
-    const persister = new BatchWriter(client, state.epoch as FencingToken, log, new Jitter(3));
-    return { state, persister };
+    const fencingToken = state.epoch as FencingToken;
+    const writer = new BatchWriter({ store: client, fencingToken, log, jitter: new Jitter(3) });
+    return { state, writer };
   };
   const key = (n: number) => segmentKey(7 as FencingToken, n);
   const segment = (
@@ -216,10 +218,10 @@
   ])(
     'cuts it until it fits (%s), loses nothing, sends nothing again unchanged, and drops all pieces',
     async (_, limits) => {
-      const { state, persister } = await setUp();
+      const { state, writer } = await setUp();
       Object.assign(state.limits, limits);
       const ops = [1, 2, 3, 4].map((n) => segment(n, 12));
-      expect(await persister.storeBatch(ops)).toEqual([]);
+      expect(await writer.storeBatch(ops)).toEqual(STORED);
       const wanted = ops.flatMap((op) =>
         op.machines.flatMap((m) => m.entries.map((e) => e.attempt as number)),
       );
@@ -227,23 +229,24 @@
       expect(state.refused.length).toBeGreaterThan(0);
       expect(new Set(state.refused).size).toBe(state.refused.length);
       const gone = ops.map(({ key }): StoreOperation => ({ kind: 'drop-segment', key }));
-      expect(await persister.storeBatch([segment(9, 1), ...gone])).toEqual([]);
+      expect(await writer.storeBatch([segment(9, 1), ...gone])).toEqual(STORED);
       expect(stored(state).attempts).toEqual([9000, 9100, 9200]);
     },
   );
 
   it('goes on with all the rest when a change is taken in no size, and what it spoke of waits', async () => {
-    const { state, persister } = await setUp();
+    const { state, writer } = await setUp();
     state.limits.txnOps = 1;
     // A job's end is two changes or none.
-    const final: StoreOperation = {
+    const completion: StoreOperation = {
       kind: 'job-completion',
       job: 'job-5' as JobId,
       outcome: 'done',
       tasks: 3,
       team: 'blue' as TeamName,
     };
-    expect(await persister.storeBatch([final, segment(1, 2)])).toEqual([final]);
+    const result = await writer.storeBatch([completion, segment(1, 2)]);
+    expect(result).toEqual({ kind: 'stored', refused: [completion] });
     expect(stored(state).attempts).toHaveLength(6);
     expect(state.keys.has('f/job-5')).toBe(false);
   });
