--- a/src/core/extensions/extension-package.ts
+++ b/src/core/extensions/extension-package.ts
@@ -4,16 +4,18 @@
 
 /** What commands of a package may use. */
 export interface CommandTools {
-  /** Asks a daemon; null when it does not answer. */
+  /** Sends a request to the daemon at `host:port`; null when it does not answer. */
   ask(
     at: string,
     method: 'GET' | 'POST',
     path: string,
     body?: object,
   ): Promise<{ readonly status: number; readonly body: unknown } | null>;
+  /** Prints on standard output. */
   print(text: string): void;
-  /** One line on standard error. */
+  /** Prints one line on standard error. */
   complain(text: string): void;
+  /** The exit code for when the command has ended. */
   setExitCode(code: number): void;
 }
 
--- a/src/core/lifecycle/attempts.ts
+++ b/src/core/lifecycle/attempts.ts
@@ -2,7 +2,8 @@
 
 import type { CoreState } from '../core-state.js';
 import { detachPlacement } from '../ledger/segments.js';
-import type { AttemptPhase, Placement } from '../model/entities.js';
+import type { AttemptPhase } from '../model/attempt.js';
+import type { Placement } from '../model/entities.js';
 import type { Instant } from '../model/time.js';
 import { isTaskDone } from './job-tasks.js';
 
--- a/src/core/lifecycle/job-tasks.ts
+++ b/src/core/lifecycle/job-tasks.ts
@@ -42,7 +42,6 @@
   consecutiveFailures: 0,
   lastFailureAt: 0 as Instant,
   terminalState: 'none',
-  finalSaving: false,
   cancellationTickets: [],
   waitingReason: '',
 });
--- a/src/core/log-event.ts
+++ b/src/core/log-event.ts
@@ -1,11 +1,13 @@
-/** What the core has to say to the log. */
+/** Log records among the core's effects. */
 import type { Effect } from './model/effect.js';
+import type { LogFields, LogLevel } from './model/log-record.js';
 
+/** Adds a log record: `text` is a short event name, and all that varies is in the fields. */
 export const logEvent = (
   effects: Effect[],
-  level: 'info' | 'debug',
+  level: LogLevel,
   text: string,
-  fields: Record<string, unknown>,
+  fields: LogFields,
 ): void => {
   effects.push({ kind: 'log', level, text, fields });
 };
--- a/src/core/model/effect.ts
+++ b/src/core/model/effect.ts
@@ -1,29 +1,35 @@
 /** Outputs of the core: what the service has to carry out. */
 
-import type { OperatorAnswer } from '../extensions/extension.js';
 import type { JobId, MachineId, ReplyTicket, TeamName } from './ids.js';
 import type { JobOutcome } from './job.js';
 import type { StoreOperation } from './ledger-record.js';
+import type { LogRecord } from './log-record.js';
 import type { ProvisionRequest } from './machine.js';
+import type { OperatorAnswer } from './operator-call.js';
 import type { WorkerCommand } from './worker-command.js';
 
 /** An output of the core. */
 export type Effect =
+  /** null: the heartbeat gets no answer from this leader. */
   | {
       readonly kind: 'reply-to-heartbeat';
       readonly ticket: ReplyTicket;
       readonly commands: readonly WorkerCommand[] | null;
     }
+  /** To be stored in this order; answered by `batch-stored`. */
   | {
       readonly kind: 'store-batch';
+      /** The batch's number under this term. */
       readonly batch: number;
       readonly ops: readonly StoreOperation[];
     }
+  /** Answers a cancellation; null where no such job is unfinished. */
   | {
       readonly kind: 'cancellation-settled';
       readonly ticket: ReplyTicket;
       readonly outcome: JobOutcome | null;
     }
+  /** The job's completion is stored. */
   | {
       readonly kind: 'job-ended';
       readonly job: JobId;
@@ -31,26 +37,25 @@
       readonly tasks: number;
       readonly team: TeamName;
     }
+  /** Answered by `provision-result`. */
   | ({ readonly kind: 'provision' } & ProvisionRequest)
+  /** Answered by `deletion-result`. */
   | { readonly kind: 'delete-machines'; readonly machines: readonly MachineId[] }
   | {
       readonly kind: 'operator-answer';
       readonly ticket: ReplyTicket;
       readonly answer: OperatorAnswer;
     }
+  /** Commands that do not wait for the machine's next heartbeat; valid for this agent epoch only. */
   | {
       readonly kind: 'send-commands';
       readonly machine: MachineId;
+      /** `host:port`. */
       readonly endpoint: string;
       readonly agentEpoch: number;
       readonly commands: readonly WorkerCommand[];
     }
-  | {
-      readonly kind: 'log';
-      readonly level: 'info' | 'debug';
-      readonly text: string;
-      readonly fields: Record<string, unknown>;
-    };
+  | ({ readonly kind: 'log' } & LogRecord);
 
 /** What the service may do now: everything, only keep workers' leases alive, or nothing. */
 export type Authority = 'lead' | 'keep-alive' | 'none';
--- a/src/core/model/ids.ts
+++ b/src/core/model/ids.ts
@@ -2,9 +2,10 @@
 
 declare const brand: unique symbol;
 
+/** A `T` that only passes for others of the brand `B`. */
 export type Branded<T, B extends string> = T & { readonly [brand]: B };
 
-/** Chosen by the user who submits the job. */
+/** Name of a job, chosen by the user who submits it. */
 export type JobId = Branded<string, 'JobId'>;
 
 /** The cloud's name of a machine. */
@@ -20,28 +21,28 @@
 export type ZoneName = Branded<string, 'ZoneName'>;
 
 /** Name of a machine type. */
-export type MachineTypeName = Branded<string, 'TypeName'>;
+export type MachineTypeName = Branded<string, 'MachineTypeName'>;
 
 /** Name of an image that tasks need. */
 export type ImageName = Branded<string, 'ImageName'>;
 
-/** Names one request for machines; the cloud answers a repeat of it with the same machines. */
-export type ProvisionRequestId = Branded<string, 'RequestName'>;
+/** Names one provision request; the cloud answers a repeat of it with the same machines. */
+export type ProvisionRequestId = Branded<string, 'ProvisionRequestId'>;
 
 /** Number of a task within its job, from 0. */
 export type TaskIndex = Branded<number, 'TaskIndex'>;
 
 /** Identifies one try at running a task; never used twice. */
-export type AttemptId = Branded<number, 'Attempt'>;
+export type AttemptId = Branded<number, 'AttemptId'>;
 
 /** The right to command: the revision of the key-value store at which the leader key was acquired. */
-export type FencingToken = Branded<number, 'Term'>;
+export type FencingToken = Branded<number, 'FencingToken'>;
 
-/** Revision of the key-value store. */
+/** Revision of the key-value store: it grows with each transaction. */
 export type Revision = Branded<number, 'Revision'>;
 
-/** Names one record of the placement ledger. */
+/** Key of one segment of the placement ledger. */
 export type SegmentKey = Branded<string, 'SegmentKey'>;
 
 /** Names a caller that waits in the service for an answer from the core. */
-export type ReplyTicket = Branded<number, 'Ticket'>;
+export type ReplyTicket = Branded<number, 'ReplyTicket'>;
--- a/src/core/model/ledger-record.ts
+++ b/src/core/model/ledger-record.ts
@@ -1,11 +1,11 @@
-/** Rows of the placement ledger, and the changes of one batch. */
+/** Rows of the placement ledger, and the operations of one batch. */
 
 import type { RecordWrite } from './extension-record.js';
 import type { AttemptId, JobId, MachineId, SegmentKey, TaskIndex, TeamName } from './ids.js';
 import type { JobOutcome } from './job.js';
 import type { MachineAttributes } from './machine.js';
 
-/** What the placement ledger holds of one attempt: enough to count it when its job is gone. */
+/** What the ledger holds of one attempt: enough to count it when its job is gone. */
 export interface LedgerEntry {
   readonly job: JobId;
   readonly index: TaskIndex;
@@ -16,30 +16,35 @@
   readonly memoryGb: number;
 }
 
-/** Attempts that one ledger record enters on one machine. */
+/** Attempts that one ledger segment enters on one machine. */
 export interface LedgerRow {
   readonly machine: MachineId;
   readonly attributes: MachineAttributes;
   readonly entries: readonly LedgerEntry[];
 }
 
-/** Which tasks of a part of a job are done: the whole part each time, so that the newest row says it all. */
+/**
+ * Which tasks of one chunk of a job are done: the whole chunk each time, so that the newest row
+ * tells all of it.
+ */
 export interface ProgressRow {
   readonly job: JobId;
-  /** The first task that it speaks of, a multiple of 8. */
+  /** The chunk's first task, a multiple of 8. */
   readonly firstTask: number;
+  /** One bit for each task, the lowest bit of the first byte for the first task; 1 for done. */
   readonly bits: Uint8Array;
 }
 
-/** One change of a batch. Each is stored whole; the batch may take several transactions. */
+/** One operation of a batch. Each is stored whole; the batch may take several transactions. */
 export type StoreOperation =
-  /** A new ledger record: what one batch entered and finished, over many machines and jobs. */
+  /** A new ledger segment: what one batch entered and finished, over many machines and jobs. */
   | {
       readonly kind: 'write-segment';
       readonly key: SegmentKey;
       readonly machines: readonly LedgerRow[];
       readonly progress: readonly ProgressRow[];
     }
+  /** Deletes an obsolete segment. */
   | { readonly kind: 'drop-segment'; readonly key: SegmentKey }
   /** Records of an extension, stored together. */
   | {
@@ -47,6 +52,7 @@
       readonly extension: string;
       readonly writes: readonly RecordWrite[];
     }
+  /** Stores how a job ended, and deletes the job's own record. */
   | {
       readonly kind: 'job-completion';
       readonly job: JobId;
--- a/src/core/model/team.ts
+++ b/src/core/model/team.ts
@@ -1,11 +1,15 @@
 /** Teams and their quotas. */
 import type { TeamName } from './ids.js';
 
-/** A team: its guaranteed share, and the quota that its tasks never exceed (`…Max`). */
+/** A team: its guaranteed share, and the quota that its running tasks never exceed. */
 export interface Team {
   readonly name: TeamName;
+  /** Guaranteed processors. */
   readonly cpus: number;
+  /** Quota of processors. */
   readonly cpusMax: number;
+  /** Guaranteed GPUs. */
   readonly gpus: number;
+  /** Quota of GPUs. */
   readonly gpusMax: number;
 }
--- a/src/core/model/time.ts
+++ b/src/core/model/time.ts
@@ -8,10 +8,10 @@
 export type Millis = Branded<number, 'Millis'>;
 
 /** Seconds as milliseconds. */
-export const seconds = (s: number): Millis => (s * 1000) as Millis;
+export const seconds = (count: number): Millis => (count * 1000) as Millis;
 
-/** The moment this much later. */
-export const addMillis = (t: Instant, by: Millis): Instant => (t + by) as Instant;
+/** The point that much later. */
+export const addMillis = (instant: Instant, by: Millis): Instant => (instant + by) as Instant;
 
-/** How long ago a moment was. */
-export const elapsedMillis = (t: Instant, now: Instant): Millis => (now - t) as Millis;
+/** The time from a point until now. */
+export const elapsedMillis = (since: Instant, now: Instant): Millis => (now - since) as Millis;
