--- a/test/batch-writer.test.ts
+++ b/test/batch-writer.test.ts
@@ -38,7 +38,7 @@
     progress: [{ job: 'job-1' as JobId, firstTask: 0, bits: Uint8Array.of(bits) }],
   });
 
-  it('finds out by reading back that an unanswered write was carried out', async () => {
+  it('finds out by reading back that an unanswered transaction was executed', async () => {
     const { state, writer } = await setUp();
     state.swallow = 1;
     expect(await writer.storeBatch([segment(1)])).toEqual(STORED);
@@ -49,14 +49,14 @@
     expect(state.keys.has(key(1))).toBe(false);
   });
 
-  it('writes again what was not carried out', async () => {
+  it('retries what was not executed', async () => {
     const { state, writer } = await setUp();
     state.drop = 2;
     expect(await writer.storeBatch([segment(1)])).toEqual(STORED);
     expect(state.transactions).toBe(3);
   });
 
-  it('gives up once another leads, and changes nothing', async () => {
+  it('gives up once another node leads, and changes nothing', async () => {
     const { state, writer } = await setUp();
     state.multi({ Apply: [{ Write: 'leader', Data: { node: 'other' } }] });
     const gone: StoreOperation = { kind: 'drop-segment', key: key(9) };
@@ -64,7 +64,7 @@
     expect(state.keys.has(key(1))).toBe(false);
   });
 
-  it('a late copy of an older write fails, since each key is guarded by its version', async () => {
+  it('guards each key by its revision, so that a late copy of an older write fails', async () => {
     const { state, writer } = await setUp();
     await writer.storeBatch([segment(1)]);
     const late = {
--- a/test/extensions.test.ts
+++ b/test/extensions.test.ts
@@ -1,4 +1,4 @@
-/** The interface for optional packages: without one nothing changes, and a faulty one stops nothing. */
+/** The extension host: without an extension nothing changes, and a faulty one stops nothing. */
 import { describe, expect, it } from 'vitest';
 import { drainModule } from '../packages/drain/src/index.js';
 import { settingsOf } from '../packages/drain/test/settings.js';
@@ -34,28 +34,32 @@
   return new CoreDriver(state);
 };
 
-/** A day in short: two machines, tasks that end, one that fails, a machine with a notice; every effect of it. */
-const playDay = (s: CoreDriver): Effect[] => {
-  for (const id of ['n-1', 'n-2']) s.up(id);
-  s.submit('job-1', { tasks: 6, cpus: 2 });
-  s.submit('job-2', { shape: 'service', tasks: 2, priority: 'critical', allowsSpot: false });
+/** Two machines, tasks that end, one that fails, a reclaim notice: every effect of that day. */
+const playDay = (driver: CoreDriver): Effect[] => {
+  for (const id of ['n-1', 'n-2']) driver.up(id);
+  driver.submit('job-1', { tasks: 6, cpus: 2 });
+  driver.submit('job-2', { shape: 'service', tasks: 2, priority: 'critical', allowsSpot: false });
   for (let i = 0; i < 12; i += 1) {
     for (const id of ['n-1', 'n-2']) {
-      const starts = s.starts(s.checkIn(id));
-      s.checkIn(id, starts.map(running), i === 9 && id === 'n-1' ? { reclaimNoticeS: 20 } : {});
-      const done = starts.map((o) =>
-        ended(o, o.job === 'job-2' ? null : i === 3 ? 'error' : 'done'),
+      const starts = driver.starts(driver.checkIn(id));
+      driver.checkIn(
+        id,
+        starts.map(running),
+        i === 9 && id === 'n-1' ? { reclaimNoticeS: 20 } : {},
       );
-      s.checkIn(id, done);
+      const done = starts.map((command) =>
+        ended(command, command.job === 'job-2' ? null : i === 3 ? 'error' : 'done'),
+      );
+      driver.checkIn(id, done);
     }
-    s.pass(3000);
+    driver.pass(3000);
   }
-  s.pass(400_000);
-  return s.effects;
+  driver.pass(400_000);
+  return driver.effects;
 };
 
-describe('without a package', () => {
-  it('decisions and records are the same as with one that has nothing to do, and no step costs more effects', () => {
+describe('without an extension', () => {
+  it('decides and stores the same as with an idle one, and no step has more effects', () => {
     const off = new CoreDriver();
     const on = new CoreDriver(core());
     on.state.extensions = new ExtensionHost(on.state, [
@@ -64,37 +68,39 @@
     const plain = playDay(off);
     const withIdle = playDay(on);
     const extra = withIdle.filter(
-      (e) => e.kind === 'store-batch' && e.ops.some((op) => op.kind === 'write-extension-records'),
+      (effect) =>
+        effect.kind === 'store-batch' &&
+        effect.ops.some((op) => op.kind === 'write-extension-records'),
     );
     expect(plain.length).toBeGreaterThan(100);
-    expect(plain.some((e) => e.kind === 'delete-machines')).toBe(true);
-    expect(plain.some((e) => e.kind === 'provision')).toBe(true);
+    expect(plain.some((effect) => effect.kind === 'delete-machines')).toBe(true);
+    expect(plain.some((effect) => effect.kind === 'provision')).toBe(true);
     // Only disruptions that nobody chose are written down by the package.
     const comparable = (effects: readonly Effect[]) =>
       effects
         .filter(
-          (e) =>
-            e.kind === 'provision' ||
-            e.kind === 'delete-machines' ||
-            e.kind === 'send-commands' ||
-            e.kind === 'reply-to-heartbeat',
+          (effect) =>
+            effect.kind === 'provision' ||
+            effect.kind === 'delete-machines' ||
+            effect.kind === 'send-commands' ||
+            effect.kind === 'reply-to-heartbeat',
         )
-        .map((e) => JSON.stringify(e));
+        .map((effect) => JSON.stringify(effect));
     expect(comparable(withIdle)).toEqual(comparable(plain));
     expect(withIdle.length - plain.length).toBeLessThanOrEqual(2 * extra.length);
   });
 
-  it('the core holds no host, so that no hook runs', () => {
-    const s = new CoreDriver();
-    playDay(s);
-    expect(s.state.extensions).toBeNull();
+  it('holds no extension host, so that no hook runs', () => {
+    const driver = new CoreDriver();
+    playDay(driver);
+    expect(driver.state.extensions).toBeNull();
   });
 });
 
 describe('an extension that throws', () => {
-  it('is logged and left out for that step; placement goes on, and it is asked again in the next', () => {
+  it('is logged and left out for that step; placement goes on, and it is called again in the next', () => {
     let asked = 0;
-    const s = driverWith(
+    const driver = driverWith(
       extension({
         decide: () => {
           asked += 1;
@@ -105,46 +111,46 @@
         },
       }),
     );
-    s.submit('job-1');
-    const starts = s.starts(s.up('n-1'));
+    driver.submit('job-1');
+    const starts = driver.starts(driver.up('n-1'));
     expect(starts).toHaveLength(1);
-    s.checkIn('n-1', starts.map(running));
-    s.checkIn(
+    driver.checkIn('n-1', starts.map(running));
+    driver.checkIn(
       'n-1',
-      starts.map((o) => ended(o, 'done')),
+      starts.map((command) => ended(command, 'done')),
     );
-    expect(s.effects.some((e) => e.kind === 'job-ended')).toBe(true);
+    expect(driver.effects.some((effect) => effect.kind === 'job-ended')).toBe(true);
     expect(asked).toBeGreaterThan(3);
-    const notes = s.effects.filter(
-      (e) => e.kind === 'log' && e.text.startsWith('extension failed'),
+    const notes = driver.effects.filter(
+      (effect) => effect.kind === 'log' && effect.text.startsWith('extension failed'),
     );
     expect(notes.length).toBeGreaterThan(3);
   });
 
-  it('in its gate counts as no consent: replicas stay, idle machines are kept', () => {
-    const s = driverWith(
+  it('gives no consent to disruptions: replicas stay, idle machines are kept', () => {
+    const driver = driverWith(
       extension({
         mayEvictReplica: () => {
           throw new Error('broken');
         },
       }),
     );
-    for (const id of ['n-1', 'n-2']) s.up(id);
-    s.submit('job-1', { shape: 'service', priority: 'critical' });
+    for (const id of ['n-1', 'n-2']) driver.up(id);
+    driver.submit('job-1', { shape: 'service', priority: 'critical' });
     const holder = ['n-1', 'n-2'].find((id) => {
-      const starts = s.starts(s.checkIn(id));
-      if (starts.length > 0) s.checkIn(id, starts.map(running));
+      const starts = driver.starts(driver.checkIn(id));
+      if (starts.length > 0) driver.checkIn(id, starts.map(running));
       return starts.length > 0;
     })!;
-    const machine = s.state.machines.get(holder as never)!;
+    const machine = driver.state.machines.get(holder as never)!;
     machine.isDraining = true;
     const held = [...machine.placements.values()][0]!;
-    s.pass(4000);
+    driver.pass(4000);
     expect(held.stopRequest).toBeNull();
   });
 
   it('answers a call with 503', () => {
-    const s = driverWith(
+    const driver = driverWith(
       extension({
         call: () => {
           throw new Error('broken');
@@ -152,19 +158,19 @@
       }),
     );
     const call = { route: 'any', subject: '', body: {} };
-    s.send({ kind: 'operator-call', extension: 'probe', call, ticket: 5 as ReplyTicket });
-    const answers = s.effects.flatMap((e): OperatorAnswer[] =>
-      e.kind === 'operator-answer' ? [e.answer] : [],
+    driver.send({ kind: 'operator-call', extension: 'probe', call, ticket: 5 as ReplyTicket });
+    const answers = driver.effects.flatMap((effect): OperatorAnswer[] =>
+      effect.kind === 'operator-answer' ? [effect.answer] : [],
     );
     expect(answers).toMatchObject([{ status: 503 }]);
   });
 });
 
-describe('writes of extensions', () => {
-  it('take a bounded part of each batch, in order, and come back as stored', () => {
+describe('records of extensions', () => {
+  it('take a bounded share of each batch, in order, and are reported as stored', () => {
     const stored: string[] = [];
     let left = 40;
-    const s = driverWith(
+    const driver = driverWith(
       extension({
         decide: (): ExtensionRequest[] => {
           if (left === 0) return [];
@@ -181,8 +187,10 @@
         },
       }),
     );
-    s.pass(30_000);
-    const batches = s.effects.flatMap((e) => (e.kind === 'store-batch' ? [e.ops] : []));
+    driver.pass(30_000);
+    const batches = driver.effects.flatMap((effect) =>
+      effect.kind === 'store-batch' ? [effect.ops] : [],
+    );
     const sizes = batches.map(
       (ops) => ops.filter((op) => op.kind === 'write-extension-records').length,
     );
@@ -191,7 +199,7 @@
     expect(stored).toEqual([...stored].sort().reverse());
   });
 
-  it('are guarded by the leader key and by their own versions, and a deletion of what is not there is left out', async () => {
+  it('are guarded by the leader key and their own revisions; deleting an absent one is left out', async () => {
     const sent: unknown[] = [];
     const STORED = { kind: 'stored', refused: [] };
     const store = {
--- a/test/ledger.test.ts
+++ b/test/ledger.test.ts
@@ -1,4 +1,4 @@
-/** The placement ledger: what it holds, and what becomes of it. */
+/** The placement ledger: what its segments hold, and when they become obsolete. */
 import { describe, expect, it } from 'vitest';
 import { applyCommands } from '../src/core/apply-commands.js';
 import { segmentKey } from '../src/core/ledger/segments.js';
@@ -18,11 +18,11 @@
 import { CoreDriver, ended, running } from './model/core-driver.js';
 
 describe('the placement ledger', () => {
-  const saves = (effects: readonly Effect[]): StoreOperation[] =>
-    effects.flatMap((e) => (e.kind === 'store-batch' ? [...e.ops] : []));
+  const storeOperations = (effects: readonly Effect[]): StoreOperation[] =>
+    effects.flatMap((effect) => (effect.kind === 'store-batch' ? [...effect.ops] : []));
 
-  it('enters the starts of many machines with few changes, each record within a value', () => {
-    const s = new CoreDriver(
+  it('enters the attempts of many machines in few segments, each within the size of a value', () => {
+    const driver = new CoreDriver(
       core({ maxValueBytes: 2048, teams: new Map([['blue' as TeamName, team('blue', 800)]]) }),
     );
     const ids = Array.from({ length: 60 }, (_, i) => `n-${i}`);
@@ -31,26 +31,28 @@
       [2, 7],
     ] as const) {
       for (const [i, id] of ids.entries()) {
-        s.send({
+        driver.send({
           kind: 'heartbeat',
           heartbeat: report(id, seq, term),
           ticket: (seq * 100 + i) as ReplyTicket,
         });
       }
-      s.pass(2000);
+      driver.pass(2000);
     }
-    s.effects = [];
-    s.submit('job-1', { tasks: 480 });
-    s.pass(1000);
-    const records = saves(s.effects).filter((op) => op.kind === 'write-segment');
-    expect(records.flatMap((r) => r.machines.flatMap((m) => m.entries)).length).toBe(480);
+    driver.effects = [];
+    driver.submit('job-1', { tasks: 480 });
+    driver.pass(1000);
+    const records = storeOperations(driver.effects).filter((op) => op.kind === 'write-segment');
+    expect(
+      records.flatMap((segment) => segment.machines.flatMap((machine) => machine.entries)).length,
+    ).toBe(480);
     expect(records.length).toBeLessThan(16);
-    for (const r of records)
-      expect(JSON.stringify(encodeSegment(r)).length).toBeLessThanOrEqual(2048);
+    for (const segment of records)
+      expect(JSON.stringify(encodeSegment(segment)).length).toBeLessThanOrEqual(2048);
   });
 
-  it('enters replicas first where one batch cannot hold all that starts', () => {
-    // Four changes a batch, small values, and far more starts than fit.
+  it('enters replicas first where one batch cannot hold all attempts', () => {
+    // Four mutations a batch, small values, and far more starts than fit.
     const limits = { maxValueBytes: 700, maxTransactionOperations: 4, storeWritesPerSecond: 4 };
     const state = core({ ...limits, teams: new Map([['blue' as TeamName, team('blue', 800)]]) });
     const run = (now: number, ...commands: Command[]) =>
@@ -58,10 +60,10 @@
     run(0, { kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
     for (let seq = 1; seq < 3; seq += 1) {
       for (let i = 0; i < 60; i += 1) {
-        const told = report(`n-${i}`, seq, seq < 2 ? 6 : 7);
+        const heartbeat = report(`n-${i}`, seq, seq < 2 ? 6 : 7);
         run(1000 * seq, {
           kind: 'heartbeat',
-          heartbeat: told,
+          heartbeat,
           ticket: (seq * 100 + i) as ReplyTicket,
         });
       }
@@ -79,42 +81,46 @@
       priority: 'standard',
     });
     const effects = run(3500, array, { kind: 'job', spec: replicas, submittedAt: 3500 as Instant });
-    const first = saves(effects).flatMap((op) =>
-      op.kind === 'write-segment' ? op.machines.flatMap((m) => m.entries.map((e) => e.job)) : [],
+    const first = storeOperations(effects).flatMap((op) =>
+      op.kind === 'write-segment'
+        ? op.machines.flatMap((machine) => machine.entries.map((e) => e.job))
+        : [],
     );
     expect(state.awaitingLedgerEntry.size).toBeGreaterThan(100);
     expect(first.filter((id) => id === 'job-2')).toHaveLength(6);
     expect(first.slice(0, 6)).toEqual(Array(6).fill('job-2'));
   });
 
-  it('tells progress when it is due, and before that only in a record that is written anyway', () => {
-    const s = new CoreDriver();
-    s.submit('job-1', { tasks: 4 });
-    s.submit('job-2', { tasks: 4 });
-    const starts = s.starts(s.up('n-1'));
-    s.checkIn('n-1', starts.map(running));
+  it('stores progress when it is due, and before that only in a segment that is written anyway', () => {
+    const driver = new CoreDriver();
+    driver.submit('job-1', { tasks: 4 });
+    driver.submit('job-2', { tasks: 4 });
+    const starts = driver.starts(driver.up('n-1'));
+    driver.checkIn('n-1', starts.map(running));
     const progress = () =>
-      saves(s.effects).flatMap((op) => (op.kind === 'write-segment' ? op.progress : []));
-    s.effects = [];
-    const told = starts.map((o, i) => (i === 0 ? ended(o, 'done') : running(o)));
-    const seen = report('n-1', 50, 7, told);
-    s.send({ kind: 'heartbeat', heartbeat: seen, ticket: 900 as ReplyTicket });
-    s.now += 300;
-    s.send({ kind: 'tick' });
+      storeOperations(driver.effects).flatMap((op) =>
+        op.kind === 'write-segment' ? op.progress : [],
+      );
+    driver.effects = [];
+    const tasks = starts.map((command, i) => (i === 0 ? ended(command, 'done') : running(command)));
+    const heartbeat = report('n-1', 50, 7, tasks);
+    driver.send({ kind: 'heartbeat', heartbeat, ticket: 900 as ReplyTicket });
+    driver.now += 300;
+    driver.send({ kind: 'tick' });
     expect(progress()).toEqual([]);
-    s.pass(1000);
+    driver.pass(1000);
     expect(progress()).toHaveLength(1);
-    // A start's record has room left: the next end goes with it at once.
-    s.effects = [];
-    const more = starts.map((o, i) => (i <= 1 ? ended(o, 'done') : running(o)));
-    s.send(
+    // The segment of a start has room left: the next end is stored with it at once.
+    driver.effects = [];
+    const more = starts.map((command, i) => (i <= 1 ? ended(command, 'done') : running(command)));
+    driver.send(
       { kind: 'heartbeat', heartbeat: report('n-1', 51, 7, more), ticket: 901 as ReplyTicket },
-      { kind: 'job', spec: job('job-3'), submittedAt: s.now as Instant },
+      { kind: 'job', spec: job('job-3'), submittedAt: driver.now as Instant },
     );
     expect(progress()).toHaveLength(1);
   });
 
-  it('is read back as it was written, and a record that was not is refused whole', () => {
+  it('decodes a segment as it was encoded, and refuses a malformed one whole', () => {
     const given = {
       machines: [
         {
@@ -127,16 +133,16 @@
     };
     const text = JSON.stringify(encodeSegment(given));
     expect(decodeSegment(JSON.parse(text))).toEqual(given);
-    const odd = [null, 7, [], {}, { j: [], m: [], d: [['job-1', -1, '']] }];
-    odd.push(
+    const malformed = [null, 7, [], {}, { j: [], m: [], d: [['job-1', -1, '']] }];
+    malformed.push(
       { ...JSON.parse(text), j: [] } as never,
       { ...JSON.parse(text), m: [['n-1']] } as never,
     );
-    for (const value of odd) expect(decodeSegment(value)).toBeNull();
+    for (const value of malformed) expect(decodeSegment(value)).toBeNull();
   });
 
-  it('starts nothing before every lease is surely over when a record cannot be read', () => {
-    const s = new CoreDriver();
+  it('starts nothing before every worker lease has expired when a segment cannot be read', () => {
+    const driver = new CoreDriver();
     const state = core();
     const send = (now: number, ...commands: Command[]) =>
       applyCommands(state, commands, now as Instant, 'lead');
@@ -155,64 +161,74 @@
     let dropped = 0;
     for (let now = 500; now < 40_000; now += 500) {
       seq += 1;
-      const told = report('n-1', seq, seq < 3 ? 6 : 7, []);
-      for (const e of send(now, {
+      const heartbeat = report('n-1', seq, seq < 3 ? 6 : 7, []);
+      for (const effect of send(now, {
         kind: 'heartbeat',
-        heartbeat: told,
+        heartbeat,
         ticket: seq as ReplyTicket,
       })) {
-        if (e.kind === 'store-batch') {
-          dropped += e.ops.filter((op) => op.kind === 'drop-segment').length;
-          send(now, { kind: 'batch-stored', batch: e.batch });
+        if (effect.kind === 'store-batch') {
+          dropped += effect.ops.filter((op) => op.kind === 'drop-segment').length;
+          send(now, { kind: 'batch-stored', batch: effect.batch });
         }
-        if (e.kind === 'reply-to-heartbeat') starts.push(...s.starts(e.commands).map(() => now));
+        if (effect.kind === 'reply-to-heartbeat')
+          starts.push(...driver.starts(effect.commands).map(() => now));
       }
     }
-    // keep-alive 10 s, lease 16 s, and the margins of both.
+    // Grace after lease loss 10 s, worker lease 16 s, and the margins of both.
     expect(Math.min(...starts)).toBeGreaterThan(26_000);
     expect(dropped).toBe(1);
   });
 
-  it('keeps few records while a few long tasks outlive many short ones', () => {
-    const s = new CoreDriver();
+  it('keeps few segments while a few long tasks outlive many short ones', () => {
+    const driver = new CoreDriver();
     const records = new Set<string>();
-    for (const id of ['n-1', 'n-2']) s.up(id);
-    s.submit('job-999', { tasks: 1, estimateS: 9999 });
+    for (const id of ['n-1', 'n-2']) driver.up(id);
+    driver.submit('job-999', { tasks: 1, estimateS: 9999 });
     const held = new Map<string, ReturnType<CoreDriver['starts']>>([
       ['n-1', []],
       ['n-2', []],
     ]);
     for (let i = 0; i < 60; i += 1) {
-      s.submit(`job-${i}`, { tasks: 6 });
+      driver.submit(`job-${i}`, { tasks: 6 });
       for (const [id, now] of held) {
-        const told = now.map((o) => (o.job === 'job-999' ? running(o) : ended(o, 'done')));
-        const orders = s.checkIn(id, told) ?? [];
-        held.set(id, [...now.filter((o) => o.job === 'job-999'), ...s.starts(orders)]);
+        const tasks = now.map((command) =>
+          command.job === 'job-999' ? running(command) : ended(command, 'done'),
+        );
+        const commands = driver.checkIn(id, tasks) ?? [];
+        held.set(id, [
+          ...now.filter((command) => command.job === 'job-999'),
+          ...driver.starts(commands),
+        ]);
       }
-      s.pass(500);
+      driver.pass(500);
     }
-    for (const op of saves(s.effects)) {
+    for (const op of storeOperations(driver.effects)) {
       if (op.kind === 'write-segment') records.add(op.key);
       if (op.kind === 'drop-segment') records.delete(op.key);
     }
     expect(records.size).toBeLessThan(15);
-    // Whoever reads what is left learns of the long task.
-    expect(s.state.jobs.get('job-999' as JobId)?.attemptsByTask.size).toBe(1);
-    const p = [...s.state.jobs.get('job-999' as JobId)!.attemptsByTask.values()][0]![0]!;
-    expect(records.has(p.segment!.key)).toBe(true);
+    // A new leader that reads what is left learns of the long task.
+    expect(driver.state.jobs.get('job-999' as JobId)?.attemptsByTask.size).toBe(1);
+    const placement = [
+      ...driver.state.jobs.get('job-999' as JobId)!.attemptsByTask.values(),
+    ][0]![0]!;
+    expect(records.has(placement.segment!.key)).toBe(true);
   });
 });
 
-describe('a task’s state in a report', () => {
-  it('of an attempt that this leader never gave is recorded, so that the next leader knows of it', () => {
-    const s = new CoreDriver();
-    s.submit('job-1', { tasks: 1 });
-    s.pass(100);
-    const odd = task('job-1', 0, 123);
-    s.checkIn('n-9', [odd]);
-    s.pass(500);
-    const ops = s.effects.flatMap((e) => (e.kind === 'store-batch' ? [...e.ops] : []));
+describe('the ledger entry of a reported attempt', () => {
+  it('is written where this leader never placed it, so that the next leader knows of it', () => {
+    const driver = new CoreDriver();
+    driver.submit('job-1', { tasks: 1 });
+    driver.pass(100);
+    const unknownTask = task('job-1', 0, 123);
+    driver.checkIn('n-9', [unknownTask]);
+    driver.pass(500);
+    const ops = driver.effects.flatMap((effect) =>
+      effect.kind === 'store-batch' ? [...effect.ops] : [],
+    );
     const rows = ops.flatMap((op) => (op.kind === 'write-segment' ? op.machines : []));
-    expect(rows.find((r) => r.machine === 'n-9')?.entries).toMatchObject([{ attempt: 123 }]);
+    expect(rows.find((row) => row.machine === 'n-9')?.entries).toMatchObject([{ attempt: 123 }]);
   });
 });
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -1,4 +1,4 @@
-/** The state service's limits: known to fall, and fallen below what any setting said. */
+/** Limits of the key-value store: announced by the settings, and fallen below them. */
 import pino from 'pino';
 import { afterEach, describe, expect, it } from 'vitest';
 import { SettingsError } from '../src/adapters/configuration/configuration-file.js';
@@ -30,13 +30,13 @@
   for (const clean of cleanups.splice(0).reverse()) clean();
 });
 
-describe('the settings of the state service', () => {
+describe('the settings of the key-value store', () => {
   const params = (state: object) => {
     const base = JSON.parse(settingsText()) as { params: { state: object } };
     return settingsText({ params: { ...base.params, state: { ...base.params.state, ...state } } });
   };
 
-  it('bound sizes by the smaller of what holds now and what will, and keep both rates', () => {
+  it('bound sizes by the smaller of the present and the announced limit, and keep both rates', () => {
     const now = { rps: 150, write_rps: 40, value_kb: 8, txn_ops: 32 };
     const limits = (next?: object) => parseSettings(params({ ...now, next })).keyValueStoreLimits;
     expect(limits({ value_kb: 2, txn_ops: 10, write_rps: 28 })).toEqual({
@@ -52,8 +52,8 @@
   });
 
   it.each([
-    ['a number that is none', { write_rps: 'few' }, /state\.next\.write_rps/],
-    ['nothing at all', { value_kb: 0 }, /state\.next\.value_kb/],
+    ['no number', { write_rps: 'few' }, /state\.next\.write_rps/],
+    ['zero', { value_kb: 0 }, /state\.next\.value_kb/],
     ['half a change', { txn_ops: 1.5 }, /state\.next\.txn_ops/],
     ['no object', 7, /state\.next/],
   ])('are refused by name for %s', (_, next, message) => {
@@ -62,20 +62,20 @@
   });
 });
 
-/** Runs a leader, whose batches go to `store`; what it asks for nothing answers. */
+/** Runs a leader whose batches go to `store`; no other effect is answered. */
 const drive = (
   state: CoreState,
   store: Map<SegmentKey, string>,
   commands: Command[],
   now: number,
 ): void => {
-  for (const e of applyCommands(state, commands, now as Instant, 'lead')) {
-    if (e.kind !== 'store-batch') continue;
-    for (const op of e.ops) {
+  for (const effect of applyCommands(state, commands, now as Instant, 'lead')) {
+    if (effect.kind !== 'store-batch') continue;
+    for (const op of effect.ops) {
       if (op.kind === 'write-segment') store.set(op.key, JSON.stringify(encodeSegment(op)));
       if (op.kind === 'drop-segment') store.delete(op.key);
     }
-    drive(state, store, [{ kind: 'batch-stored', batch: e.batch }], now);
+    drive(state, store, [{ kind: 'batch-stored', batch: effect.batch }], now);
   }
 };
 
@@ -85,7 +85,7 @@
     [1024, 3],
     [500, 1],
   ])(
-    'fits values of %i bytes, %i changes at a time, and a new leader reads all of it',
+    'fits values of %i bytes, %i mutations at a time, and a new leader recovers all of it',
     (bytes, txnOps) => {
       const small = {
         maxValueBytes: bytes,
@@ -117,7 +117,8 @@
       for (const end = now + 50_000; now < end; now += 250)
         drive(state, store, [{ kind: 'tick' }], now);
       for (const text of store.values()) expect(text.length).toBeLessThanOrEqual(bytes);
-      // By turns leaders of the same limits, of larger ones and of the same again: what each moved, the next reads.
+      // Leaders of the same limits, of larger ones and of the same again: each recovers what the
+      // former one has compacted.
       for (const [i, limits] of [
         {},
         { maxValueBytes: 8192, maxTransactionOperations: 16 },
@@ -143,7 +144,7 @@
     [4, 4],
     [20, 10],
     [1000, 32],
-  ])('holds no more than half a second’s changes (at %i a second: %i)', (writeRps, most) => {
+  ])('holds no more than half a second’s mutations (at %i a second: %i)', (writeRps, most) => {
     const state = core({
       storeWritesPerSecond: writeRps,
       maxTransactionOperations: 32,
@@ -151,18 +152,18 @@
     });
     const sizes: number[] = [];
     const run = (...commands: Command[]): void => {
-      for (const e of applyCommands(state, commands, 0 as Instant, 'lead')) {
-        if (e.kind !== 'store-batch') continue;
-        sizes.push(e.ops.length);
-        run({ kind: 'batch-stored', batch: e.batch });
+      for (const effect of applyCommands(state, commands, 0 as Instant, 'lead')) {
+        if (effect.kind !== 'store-batch') continue;
+        sizes.push(effect.ops.length);
+        run({ kind: 'batch-stored', batch: effect.batch });
       }
     };
-    const odd = (n: number): Command => ({
+    const unknownTaskOn = (n: number): Command => ({
       kind: 'heartbeat',
       heartbeat: report(`n-${n}`, 1, 7, [task(`job-${n}`, 0, n)]),
       ticket: null,
     });
-    run({ kind: 'recovery-completed' }, ...Array.from({ length: 100 }, (_, n) => odd(n)));
+    run({ kind: 'recovery-completed' }, ...Array.from({ length: 100 }, (_, n) => unknownTaskOn(n)));
     expect(Math.max(...sizes)).toBe(most);
   });
 });
@@ -212,18 +213,18 @@
   };
 
   it.each([
-    ['fewer changes', { txnOps: 2 }],
+    ['fewer mutations', { txnOps: 2 }],
     ['smaller values', { valueBytes: 300 }],
     ['both', { txnOps: 2, valueBytes: 300 }],
   ])(
-    'cuts it until it fits (%s), loses nothing, sends nothing again unchanged, and drops all pieces',
+    'splits it until it fits (%s), loses nothing, resends nothing unchanged, and deletes all pieces',
     async (_, limits) => {
       const { state, writer } = await setUp();
       Object.assign(state.limits, limits);
       const ops = [1, 2, 3, 4].map((n) => segment(n, 12));
       expect(await writer.storeBatch(ops)).toEqual(STORED);
       const wanted = ops.flatMap((op) =>
-        op.machines.flatMap((m) => m.entries.map((e) => e.attempt as number)),
+        op.machines.flatMap((machine) => machine.entries.map((e) => e.attempt as number)),
       );
       expect(stored(state)).toEqual({ attempts: wanted.sort((a, b) => a - b), progress: 4 });
       expect(state.refused.length).toBeGreaterThan(0);
@@ -234,10 +235,10 @@
     },
   );
 
-  it('goes on with all the rest when a change is taken in no size, and what it spoke of waits', async () => {
+  it('stores all the rest when an operation is refused in any size', async () => {
     const { state, writer } = await setUp();
     state.limits.txnOps = 1;
-    // A job's end is two changes or none.
+    // A completion is two mutations or none.
     const completion: StoreOperation = {
       kind: 'job-completion',
       job: 'job-5' as JobId,
@@ -251,18 +252,18 @@
     expect(state.keys.has('f/job-5')).toBe(false);
   });
 
-  it('does not start what could not be entered, and tries it again later', () => {
+  it('does not start what could not be entered in the ledger, and retries it later', () => {
     const state = core();
     const sent: number[] = [];
     let refusals = 0;
     const send = (now: number, ...commands: Command[]): void => {
-      for (const e of applyCommands(state, commands, now as Instant, 'lead')) {
-        if (e.kind === 'reply-to-heartbeat')
-          for (const o of e.commands ?? []) if (o.op === 'start') sent.push(now);
-        if (e.kind !== 'store-batch') continue;
-        const refused = now < 20_000 ? e.ops : [];
+      for (const effect of applyCommands(state, commands, now as Instant, 'lead')) {
+        if (effect.kind === 'reply-to-heartbeat')
+          for (const command of effect.commands ?? []) if (command.op === 'start') sent.push(now);
+        if (effect.kind !== 'store-batch') continue;
+        const refused = now < 20_000 ? effect.ops : [];
         refusals += refused.length;
-        send(now, { kind: 'batch-stored', batch: e.batch, refused });
+        send(now, { kind: 'batch-stored', batch: effect.batch, refused });
       }
     };
     send(0, { kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
