--- a/src/core/apply-commands.ts
+++ b/src/core/apply-commands.ts
@@ -11,7 +11,7 @@
 import { buildNextBatch } from './ledger/batch-builder.js';
 import { handleBatchStored } from './ledger/batch-result.js';
 import { recoverAttempts, recoverProgress } from './ledger/recovery.js';
-import { dropSegmentIfObsolete } from './ledger/segments.js';
+import { markSegmentIfObsolete } from './ledger/segments.js';
 import { reconcileHeartbeat } from './lifecycle/heartbeat-reconciliation.js';
 import { addJob, cancelJob } from './lifecycle/jobs.js';
 import {
@@ -48,7 +48,7 @@
       state.schedulingStartsAt = addMillis(now, (state.config.heartbeatIntervalMs * 1.3) as Millis);
       if (state.unreadableSegments.size > 0)
         state.schedulingStartsAt = allWorkerLeasesExpireAt(state);
-      for (const segment of [...state.segments.values()]) dropSegmentIfObsolete(state, segment);
+      for (const segment of [...state.segments.values()]) markSegmentIfObsolete(state, segment);
       for (const job of state.jobs.values()) {
         if (job.doneCount >= job.spec.tasks && job.terminalState === 'none') {
           job.terminalState = 'done';
--- a/src/core/core-state.ts
+++ b/src/core/core-state.ts
@@ -50,7 +50,7 @@
   readonly timeOfDayOffsetMs: number;
 }
 
-/** All that the leader knows: one flat object, since every step reads it, in parts by their owner. */
+/** All that the leader knows: one flat object, since every step reads it; parts by owner. */
 export interface CoreState {
   readonly config: CoreConfig;
 
@@ -147,37 +147,37 @@
 /** The state of a leader that has recovered nothing yet. */
 export const createCore = (config: CoreConfig): CoreState => ({
   config,
-  extensions: null,
+  lastTickAt: config.acquiredAt,
+  lastRoundAt: config.acquiredAt,
+  isRoundDue: false,
   isRecovered: false,
   schedulingStartsAt: Number.POSITIVE_INFINITY as Instant,
+  unreadableSegments: new Set(),
   jobs: new Map(),
   recentlyEndedJobs: new Map(),
+  teamUsage: new Map(),
+  nextAttemptOffset: 0,
+  machinesAwaitingReply: new Set(),
+  queueHead: null,
+  shadowTime: null,
+  lastOnDemandServiceAt: null,
+  largestServiceCpus: 0,
   machines: new Map(),
   deletedMachines: new Set(),
   types: new Map(),
   instancePools: new Map(),
-  teamUsage: new Map(),
-  queueHead: null,
-  nextAttemptOffset: 0,
-  storedRevision: config.fencingToken as number as Revision,
+  hasReadMachineList: false,
+  lastDemandAt: config.acquiredAt,
   nextProvisionRequest: 0,
   nextBatch: 1,
   pendingBatch: null,
+  storedRevision: config.fencingToken as number as Revision,
   awaitingLedgerEntry: new Set(),
   segments: new Map(),
   obsoleteSegments: new Set(),
-  unreadableSegments: new Set(),
   nextSegment: 1,
-  machinesAwaitingReply: new Set(),
   unsavedProgress: new Map(),
-  unsavedCompletions: new Set(),
   unsavedProgressSince: null,
-  isRoundDue: false,
-  hasReadMachineList: false,
-  lastDemandAt: config.acquiredAt,
-  lastOnDemandServiceAt: null,
-  largestServiceCpus: 0,
-  lastTickAt: config.acquiredAt,
-  lastRoundAt: config.acquiredAt,
-  shadowTime: null,
+  unsavedCompletions: new Set(),
+  extensions: null,
 });
--- a/src/core/extensions/extension.ts
+++ b/src/core/extensions/extension.ts
@@ -1,7 +1,7 @@
 /**
- * The public interface between the core and optional packages. An extension sees what happens in the
- * fleet and may request a few things. It runs inside the command loop, as pure as the core itself:
- * no input or output, no clock, no randomness. It knows nothing of the core but these types.
+ * The public interface between the core and optional packages. An extension sees what happens in
+ * the fleet and may request a few things. It runs inside the command loop, as pure as the core
+ * itself: no input or output, no clock, no randomness. It knows nothing of the core but these types.
  */
 import type { AttemptPhase, AttemptRelease } from '../model/attempt.js';
 import type { ExtensionRecord, RecordWrite } from '../model/extension-record.js';
--- a/src/core/ledger/batch-builder.ts
+++ b/src/core/ledger/batch-builder.ts
@@ -18,7 +18,7 @@
 const COMPLETION_BYTES = 300;
 /** Share of a batch that completions may fill while starts wait for their ledger entry. */
 const COMPLETION_SHARE = 0.5;
-/** Share of a batch's mutations that extensions may make: starts and ends must not wait for them. */
+/** Share of a batch that extensions may fill: starts and ends must not wait for them. */
 const EXTENSION_SHARE = 0.25;
 const MAX_DELETIONS_PER_BATCH = 8;
 /** With this many obsolete segments a batch is made for their deletion alone. */
@@ -87,7 +87,7 @@
 const addCompactionAndDeletions = (state: CoreState, draft: BatchDraft): void => {
   const { obsoleteSegments } = state;
   if (!draft.hasWrites && obsoleteSegments.size < MIN_DELETIONS_ALONE) return;
-  // While starts wait for their entries nothing is moved: what ends soon becomes obsolete by itself.
+  // While starts wait for their entries nothing is moved: short attempts end by themselves.
   if (draft.hasNewSegments && state.awaitingLedgerEntry.size === 0)
     compactSparseSegments(state, draft);
   let deletions = 0;
--- a/src/core/ledger/batch-draft.ts
+++ b/src/core/ledger/batch-draft.ts
@@ -33,7 +33,7 @@
     Math.max(MIN_MUTATIONS_BY_RATE, Math.ceil(config.storeWritesPerSecond * MAX_BATCH_WRITE_S)),
   );
 
-/** A batch that is being built. Adding to it moves ledger state at once; it is then stored whole. */
+/** A batch that is being built. Whatever is added moves in the ledger's state at once. */
 export class BatchDraft {
   /** What the core has to know of the batch once it is stored. */
   readonly batch: Batch;
@@ -99,7 +99,7 @@
     return true;
   }
 
-  /** Records a chunk's progress in an open segment, else in a new one; false when the batch is full. */
+  /** Records a chunk's progress in an open segment, else in a new one; false: the batch is full. */
   recordProgress(job: Job, number: number, chunk: ProgressChunk): boolean {
     if (this.recordProgressInOpenSegment(job, number, chunk)) return true;
     const next = this.draftSegment();
--- a/src/core/ledger/batch-result.ts
+++ b/src/core/ledger/batch-result.ts
@@ -10,7 +10,7 @@
 import type { StoreOperation } from '../model/ledger-record.js';
 import { addMillis, type Instant, type Millis } from '../model/time.js';
 
-/** How long a job waits, of which an attempt could not be stored, before its tasks are tried again. */
+/** How long a job waits after the store refused an attempt's entry, before it is tried again. */
 const RETRY_DELAY_AFTER_REFUSAL_MS = 30_000 as Millis;
 
 interface RefusedSubjects {
--- a/src/core/ledger/segments.ts
+++ b/src/core/ledger/segments.ts
@@ -15,9 +15,9 @@
 /** Where segments stand in the key-value store. */
 export const SEGMENT_PREFIX = 'l/';
 
-/** The key of a term's nth segment. The fencing token in it keeps every key new. */
-export const segmentKey = (fencingToken: FencingToken, n: number): SegmentKey =>
-  `${SEGMENT_PREFIX}${fencingToken}/${n}` as SegmentKey;
+/** The key of a term's segment of that number. The fencing token in it keeps every key new. */
+export const segmentKey = (fencingToken: FencingToken, number: number): SegmentKey =>
+  `${SEGMENT_PREFIX}${fencingToken}/${number}` as SegmentKey;
 
 /** A segment that holds nothing yet. */
 export const createSegment = (key: SegmentKey): LedgerSegment => ({
@@ -42,7 +42,7 @@
   placements.size + chunks.size;
 
 /** Marks a segment for deletion once nothing in it matters. */
-export const dropSegmentIfObsolete = (state: CoreState, segment: LedgerSegment): void => {
+export const markSegmentIfObsolete = (state: CoreState, segment: LedgerSegment): void => {
   // During recovery a segment that seems empty may have rows yet to be read.
   if (!state.isRecovered || liveSize(segment) > 0) return;
   if (state.segments.delete(segment.key)) state.obsoleteSegments.add(segment.key);
@@ -52,12 +52,12 @@
 export const detachPlacement = (state: CoreState, placement: Placement): void => {
   const { segment } = placement;
   placement.segment = null;
-  if (segment?.placements.delete(placement)) dropSegmentIfObsolete(state, segment);
+  if (segment?.placements.delete(placement)) markSegmentIfObsolete(state, segment);
 };
 
 /** From now on another segment tells the chunk's progress, or none needs to. */
 export const detachChunk = (state: CoreState, chunk: ProgressChunk): void => {
   const { segment } = chunk;
   chunk.segment = null;
-  if (segment?.chunks.delete(chunk)) dropSegmentIfObsolete(state, segment);
+  if (segment?.chunks.delete(chunk)) markSegmentIfObsolete(state, segment);
 };
--- a/src/core/model/attempt.ts
+++ b/src/core/model/attempt.ts
@@ -9,7 +9,7 @@
 export type AttemptPhase = 'unconfirmed' | 'persisting' | 'dispatched' | TaskPhase;
 
 /**
- * How an attempt came off its machine. `reported`: the worker says that the task ended, by itself or
- * by a command; `gone`: its machine, agent epoch or lease ended.
+ * How an attempt came off its machine. `reported`: its worker says that the task ended, by itself
+ * or by a command; `gone`: its machine, agent epoch or lease ended.
  */
 export type AttemptRelease = 'reported' | 'gone';
--- a/src/core/model/effect.ts
+++ b/src/core/model/effect.ts
@@ -46,7 +46,7 @@
       readonly ticket: ReplyTicket;
       readonly answer: OperatorAnswer;
     }
-  /** Commands that do not wait for the machine's next heartbeat; valid for this agent epoch only. */
+  /** Commands that do not wait for the machine's next heartbeat, for this agent epoch only. */
   | {
       readonly kind: 'send-commands';
       readonly machine: MachineId;
--- a/src/core/model/ids.ts
+++ b/src/core/model/ids.ts
@@ -35,7 +35,7 @@
 /** Identifies one try at running a task; never used twice. */
 export type AttemptId = Branded<number, 'AttemptId'>;
 
-/** The right to command: the revision of the key-value store at which the leader key was acquired. */
+/** The right to command: the store's revision at which the leader key was acquired. */
 export type FencingToken = Branded<number, 'FencingToken'>;
 
 /** Revision of the key-value store: it grows with each transaction. */
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -13,7 +13,7 @@
   best_effort: 0,
 };
 
-/** array: each task runs to its end. service: its tasks, the replicas, run until it is cancelled. */
+/** array: each task runs to its end. service: its replicas run until it is cancelled. */
 export type JobShape = 'array' | 'service';
 
 /** A job as submitted. Amounts are those of one task. */
@@ -44,7 +44,7 @@
   readonly imageGb: number;
   /** The user's estimate of a task's run time, in seconds, without the image's fetch. */
   readonly estimateS: number;
-  /** Seconds of progress between checkpoints; 0: it writes none, and loses its work when stopped. */
+  /** Seconds of progress between checkpoints; 0: none, and its work is lost when it is stopped. */
   readonly checkpointIntervalS: number;
   /** Seconds that a task needs to write a checkpoint when it is stopped. */
   readonly checkpointWriteS: number;
--- a/src/service/batch-writer.ts
+++ b/src/service/batch-writer.ts
@@ -150,8 +150,8 @@
   }
 
   /**
-   * Stores units in one transaction, or in smaller ones where the store refuses it as too large: its
-   * limits may have fallen below what any setting said. What was refused is never sent again
+   * Stores units in one transaction, or in smaller ones where the store refuses it as too large:
+   * its limits may have fallen below what any setting said. What was refused is never sent again
    * unchanged. False when leadership is lost.
    */
   private async store(units: readonly WriteUnit[], refused: StoreOperation[]): Promise<boolean> {
@@ -181,7 +181,7 @@
     return true;
   }
 
-  /** Stores one operation that is too large on its own: a segment in pieces, any other not at all. */
+  /** Stores a segment that is too large on its own in pieces; refuses any other operation. */
   private async storePieces(
     operation: StoreOperation,
     refused: StoreOperation[],
--- a/src/service/guarded-writer.ts
+++ b/src/service/guarded-writer.ts
@@ -1,4 +1,4 @@
-/** The leader's transactions, each guarded by the leader key and by the revisions of its own keys. */
+/** The leader's transactions, guarded by the leader key and the revisions of their own keys. */
 
 import type {
   KeyValueStoreClient,
--- a/src/service/stored-records.ts
+++ b/src/service/stored-records.ts
@@ -1,6 +1,6 @@
 /**
- * What the key-value store holds, and under which keys. Each kind of record has one codec, where its
- * stored names stand; every record that is read back is checked.
+ * What the key-value store holds, and under which keys. Each kind of record has one codec, where
+ * its stored names stand; every record that is read back is checked.
  */
 
 /** Completions of jobs. */
