--- a/src/service/effect-runner.ts
+++ b/src/service/effect-runner.ts
@@ -75,6 +75,7 @@
     const result = await batchWriter.storeBatch(ops);
     if (!term.isCurrent) return;
     const revision = batchWriter.lastRevision;
+    // Without the right to write, this node does not lead any more.
     if (result.kind === 'stored')
       commandLoop.submit({ kind: 'batch-stored', batch, refused: result.refused, revision });
     else election.stepDown();
