--- a/packages/drain/src/cli.ts
+++ b/packages/drain/src/cli.ts
@@ -1,18 +1,17 @@
-/** Operators' commands: `robinspread drain ...`. */
+/** Operators' commands: `robinspread drain ...`. They call a controller and print its answer. */
 import type { CommandTools } from '@robinspread/extension-api';
 import type { Command } from 'commander';
 
-/** Exit codes beside 0. */
-const REFUSED = 1;
-const BAD_INPUT = 2;
-const NO_ANSWER = 3;
-const TRY_LATER = 4;
+/** Exit codes of the commands, as the operators' page states them. */
+const EXIT_CODES = { done: 0, refused: 1, badInput: 2, noAnswer: 3, tryLater: 4 } as const;
 
+/** Which controller is asked, and how its answer is printed. */
 interface Target {
   readonly at: string;
   readonly json?: boolean;
 }
 
+/** Options of `start` and `plan`, under the names of the command line. */
 interface RequestOptions extends Target {
   readonly all?: boolean;
   readonly machine?: string[];
@@ -27,7 +26,8 @@
   readonly deadline?: string;
 }
 
-interface DrainLine {
+/** A drain in a list, in the names of the HTTP interface, as all answers here. */
+interface DrainSummary {
   readonly name: string;
   readonly status: string;
   readonly total: number;
@@ -37,24 +37,26 @@
   readonly inStep: number;
 }
 
-interface BlockedBy {
+interface BlockerView {
   readonly text: string;
 }
 
-interface DrainAnswer extends DrainLine {
+/** One drain. */
+interface DrainDetails extends DrainSummary {
   readonly why: string | null;
-  readonly blocked: BlockedBy | null;
+  readonly blocked: BlockerView | null;
   readonly waiting: number;
   readonly machines?: readonly {
     readonly name: string;
     readonly state: string;
     readonly replacement: string | null;
     readonly left: number;
-    readonly blocked: BlockedBy | null;
+    readonly blocked: BlockerView | null;
   }[];
 }
 
-interface PlanAnswer {
+/** A dry run. */
+interface PlanView {
   readonly refused: string | null;
   readonly machines: number;
   readonly stepSize: number;
@@ -70,7 +72,8 @@
   }[];
 }
 
-interface BudgetLine {
+/** The use of one budget. */
+interface BudgetView {
   readonly scope: string;
   readonly disrupted: number;
   readonly atOnce: number | null;
@@ -79,114 +82,123 @@
   readonly most?: number;
 }
 
-const lineOf = (d: DrainLine): string =>
-  `${d.name}: ${d.status}, ${d.returned} of ${d.total} returned, ${d.failed} lost before, step ${d.step} with ${d.inStep}`;
-
-const detailLines = (d: DrainAnswer): string[] => {
-  const lines = [`${lineOf(d)}, ${d.waiting} waiting`];
-  if (d.why) lines.push(`  paused: ${d.why}`);
-  if (d.blocked) lines.push(`  held up: ${d.blocked.text}`);
-  for (const m of d.machines ?? []) {
-    const by = m.replacement === null ? '' : `, replaced by ${m.replacement}`;
-    const held = m.blocked === null ? '' : `; ${m.blocked.text}`;
-    lines.push(`  ${m.name}: ${m.state}, ${m.left} tasks on it${by}${held}`);
+const summaryLine = (drain: DrainSummary): string =>
+  `${drain.name}: ${drain.status}, ${drain.returned} of ${drain.total} returned, ` +
+  `${drain.failed} lost before, step ${drain.step} with ${drain.inStep}`;
+
+const detailLines = (drain: DrainDetails): string[] => {
+  const lines = [`${summaryLine(drain)}, ${drain.waiting} waiting`];
+  if (drain.why) lines.push(`  paused: ${drain.why}`);
+  if (drain.blocked) lines.push(`  held up: ${drain.blocked.text}`);
+  for (const { name, state, left, replacement, blocked } of drain.machines ?? []) {
+    const replacedBy = replacement === null ? '' : `, replaced by ${replacement}`;
+    const blocker = blocked === null ? '' : `; ${blocked.text}`;
+    lines.push(`  ${name}: ${state}, ${left} tasks on it${replacedBy}${blocker}`);
   }
   return lines;
 };
 
-const planLines = (p: PlanAnswer): string[] => {
-  const lines = [`${p.machines} machines in ${p.steps} steps of ${p.stepSize}`];
-  if (p.refused !== null) lines.push(`would be refused: ${p.refused}`);
-  for (const m of p.plan) {
-    const held = m.blocked.length === 0 ? '' : `; ${m.blocked.join('; ')}`;
-    lines.push(
-      `  step ${m.step} ${m.name}: ${m.stops} stop, ${m.moves} move, ${m.ends} end by themselves${held}`,
-    );
+const planLines = (plan: PlanView): string[] => {
+  const lines = [`${plan.machines} machines in ${plan.steps} steps of ${plan.stepSize}`];
+  if (plan.refused !== null) lines.push(`would be refused: ${plan.refused}`);
+  for (const { name, step, stops, moves, ends, blocked } of plan.plan) {
+    const blockers = blocked.length === 0 ? '' : `; ${blocked.join('; ')}`;
+    const work = `${stops} stop, ${moves} move, ${ends} end by themselves`;
+    lines.push(`  step ${step} ${name}: ${work}${blockers}`);
   }
-  if (p.machines > p.listed) lines.push(`  and ${p.machines - p.listed} more`);
+  if (plan.machines > plan.listed) lines.push(`  and ${plan.machines - plan.listed} more`);
   return lines;
 };
 
-const budgetLine = (b: BudgetLine): string => {
-  const atOnce = b.atOnce === null ? 'no limit' : `${b.atOnce}`;
-  const window = b.withinS === undefined ? '' : `; ${b.recent} of ${b.most} within ${b.withinS} s`;
-  return `${b.scope}: ${b.disrupted} disrupted of ${atOnce}${window}`;
+const budgetLine = ({ scope, disrupted, atOnce, withinS, recent, most }: BudgetView): string => {
+  const limit = atOnce === null ? 'no limit' : `${atOnce}`;
+  const window = withinS === undefined ? '' : `; ${recent} of ${most} within ${withinS} s`;
+  return `${scope}: ${disrupted} disrupted of ${limit}${window}`;
 };
 
-const numberOr = (text: string | undefined): number | undefined =>
+const optionalNumber = (text: string | undefined): number | undefined =>
   text === undefined ? undefined : Number(text);
 
-/** `4` machines, or `10%` of them. */
-const stepOf = (text: string | undefined): object => {
+/** `4` machines, or `10%` of them, as fields of the request. */
+const stepSizeFields = (text: string | undefined): object => {
   if (text === undefined) return {};
   if (text.endsWith('%')) return { atOnceShare: Number(text.slice(0, -1)) / 100 };
   return { atOnce: Number(text) };
 };
 
-const bodyOf = (name: string | null, o: RequestOptions): object => {
-  const spot = o.spot ? true : o.ordinary ? false : undefined;
+/** Which pricing is meant; undefined: either. `--spot` wins over `--ordinary`. */
+const spotOf = ({ spot, ordinary }: RequestOptions): boolean | undefined => {
+  if (spot) return true;
+  return ordinary ? false : undefined;
+};
+
+/** The body of a request; `name`: null for a plan. */
+const requestBody = (name: string | null, options: RequestOptions): object => {
   const select = {
-    all: o.all,
-    machines: o.machine,
-    type: o.type,
-    zone: o.zone,
-    spot,
-    minAgeS: numberOr(o.minAge),
-    image: o.image,
+    all: options.all,
+    machines: options.machine,
+    type: options.type,
+    zone: options.zone,
+    spot: spotOf(options),
+    minAgeS: optionalNumber(options.minAge),
+    image: options.image,
   };
   return {
     ...(name === null ? {} : { name }),
     select,
-    ...stepOf(o.atOnce),
-    replace: o.replace,
-    ...(o.deadline === undefined ? {} : { deadlineS: numberOr(o.deadline) }),
+    ...stepSizeFields(options.atOnce),
+    replace: options.replace,
+    ...(options.deadline === undefined ? {} : { deadlineS: optionalNumber(options.deadline) }),
   };
 };
 
 const exitCodeOf = (status: number): number => {
-  if (status >= 200 && status < 300) return 0;
-  if (status === 400 || status === 422) return BAD_INPUT;
-  return status === 503 ? TRY_LATER : REFUSED;
+  if (status >= 200 && status < 300) return EXIT_CODES.done;
+  if (status === 400 || status === 422) return EXIT_CODES.badInput;
+  return status === 503 ? EXIT_CODES.tryLater : EXIT_CODES.refused;
 };
 
-const ask = async (
-  tools: CommandTools,
-  target: Target,
-  method: 'GET' | 'POST',
-  path: string,
-  body: object | undefined,
-  linesOf: (answer: unknown) => readonly string[],
-): Promise<void> => {
-  const answer = await tools.ask(target.at, method, path, body);
+/** A call of a controller, and how its answer reads as text. */
+interface Call {
+  readonly method: 'GET' | 'POST';
+  readonly path: string;
+  readonly body?: object;
+  readonly linesOf: (answer: unknown) => readonly string[];
+}
+
+/** Makes the call, prints the answer and sets the exit code. */
+const callController = async (tools: CommandTools, target: Target, call: Call): Promise<void> => {
+  const answer = await tools.ask(target.at, call.method, call.path, call.body);
   if (!answer) {
     tools.complain(`no answer from ${target.at}`);
-    tools.setExitCode(NO_ANSWER);
+    tools.setExitCode(EXIT_CODES.noAnswer);
     return;
   }
-  const code = exitCodeOf(answer.status);
-  tools.setExitCode(code);
+  const exitCode = exitCodeOf(answer.status);
+  const isDone = exitCode === EXIT_CODES.done;
+  tools.setExitCode(exitCode);
   if (target.json) tools.print(JSON.stringify(answer.body, null, 2));
-  else if (code === 0) for (const line of linesOf(answer.body)) tools.print(line);
-  if (code !== 0) {
+  else if (isDone) for (const line of call.linesOf(answer.body)) tools.print(line);
+  if (!isDone) {
     const { error } = (answer.body ?? {}) as { error?: string };
     tools.complain(`${answer.status} ${error ?? 'refused'}`);
   }
 };
 
-const withTarget = (command: Command): Command =>
+const withTargetOptions = (command: Command): Command =>
   command
     .requiredOption('--at <host:port>', 'a controller')
     .option('--json', 'print the answer as JSON');
 
-const collect = (value: string, before: string[] | undefined): string[] => [
-  ...(before ?? []),
+const appendValue = (value: string, previous: string[] | undefined): string[] => [
+  ...(previous ?? []),
   value,
 ];
 
-const withRequest = (command: Command): Command =>
-  withTarget(command)
+const withRequestOptions = (command: Command): Command =>
+  withTargetOptions(command)
     .option('--all', 'every machine')
-    .option('--machine <name>', 'this machine; may be repeated', collect)
+    .option('--machine <name>', 'this machine; may be repeated', appendValue)
     .option('--type <name>', 'machines of this type')
     .option('--zone <name>', 'machines in this zone')
     .option('--spot', 'spot machines only')
@@ -200,38 +212,73 @@
 const drainPath = (name: string, change = ''): string =>
   `/api/drains/${encodeURIComponent(name)}${change}`;
 
-/** Adds the commands to the command line. */
-export const addCommands = (program: Command, tools: CommandTools): void => {
-  const drain = program.command('drain').description('drain machines in steps');
-  const details = (answer: unknown) => detailLines(answer as DrainAnswer);
-  withRequest(drain.command('start').description('begin a drain').argument('<name>')).action(
-    (name: string, o: RequestOptions) =>
-      ask(tools, o, 'POST', '/api/drains', bodyOf(name, o), details),
-  );
-  withRequest(drain.command('plan').description('what a drain would do')).action(
-    (o: RequestOptions) =>
-      ask(tools, o, 'POST', '/api/drains/plan', bodyOf(null, o), (answer) =>
-        planLines(answer as PlanAnswer),
-      ),
-  );
-  withTarget(drain.command('list').description('all drains')).action((o: Target) =>
-    ask(tools, o, 'GET', '/api/drains', undefined, (answer) =>
-      (answer as { drains: DrainLine[] }).drains.map(lineOf),
-    ),
+const detailsText = (answer: unknown) => detailLines(answer as DrainDetails);
+
+const addRequestCommands = (drain: Command, tools: CommandTools): void => {
+  const start = drain.command('start').description('begin a drain').argument('<name>');
+  withRequestOptions(start).action((name: string, options: RequestOptions) => {
+    const body = requestBody(name, options);
+    const path = '/api/drains';
+    return callController(tools, options, { method: 'POST', path, body, linesOf: detailsText });
+  });
+  const plan = drain.command('plan').description('what a drain would do');
+  withRequestOptions(plan).action((options: RequestOptions) =>
+    callController(tools, options, {
+      method: 'POST',
+      path: '/api/drains/plan',
+      body: requestBody(null, options),
+      linesOf: (answer) => planLines(answer as PlanView),
+    }),
   );
-  withTarget(drain.command('status').description('one drain').argument('<name>')).action(
-    (name: string, o: Target) => ask(tools, o, 'GET', drainPath(name), undefined, details),
+};
+
+const addStatusCommands = (drain: Command, tools: CommandTools): void => {
+  const list = drain.command('list').description('all drains');
+  withTargetOptions(list).action((target: Target) =>
+    callController(tools, target, {
+      method: 'GET',
+      path: '/api/drains',
+      linesOf: (answer) => (answer as { drains: DrainSummary[] }).drains.map(summaryLine),
+    }),
   );
+  const status = drain.command('status').description('one drain').argument('<name>');
+  withTargetOptions(status).action((name: string, target: Target) => {
+    const path = drainPath(name);
+    return callController(tools, target, { method: 'GET', path, linesOf: detailsText });
+  });
+};
+
+const addChangeCommands = (drain: Command, tools: CommandTools): void => {
   for (const change of ['pause', 'resume', 'cancel']) {
-    withTarget(drain.command(change).description(`${change} a drain`).argument('<name>')).action(
-      (name: string, o: Target) =>
-        ask(tools, o, 'POST', drainPath(name, `/${change}`), {}, details),
-    );
+    const command = drain.command(change).description(`${change} a drain`).argument('<name>');
+    withTargetOptions(command).action((name: string, target: Target) => {
+      const path = drainPath(name, `/${change}`);
+      return callController(tools, target, {
+        method: 'POST',
+        path,
+        body: {},
+        linesOf: detailsText,
+      });
+    });
   }
-  withTarget(drain.command('budgets').description('disruption budgets and their use')).action(
-    (o: Target) =>
-      ask(tools, o, 'GET', '/api/budgets', undefined, (answer) =>
-        (answer as { budgets: BudgetLine[] }).budgets.map(budgetLine),
-      ),
+};
+
+const addBudgetsCommand = (drain: Command, tools: CommandTools): void => {
+  const budgets = drain.command('budgets').description('disruption budgets and their use');
+  withTargetOptions(budgets).action((target: Target) =>
+    callController(tools, target, {
+      method: 'GET',
+      path: '/api/budgets',
+      linesOf: (answer) => (answer as { budgets: BudgetView[] }).budgets.map(budgetLine),
+    }),
   );
 };
+
+/** Adds `drain` and its commands to the command line. */
+export const addCommands = (program: Command, tools: CommandTools): void => {
+  const drain = program.command('drain').description('drain machines in steps');
+  addRequestCommands(drain, tools);
+  addStatusCommands(drain, tools);
+  addChangeCommands(drain, tools);
+  addBudgetsCommand(drain, tools);
+};
--- a/packages/drain/src/core/disruption-records.ts
+++ b/packages/drain/src/core/disruption-records.ts
@@ -1,14 +1,18 @@
-/** Rows of disruptions in the state service: written before a stop, dropped when they count for nothing any more. */
+/**
+ * Records of disruptions in the key-value store: written before a stop, deleted when none of their
+ * rows counts any more.
+ */
 import type { Moment } from '@robinspread/extension-api';
-import type { BudgetLedger, Disruption } from './budget.js';
-import type { RecordStore } from './record-store.js';
-import { disruptionsKey, writeDisruptions } from './records.js';
-import type { Turn } from './turn.js';
+import type { BudgetLedger } from './budget-ledger.js';
+import type { DecisionContext } from './decision-context.js';
+import type { Disruption } from './disruption.js';
+import { disruptionsKey, encodeDisruptions } from './disruption-codec.js';
+import type { PendingWrites } from './pending-writes.js';
+import { MAX_RECORD_SHARE } from './record-schemas.js';
 
-/** Of a value, how much rows of one record may fill. */
-const RECORD_SHARE = 0.9;
-const EMPTY_BYTES = 2;
+const EMPTY_RECORD_BYTES = 2;
 
+/** Keeps the stored rows up to date; a disruption is granted once its row is stored. */
 export class DisruptionRecords {
   /** Keys that are stored, or are being stored. */
   private readonly keys = new Set<string>();
@@ -16,73 +20,74 @@
 
   constructor(
     private readonly budget: BudgetLedger,
-    private readonly store: RecordStore,
+    private readonly writes: PendingWrites,
   ) {}
 
   /** Takes over what a former leader stored. */
   load(disruptions: readonly Disruption[]): void {
     for (const disruption of disruptions) {
       this.budget.disruptions.set(disruption.attempt, disruption);
-      if (disruption.record !== null) this.keys.add(disruption.record);
+      if (disruption.recordKey !== null) this.keys.add(disruption.recordKey);
     }
   }
 
-  /** What this record tells of may be stopped from now on. */
-  stored(key: string, moment: Moment): void {
+  /** The record is stored: grants the disruptions in it. */
+  handleStored(key: string, moment: Moment): void {
     if (!this.keys.has(key)) return;
     for (const disruption of this.budget.disruptions.values()) {
-      if (disruption.record === key) this.budget.grant(disruption, moment);
+      if (disruption.recordKey === key) this.budget.grant(disruption, moment);
     }
   }
 
-  /** The state service takes it in no size: what it tells of is not stopped. */
-  refused(key: string): void {
+  /** The key-value store refuses the record in any size: what is in it is not stopped. */
+  handleRefused(key: string): void {
     if (!this.keys.delete(key)) return;
     for (const disruption of [...this.budget.disruptions.values()]) {
-      if (disruption.record === key) this.budget.withdraw(disruption.attempt);
+      if (disruption.recordKey === key) this.budget.withdraw(disruption.attempt);
     }
   }
 
-  /** Writes what no record tells of yet, in as few records as hold it, and drops those of which nothing counts. */
-  update(turn: Turn): void {
-    this.writeNew(turn);
-    this.dropSpent(turn);
+  /** Writes the disruptions that have no record, and deletes records of which nothing counts. */
+  update(context: DecisionContext): void {
+    this.writeUnrecorded(context);
+    this.deleteUnneeded(context);
   }
 
-  private writeNew(turn: Turn): void {
+  /** Fills as few records as hold them: the key-value store takes few changes a second. */
+  private writeUnrecorded(context: DecisionContext): void {
     let rows: Disruption[] = [];
-    let bytes = EMPTY_BYTES;
-    const most = turn.fleet.maxValueBytes * RECORD_SHARE;
+    let bytes = EMPTY_RECORD_BYTES;
+    const maxBytes = context.fleet.maxValueBytes * MAX_RECORD_SHARE;
     for (const disruption of this.budget.disruptions.values()) {
-      if (disruption.record !== null) continue;
-      const size = Buffer.byteLength(JSON.stringify(writeDisruptions([disruption])));
-      if (bytes + size > most) {
-        this.write(rows, turn);
+      if (disruption.recordKey !== null) continue;
+      const rowBytes = Buffer.byteLength(JSON.stringify(encodeDisruptions([disruption])));
+      if (bytes + rowBytes > maxBytes) {
+        this.writeRecord(rows, context);
         rows = [];
-        bytes = EMPTY_BYTES;
+        bytes = EMPTY_RECORD_BYTES;
       }
       rows.push(disruption);
-      bytes += size;
+      bytes += rowBytes;
     }
-    this.write(rows, turn);
+    this.writeRecord(rows, context);
   }
 
-  private write(rows: readonly Disruption[], turn: Turn): void {
+  private writeRecord(rows: readonly Disruption[], { fleet, requests }: DecisionContext): void {
     if (rows.length === 0) return;
-    const key = disruptionsKey(turn.fleet.fencingToken, this.nextRecord);
+    const key = disruptionsKey(fleet.fencingToken, this.nextRecord);
     this.nextRecord += 1;
-    for (const row of rows) row.record = key;
+    for (const row of rows) row.recordKey = key;
     this.keys.add(key);
-    turn.requests.push(this.store.write({ key, value: writeDisruptions(rows) }));
+    requests.push(this.writes.requestWrite({ key, value: encodeDisruptions(rows) }));
   }
 
-  private dropSpent(turn: Turn): void {
-    const live = new Set<string | null>();
-    for (const { record } of this.budget.disruptions.values()) live.add(record);
+  private deleteUnneeded({ requests }: DecisionContext): void {
+    const needed = new Set<string | null>();
+    for (const { recordKey } of this.budget.disruptions.values()) needed.add(recordKey);
     for (const key of this.keys) {
-      if (live.has(key) || !this.store.isStored(key)) continue;
+      if (needed.has(key) || !this.writes.isStored(key)) continue;
       this.keys.delete(key);
-      turn.requests.push(this.store.write({ key, value: null }));
+      requests.push(this.writes.requestWrite({ key, value: null }));
     }
   }
 }
--- /dev/null
+++ b/packages/drain/src/core/drain-events.ts
@@ -0,0 +1,68 @@
+/** Reactions to what happens in the fleet, in the cloud and in the key-value store. */
+import type { ExtensionEvent, Moment, RecordWrite } from '@robinspread/extension-api';
+import type { DisruptionRecords } from './disruption-records.js';
+import type { DisruptionTracker } from './disruption-tracker.js';
+import type { DrainRegistry } from './drain-registry.js';
+import type { PendingWrites } from './pending-writes.js';
+import type { ProvisionResult, Replacements } from './replacements.js';
+
+/** What events change; owned by the drain manager. */
+export interface DrainEventParts {
+  readonly registry: DrainRegistry;
+  readonly replacements: Replacements;
+  readonly disruptions: DisruptionTracker;
+  readonly disruptionRecords: DisruptionRecords;
+  readonly writes: PendingWrites;
+}
+
+/** Takes in events between decisions. */
+export class DrainEventHandler {
+  constructor(private readonly parts: DrainEventParts) {}
+
+  /** Takes an event in; returns the writes that it calls for, which the next decision requests. */
+  handle(event: ExtensionEvent, moment: Moment): readonly RecordWrite[] {
+    switch (event.kind) {
+      case 'released':
+        this.parts.disruptions.handleReleased(event.attempt, event.how, moment);
+        return [];
+      case 'provision-result':
+        return this.handleProvisionResult(event, moment);
+      case 'stored':
+        this.handleStored(event.writes, moment);
+        return [];
+      case 'refused':
+        this.handleRefused(event.writes);
+        return [];
+    }
+  }
+
+  /** Assigns the provisioned machines to the machines that wait for this request. */
+  private handleProvisionResult(event: ProvisionResult, moment: Moment): RecordWrite[] {
+    const { registry, replacements } = this.parts;
+    if (!replacements.handleProvisionResult(event, moment)) return [];
+    const writes: RecordWrite[] = [];
+    for (const drain of registry.drains.values()) {
+      for (const machineDrain of drain.machinesInStep.values()) {
+        const { replacementSlot: slot } = machineDrain;
+        if (slot?.request !== event.request || machineDrain.replacement !== null) continue;
+        const replacement = replacements.machineFor(slot);
+        if (replacement !== null)
+          writes.push(registry.setReplacement(drain, machineDrain, replacement, moment));
+      }
+    }
+    return writes;
+  }
+
+  private handleStored(writes: readonly RecordWrite[], moment: Moment): void {
+    this.parts.writes.completeWrites(writes);
+    for (const { key } of writes) this.parts.disruptionRecords.handleStored(key, moment);
+  }
+
+  private handleRefused(writes: readonly RecordWrite[]): void {
+    this.parts.writes.completeWrites(writes);
+    for (const { key } of writes) {
+      this.parts.disruptionRecords.handleRefused(key);
+      this.parts.registry.handleRefusedRecord(key);
+    }
+  }
+}
--- /dev/null
+++ b/packages/drain/src/core/drain-stepper.ts
@@ -0,0 +1,87 @@
+/** Takes one drain on: its deadline, the machines of its current step, and its next step. */
+import type { DecisionContext } from './decision-context.js';
+import { type Drain, type DrainName, isActive, isFinished } from './drain.js';
+import type { MachineDrainer, MachineDrainerParts } from './machine-drainer.js';
+import { type StepConstraints, selectStep } from './step-selection.js';
+
+/** Where no machine could be taken, the fleet is looked through again after this long. */
+const STEP_RETRY_MS = 2000;
+
+/** Advances drains, each in turn, once a decision. */
+export class DrainStepper {
+  /** Until when no machines are looked for, for each drain's next step, on the steady clock. */
+  private readonly nextStepAt = new Map<DrainName, number>();
+
+  constructor(
+    private readonly parts: MachineDrainerParts,
+    private readonly machineDrainer: MachineDrainer,
+    private readonly constraintsOf: (context: DecisionContext) => StepConstraints,
+  ) {}
+
+  /** Until the fleet has reported, machines that were taken out of use stay so. */
+  keepCordons(drain: Drain, { requests }: DecisionContext): void {
+    const { progress } = this.parts;
+    progress.beginDecision(drain);
+    progress.block(drain, { kind: 'fleet-unsettled' });
+    for (const { machine, phase } of drain.machinesInStep.values()) {
+      if (phase !== 'waiting') requests.push({ kind: 'cordon', machine });
+    }
+  }
+
+  /** Advances the machines of the current step, and begins the next one when none is left. */
+  advance(drain: Drain, context: DecisionContext): void {
+    if (isFinished(drain) && drain.machinesInStep.size === 0) return;
+    this.parts.progress.beginDecision(drain);
+    this.pauseAtDeadline(drain, context);
+    this.advanceMachines(drain, context);
+    if (isActive(drain) && drain.machinesInStep.size === 0) this.beginStep(drain, context);
+  }
+
+  private pauseAtDeadline(drain: Drain, context: DecisionContext): void {
+    const { deadlineAt } = drain;
+    if (!isActive(drain) || deadlineAt === null || context.moment.timeOfDay < deadlineAt) return;
+    this.parts.registry.setPhase(drain, 'paused', 'its deadline has passed', context);
+  }
+
+  private advanceMachines(drain: Drain, context: DecisionContext): void {
+    let attempts = 0;
+    for (const machineDrain of [...drain.machinesInStep.values()]) {
+      this.machineDrainer.advance(drain, machineDrain, context);
+      attempts += context.fleet.machines.get(machineDrain.machine)?.placements.size ?? 0;
+    }
+    this.parts.progress.recordRemainingAttempts(drain, attempts, context.moment);
+  }
+
+  /** A step begins only once the work that the last one disrupted runs again. */
+  private beginStep(drain: Drain, context: DecisionContext): void {
+    const { budget, progress } = this.parts;
+    if (context.moment.now < (this.nextStepAt.get(drain.request.name) ?? 0)) {
+      progress.keepPreviousBlockers(drain);
+      return;
+    }
+    progress.beginDecision(drain);
+    const tasks = budget.openVoluntaryCount;
+    if (tasks > 0) progress.block(drain, { kind: 'work-runs-again', tasks });
+    else this.takeStep(drain, context);
+  }
+
+  private takeStep(drain: Drain, context: DecisionContext): void {
+    const { registry, progress, replacements } = this.parts;
+    const { remaining, chosen, blocker } = selectStep(drain, this.constraintsOf(context), context);
+    if (remaining === 0) {
+      // Machines that left before a step took them were lost or reclaimed.
+      drain.failed = Math.max(drain.failed, drain.total - drain.returned);
+      registry.setPhase(drain, 'done', null, context);
+      return;
+    }
+    if (blocker) progress.block(drain, blocker);
+    if (chosen.length === 0) {
+      this.nextStepAt.set(drain.request.name, context.moment.now + STEP_RETRY_MS);
+      return;
+    }
+    drain.step += 1;
+    registry.setPhase(drain, 'running', null, context);
+    const slots = drain.request.replace ? replacements.allocateSlots(chosen, context) : null;
+    for (const { id } of chosen) registry.addMachine(drain, id, slots?.get(id) ?? null, context);
+  }
+}
--- a/packages/drain/src/core/selection.ts
+++ b/packages/drain/src/core/machine-selection.ts
@@ -1,9 +1,13 @@
-/** Which machines a drain is for, and in which order they are taken: those whose loss disturbs least come first. */
+/** Which machines a drain is for, what is on them, and which of them disturb least when drained. */
 import type { AttemptView, FleetView, MachineView, Moment } from '@robinspread/extension-api';
-import type { Drain, Selector } from './types.js';
+import type { Drain, Selector } from './drain.js';
 
 /** Whether a machine meets a selector's criteria; `ageS`: how old it was when the drain began. */
-export const meets = (selector: Selector, machine: MachineView, ageS: number): boolean => {
+export const matchesSelector = (
+  selector: Selector,
+  machine: MachineView,
+  ageS: number,
+): boolean => {
   const { machines, type, zone, spot, minAgeS, image } = selector;
   if (machines && !machines.includes(machine.id)) return false;
   if (type !== null && machine.type !== type) return false;
@@ -14,30 +18,34 @@
 };
 
 /** The machines that a drain is still for, those of the current step included. */
-export const membersOf = (drain: Drain, fleet: FleetView, moment: Moment): MachineView[] => {
+export const remainingMachines = (
+  drain: Drain,
+  fleet: FleetView,
+  moment: Moment,
+): MachineView[] => {
   const sinceStartS = (moment.timeOfDay - drain.startedAt) / 1000;
-  const members: MachineView[] = [];
+  const remaining: MachineView[] = [];
   for (const machine of fleet.machines.values()) {
-    if (machine.id > drain.lastMachine) continue;
+    if (machine.id > drain.newestMachineAtStart) continue;
     const ageS = (moment.now - machine.provisionedAt) / 1000 - sinceStartS;
-    if (meets(drain.request.selector, machine, ageS)) members.push(machine);
+    if (matchesSelector(drain.request.selector, machine, ageS)) remaining.push(machine);
   }
-  return members;
+  return remaining;
 };
 
 /** What is on a machine, by how it can leave. */
 export interface MachineWork {
-  /** Arrays' tasks that save, and do not end soon. */
+  /** Arrays' tasks that write checkpoints, and do not finish soon. */
   readonly stoppable: readonly AttemptView[];
   readonly replicas: readonly AttemptView[];
-  /** Tasks that are let run to their end. */
-  readonly ending: readonly AttemptView[];
+  /** Tasks that are left to run to their end. */
+  readonly finishing: readonly AttemptView[];
   /** Attempts that have been told to stop, or whose job is over. */
   readonly stopping: number;
   /** Attempts that have ended and whose results the machine still holds. */
   readonly ended: number;
-  /** By estimate, when the last of `ending` has ended. */
-  readonly endsInMs: number;
+  /** By estimate, when the last of `finishing` has ended. */
+  readonly finishesInMs: number;
 }
 
 /** When a task ends by its estimate; one that outlasts it may end at any moment. */
@@ -47,14 +55,18 @@
   return Math.max(0, estimateMs - ranMs);
 };
 
-/** Sorts what is on a machine by how it can leave. */
-export const workOn = (machine: MachineView, letEndS: number, moment: Moment): MachineWork => {
+/** Sorts what is on a machine by how it can leave; `letEndS`: how soon work must end to be left. */
+export const classifyWork = (
+  machine: MachineView,
+  letEndS: number,
+  moment: Moment,
+): MachineWork => {
   const stoppable: AttemptView[] = [];
   const replicas: AttemptView[] = [];
-  const ending: AttemptView[] = [];
+  const finishing: AttemptView[] = [];
   let stopping = 0;
   let ended = 0;
-  let endsInMs = 0;
+  let finishesInMs = 0;
   for (const attempt of machine.placements.values()) {
     const { job, stopRequest, phase } = attempt;
     if (phase === 'ended') {
@@ -72,49 +84,49 @@
     const leftMs = remainingMs(attempt, moment);
     if (job.spec.checkpointIntervalS > 0 && leftMs > letEndS * 1000) stoppable.push(attempt);
     else {
-      ending.push(attempt);
-      endsInMs = Math.max(endsInMs, leftMs);
+      finishing.push(attempt);
+      finishesInMs = Math.max(finishesInMs, leftMs);
     }
   }
-  return { stoppable, replicas, ending, stopping, ended, endsInMs };
+  return { stoppable, replicas, finishing, stopping, ended, finishesInMs };
 };
 
-/** How much taking a machine out of use disturbs; smaller is better. */
-export interface Disturbance {
+/** A machine that may be drained, and how much that disturbs; smaller ranks go first. */
+export interface DrainCandidate {
   readonly machine: MachineView;
   readonly work: MachineWork;
-  /** 0: idle; 1: all its work saves; 2: some has to end or to move first. */
+  /** 0: idle; 1: all its work writes checkpoints; 2: some has to end or to move first. */
   readonly rank: number;
 }
 
-const rankOf = ({ stoppable, replicas, ending, stopping }: MachineWork): number => {
-  if (replicas.length + ending.length > 0) return 2;
+const rankOf = ({ stoppable, replicas, finishing, stopping }: MachineWork): number => {
+  if (replicas.length + finishing.length > 0) return 2;
   return stoppable.length + stopping > 0 ? 1 : 0;
 };
 
-/** The machines in the order in which they are taken. */
-export const byDisturbance = (
+/** The machines in the order in which they are drained: the least disturbing first. */
+export const rankCandidates = (
   machines: readonly MachineView[],
   letEndS: number,
   moment: Moment,
-): Disturbance[] =>
+): DrainCandidate[] =>
   machines
     .map((machine) => {
-      const work = workOn(machine, letEndS, moment);
+      const work = classifyWork(machine, letEndS, moment);
       return { machine, work, rank: rankOf(work) };
     })
     .sort(
       (a, b) =>
         a.rank - b.rank ||
-        a.work.endsInMs - b.work.endsInMs ||
+        a.work.finishesInMs - b.work.finishesInMs ||
         a.work.replicas.length - b.work.replicas.length ||
         (a.machine.id < b.machine.id ? -1 : 1),
     );
 
-/** The cloud takes it, or it is lost: what is on it is left to the ordinary path. */
+/** The cloud reclaims it, or it is lost: what is on it is left to the core. */
 export const isBeingLost = (machine: MachineView): boolean =>
   machine.isDeleting || machine.lostAt !== null || machine.reclaimAt !== null;
 
 /** A machine that is about to leave the fleet anyway. */
-export const isGoing = (machine: MachineView): boolean =>
+export const isLeaving = (machine: MachineView): boolean =>
   machine.isDraining || isBeingLost(machine);
--- a/packages/drain/src/core/plan.ts
+++ b/packages/drain/src/core/plan.ts
@@ -1,60 +1,62 @@
-/** A dry run: the steps that a drain would take as things stand, and what would hold each machine up. */
-import type { Drains } from './drains.js';
-import { HeadGuard } from './head-check.js';
-import { type Disturbance, isGoing, membersOf } from './selection.js';
-import { orderForStep, stepSizeOf } from './step-choice.js';
-import type { Turn } from './turn.js';
-import { type Blocker, type Drain, describeBlocker } from './types.js';
-import { LISTED_MACHINES } from './views.js';
+/** A dry run: the steps that a drain would take as things stand, and what would hold it up. */
+import { type Blocker, describeBlocker, finishingBlocker } from './blocker.js';
+import type { DecisionContext } from './decision-context.js';
+import type { Drain } from './drain.js';
+import type { DrainManager } from './drain-manager.js';
+import { type DrainCandidate, isLeaving, remainingMachines } from './machine-selection.js';
+import type { QueueHeadCheck } from './queue-head-check.js';
+import { orderCandidates, queueHeadCheckFor, stepSizeOf } from './step-selection.js';
+import { MAX_LISTED_MACHINES } from './views.js';
 
-const budgetBlockers = (drains: Drains, { work }: Disturbance, turn: Turn): Blocker[] => {
+const budgetBlockers = (
+  manager: DrainManager,
+  { work }: DrainCandidate,
+  { fleet, moment }: DecisionContext,
+): Blocker[] => {
   const blockers = new Map<string, Blocker>();
   for (const { job } of [...work.stoppable, ...work.replicas]) {
     const blocker =
-      job && drains.budget.blocker(job.spec.team, job.spec.jobClass, turn.fleet, turn.moment);
+      job && manager.budget.findBlocker(job.spec.team, job.spec.jobClass, fleet, moment);
     if (blocker) blockers.set(describeBlocker(blocker), blocker);
   }
   return [...blockers.values()];
 };
 
 const blockersOf = (
-  drains: Drains,
-  guard: HeadGuard | null,
-  item: Disturbance,
-  turn: Turn,
+  manager: DrainManager,
+  queueHead: QueueHeadCheck | null,
+  candidate: DrainCandidate,
+  context: DecisionContext,
 ): Blocker[] => {
-  const blockers = budgetBlockers(drains, item, turn);
-  const { machine, work } = item;
-  if (isGoing(machine) || machine.isCordoned || drains.drainOf(machine.id))
+  const blockers = budgetBlockers(manager, candidate, context);
+  const { machine, work } = candidate;
+  if (isLeaving(machine) || machine.isCordoned || manager.registry.drainOf(machine.id))
     blockers.push({ kind: 'busy-elsewhere', machines: 1 });
-  if (work.ending.length > 0) {
-    const inS = Math.ceil(work.endsInMs / 1000);
-    blockers.push({ kind: 'work-ends-by-itself', tasks: work.ending.length, inS });
-  }
-  const head = guard?.blocker(machine.id);
-  if (head) blockers.push(head);
-  else guard?.letGo(machine.id);
+  if (work.finishing.length > 0) blockers.push(finishingBlocker(work));
+  const headBlocker = queueHead?.findBlocker(machine.id);
+  if (headBlocker) blockers.push(headBlocker);
+  else queueHead?.markLeaving(machine.id);
   return blockers;
 };
 
-/** The plan for a drain that has not been taken up. */
-export const planOf = (drains: Drains, drain: Drain, turn: Turn) => {
-  const members = membersOf(drain, turn.fleet, turn.moment);
-  const order = orderForStep(members, drains.contextOf(turn), turn.moment);
-  const size = stepSizeOf(drain);
-  const guard = drain.request.replace ? null : new HeadGuard(turn.fleet);
+/** The plan of a drain that has not been started, as operators see it; changes nothing. */
+export const planOf = (manager: DrainManager, drain: Drain, context: DecisionContext) => {
+  const machines = remainingMachines(drain, context.fleet, context.moment);
+  const order = orderCandidates(machines, manager.constraintsOf(context), context.moment);
+  const stepSize = stepSizeOf(drain);
+  const queueHead = queueHeadCheckFor(drain, context.fleet);
   return {
-    machines: members.length,
-    stepSize: size,
-    steps: Math.ceil(members.length / size),
-    listed: Math.min(order.length, LISTED_MACHINES),
-    plan: order.slice(0, LISTED_MACHINES).map((item, i) => ({
-      name: item.machine.id,
-      step: Math.floor(i / size) + 1,
-      stops: item.work.stoppable.length,
-      moves: item.work.replicas.length,
-      ends: item.work.ending.length,
-      blocked: blockersOf(drains, guard, item, turn).map(describeBlocker),
+    machines: machines.length,
+    stepSize,
+    steps: Math.ceil(machines.length / stepSize),
+    listed: Math.min(order.length, MAX_LISTED_MACHINES),
+    plan: order.slice(0, MAX_LISTED_MACHINES).map((candidate, i) => ({
+      name: candidate.machine.id,
+      step: Math.floor(i / stepSize) + 1,
+      stops: candidate.work.stoppable.length,
+      moves: candidate.work.replicas.length,
+      ends: candidate.work.finishing.length,
+      blocked: blockersOf(manager, queueHead, candidate, context).map(describeBlocker),
     })),
   };
 };
--- a/packages/drain/src/core/records.ts
+++ b/packages/drain/src/core/records.ts
@@ -1,20 +1,43 @@
-/** The package's records in the state service, and their reading. */
-import type { Attempt, ImageName, JobId, MachineId, TaskIndex } from '@robinspread/extension-api';
+/**
+ * The package's records in the key-value store: the codecs of drains and of the machines of their
+ * steps, with their keys, and the reading of all records. The stored names are fixed, since leaders
+ * of other versions read them; the mapping to inner names stands in the codecs alone.
+ */
+import type {
+  ExtensionRecord,
+  ImageName,
+  MachineId,
+  MachineTypeName,
+  ProvisionRequestId,
+  ZoneName,
+} from '@robinspread/extension-api';
 import * as v from 'valibot';
-import type { Disruption } from './budget.js';
-import type { Drain, DrainName, MachineDrain, RentalSlot, Selector, StepSize } from './types.js';
-
-const DRAINS = 'd/';
-const MACHINES = 'm/';
-const DISRUPTIONS = 'b/';
-
-export const drainKey = (name: DrainName): string => `${DRAINS}${name}`;
+import type { Disruption } from './disruption.js';
+import { DISRUPTIONS_PREFIX, decodeDisruptions } from './disruption-codec.js';
+import type {
+  Drain,
+  DrainName,
+  MachineDrain,
+  ReplacementSlot,
+  Selector,
+  StepSize,
+} from './drain.js';
+import { count, text } from './record-schemas.js';
+
+const DRAIN_PREFIX = 'd/';
+const MACHINE_PREFIX = 'm/';
+
+/** The key of a drain's record. */
+export const drainKey = (name: DrainName): string => `${DRAIN_PREFIX}${name}`;
+
+/** The prefix of the keys of a drain's machines. */
+export const machineKeyPrefix = (name: DrainName): string => `${MACHINE_PREFIX}${name}/`;
+
+/** The key of the record of a machine in a drain's current step. */
 export const machineKey = (name: DrainName, machine: MachineId): string =>
-  `${MACHINES}${name}/${machine}`;
-export const disruptionsKey = (term: number, n: number): string => `${DISRUPTIONS}${term}-${n}`;
+  `${machineKeyPrefix(name)}${machine}`;
 
-const count = v.pipe(v.number(), v.integer(), v.minValue(0));
-const text = v.pipe(v.string(), v.minLength(1));
+// ---- drains ----
 
 const drainSchema = v.object({
   phase: v.picklist(['pending', 'running', 'paused', 'cancelled', 'done']),
@@ -45,121 +68,121 @@
 
 type DrainRecord = v.InferOutput<typeof drainSchema>;
 
-const writeSelector = ({ minAgeS, machines, ...rest }: Selector): DrainRecord['select'] => ({
-  ...rest,
-  machines: machines ? [...machines] : null,
-  age: minAgeS,
+const encodeSelector = (selector: Selector): DrainRecord['select'] => ({
+  all: selector.all,
+  type: selector.type,
+  zone: selector.zone,
+  spot: selector.spot,
+  image: selector.image,
+  machines: selector.machines ? [...selector.machines] : null,
+  age: selector.minAgeS,
 });
 
-const readSelector = ({ age, machines, image, ...rest }: DrainRecord['select']): Selector => ({
-  ...(rest as Pick<Selector, 'all' | 'type' | 'zone' | 'spot'>),
-  machines: machines as MachineId[] | null,
-  image: image as ImageName | null,
-  minAgeS: age,
+const decodeSelector = (record: DrainRecord['select']): Selector => ({
+  all: record.all,
+  type: record.type as MachineTypeName | null,
+  zone: record.zone as ZoneName | null,
+  spot: record.spot,
+  machines: record.machines as MachineId[] | null,
+  image: record.image as ImageName | null,
+  minAgeS: record.age,
 });
 
-const writeSize = (size: StepSize): DrainRecord['size'] =>
+const encodeStepSize = (size: StepSize): DrainRecord['size'] =>
   size.kind === 'count' ? { count: size.count } : { share: size.share };
 
-const readSize = (size: DrainRecord['size']): StepSize =>
+const decodeStepSize = (size: DrainRecord['size']): StepSize =>
   'count' in size ? { kind: 'count', count: size.count } : { kind: 'share', share: size.share };
 
-export const writeDrain = (drain: Drain): DrainRecord => ({
+/** The record of a drain; the machines of its step have records of their own. */
+export const encodeDrain = (drain: Drain): DrainRecord => ({
   phase: drain.phase,
-  why: drain.pausedBecause,
+  why: drain.pauseReason,
   at: drain.startedAt,
-  last: drain.lastMachine,
+  last: drain.newestMachineAtStart,
   total: drain.total,
   returned: drain.returned,
   failed: drain.failed,
   step: drain.step,
   until: drain.deadlineAt,
-  select: writeSelector(drain.request.selector),
-  size: writeSize(drain.request.stepSize),
+  select: encodeSelector(drain.request.selector),
+  size: encodeStepSize(drain.request.stepSize),
   replace: drain.request.replace,
   deadline: drain.request.deadlineS,
 });
 
-const readDrain = (name: DrainName, value: unknown): Drain | null => {
+/** A drain without the machines of its step; null: the record cannot be read. */
+const decodeDrain = (name: DrainName, value: unknown): Drain | null => {
   const result = v.safeParse(drainSchema, value);
   if (!result.success) return null;
-  const r = result.output;
+  const record = result.output;
   return {
     request: {
       name,
-      selector: readSelector(r.select),
-      stepSize: readSize(r.size),
-      replace: r.replace,
-      deadlineS: r.deadline,
+      selector: decodeSelector(record.select),
+      stepSize: decodeStepSize(record.size),
+      replace: record.replace,
+      deadlineS: record.deadline,
     },
-    phase: r.phase,
-    pausedBecause: r.why,
-    startedAt: r.at,
-    lastMachine: r.last as MachineId,
-    total: r.total,
-    returned: r.returned,
-    failed: r.failed,
-    step: r.step,
-    deadlineAt: r.until,
-    current: new Map(),
+    phase: record.phase,
+    pauseReason: record.why,
+    startedAt: record.at,
+    newestMachineAtStart: record.last as MachineId,
+    total: record.total,
+    returned: record.returned,
+    failed: record.failed,
+    step: record.step,
+    deadlineAt: record.until,
+    machinesInStep: new Map(),
   };
 };
 
+// ---- machines of a step ----
+
 const machineSchema = v.object({
   phase: v.picklist(['waiting', 'cordoned', 'draining', 'returning']),
-  /** [name of the request, place, how many] */
   rental: v.nullable(v.tuple([text, count, count])),
   by: v.nullable(text),
   tries: count,
 });
 
-export const writeMachine = ({ phase, rental, replacement, tries }: MachineDrain) => ({
-  phase,
-  rental: rental === null ? null : ([rental.request, rental.slot, rental.of] as const),
-  by: replacement,
-  tries,
+type MachineRecord = v.InferOutput<typeof machineSchema>;
+type SlotRecord = readonly [request: string, position: number, requested: number];
+
+const encodeSlot = (slot: ReplacementSlot): SlotRecord => [
+  slot.request,
+  slot.position,
+  slot.requested,
+];
+
+const decodeSlot = ([request, position, requested]: SlotRecord): ReplacementSlot => ({
+  request: request as ProvisionRequestId,
+  position,
+  requested,
 });
 
-const readMachine = (machine: MachineId, value: unknown): MachineDrain | null => {
+/** The record of a machine in a drain's current step. */
+export const encodeMachineDrain = (machineDrain: MachineDrain) => ({
+  phase: machineDrain.phase,
+  rental: machineDrain.replacementSlot === null ? null : encodeSlot(machineDrain.replacementSlot),
+  by: machineDrain.replacement,
+  tries: machineDrain.replacementsRequested,
+});
+
+const decodeMachineDrain = (machine: MachineId, value: unknown): MachineDrain | null => {
   const result = v.safeParse(machineSchema, value);
   if (!result.success) return null;
-  const { phase, rental, by, tries } = result.output;
-  const [request, slot, of] = rental ?? [];
+  const record: MachineRecord = result.output;
   return {
     machine,
-    phase,
-    rental: rental === null ? null : ({ request, slot, of } as RentalSlot),
-    replacement: by as MachineId | null,
-    tries,
+    phase: record.phase,
+    replacementSlot: record.rental === null ? null : decodeSlot(record.rental),
+    replacement: record.by as MachineId | null,
+    replacementsRequested: record.tries,
   };
 };
 
-/** [job, task, attempt, team, class, time of day, voluntary] */
-const rowSchema = v.tuple([text, count, count, v.string(), v.string(), v.number(), v.boolean()]);
-const disruptionsSchema = v.array(rowSchema);
-
-export const writeDisruptions = (
-  rows: readonly Disruption[],
-): v.InferOutput<typeof disruptionsSchema> =>
-  rows.map((d) => [d.job, d.index, d.attempt, d.team, d.jobClass, d.at, d.voluntary]);
-
-const readDisruptions = (key: string, value: unknown): Disruption[] | null => {
-  const result = v.safeParse(disruptionsSchema, value);
-  if (!result.success) return null;
-  return result.output.map(([job, index, attempt, team, jobClass, at, voluntary]) => ({
-    job: job as JobId,
-    index: index as TaskIndex,
-    attempt: attempt as Attempt,
-    team: team as Disruption['team'],
-    jobClass,
-    at,
-    voluntary,
-    phase: voluntary ? 'granted' : 'stopped',
-    record: key,
-    grantedAt: null,
-    inherited: true,
-  }));
-};
+// ---- all records ----
 
 /** All that was stored, as far as it can be read. */
 export interface StoredState {
@@ -167,37 +190,44 @@
   readonly disruptions: Disruption[];
   /** Drains of which something cannot be read. */
   readonly unreadable: Set<DrainName>;
-  /** Records that cannot be read and belong to no drain. */
-  readonly lost: string[];
+  /** Keys of records that cannot be read, or whose drain cannot, and that belong to no drain. */
+  readonly orphaned: string[];
 }
 
+const decodeMachineRecord = ({ key, value }: ExtensionRecord, state: StoredState): void => {
+  const [name = '', id = ''] = key.slice(MACHINE_PREFIX.length).split('/');
+  const drain = state.drains.get(name as DrainName);
+  const machineDrain = decodeMachineDrain(id as MachineId, value);
+  if (!key.startsWith(MACHINE_PREFIX) || !drain) state.orphaned.push(key);
+  else if (machineDrain) drain.machinesInStep.set(machineDrain.machine, machineDrain);
+  else state.unreadable.add(drain.request.name);
+};
+
+const decodeDisruptionsRecord = ({ key, value }: ExtensionRecord, state: StoredState): void => {
+  const disruptions = decodeDisruptions(key, value);
+  if (disruptions) state.disruptions.push(...disruptions);
+  else state.orphaned.push(key);
+};
+
 /** Reads the records in two passes: drains before their machines. */
-export const readState = (records: readonly { key: string; value: unknown }[]): StoredState => {
-  const drains = new Map<DrainName, Drain>();
-  const disruptions: Disruption[] = [];
-  const unreadable = new Set<DrainName>();
-  const lost: string[] = [];
+export const decodeRecords = (records: readonly ExtensionRecord[]): StoredState => {
+  const state: StoredState = {
+    drains: new Map(),
+    disruptions: [],
+    unreadable: new Set(),
+    orphaned: [],
+  };
   for (const { key, value } of records) {
-    if (!key.startsWith(DRAINS)) continue;
-    const name = key.slice(DRAINS.length) as DrainName;
-    const drain = readDrain(name, value);
-    if (drain) drains.set(name, drain);
-    else unreadable.add(name);
+    if (!key.startsWith(DRAIN_PREFIX)) continue;
+    const name = key.slice(DRAIN_PREFIX.length) as DrainName;
+    const drain = decodeDrain(name, value);
+    if (drain) state.drains.set(name, drain);
+    else state.unreadable.add(name);
   }
-  for (const { key, value } of records) {
-    if (key.startsWith(DRAINS)) continue;
-    if (key.startsWith(DISRUPTIONS)) {
-      const rows = readDisruptions(key, value);
-      if (rows) disruptions.push(...rows);
-      else lost.push(key);
-      continue;
-    }
-    const [name = '', id = ''] = key.slice(MACHINES.length).split('/');
-    const drain = drains.get(name as DrainName);
-    const machine = readMachine(id as MachineId, value);
-    if (!key.startsWith(MACHINES) || !drain) lost.push(key);
-    else if (machine) drain.current.set(machine.machine, machine);
-    else unreadable.add(drain.request.name);
+  for (const record of records) {
+    if (record.key.startsWith(DRAIN_PREFIX)) continue;
+    if (record.key.startsWith(DISRUPTIONS_PREFIX)) decodeDisruptionsRecord(record, state);
+    else decodeMachineRecord(record, state);
   }
-  return { drains, disruptions, unreadable, lost };
+  return state;
 };
--- a/packages/drain/src/core/replacements.ts
+++ b/packages/drain/src/core/replacements.ts
@@ -1,45 +1,57 @@
 /**
- * Replacements of drained machines. Those of one kind in a step are rented together, under a name that is stored before it is
- * sent. A repeat of a name rents nothing new, so that a request without an answer, or of a former leader, is sent again.
+ * Replacements of drained machines. Those of one instance pool in a step are provisioned together,
+ * by a request whose id is stored before it is sent. A repeat of an id provisions nothing new, so
+ * that a request without an answer, or of a former leader, is sent again.
  */
 import type {
+  ExtensionEvent,
   FleetView,
   MachineId,
   MachineView,
   Moment,
-  RequestName,
+  ProvisionRequestId,
 } from '@robinspread/extension-api';
-import { isGoing } from './selection.js';
+import type { Blocker } from './blocker.js';
+import type { DecisionContext } from './decision-context.js';
+import type { MachineDrain, ReplacementSlot } from './drain.js';
+import { isLeaving } from './machine-selection.js';
 import type { DrainSettings } from './settings.js';
-import type { Turn } from './turn.js';
-import type { Blocker, MachineDrain, RentalSlot } from './types.js';
 
-/** A request for machines, and what is known of its answer. */
-interface Rental {
-  readonly of: number;
-  underWay: boolean;
+/** The cloud's answer to a provision request. */
+export type ProvisionResult = Extract<ExtensionEvent, { kind: 'provision-result' }>;
+
+/** A provision request, and what is known of its answer. */
+interface ProvisionRequestState {
+  /** How many machines it asks for. */
+  readonly count: number;
+  /** Sent, and not answered yet. */
+  isInFlight: boolean;
   refusals: number;
+  /** When it may be sent again, on the steady clock. */
   retryAt: number;
-  /** The machines that it rented; null: not known yet. */
+  /** The machines that it provisioned; null: not known yet. */
   machines: readonly MachineId[] | null;
 }
 
 /** How long the replacement of one machine has been waited for. */
-interface Watch {
-  since: number;
+interface ReadinessWatch {
+  /** On the steady clock. */
+  readonly since: number;
   /** It has been seen ready. */
   wasReady: boolean;
 }
 
-/** Reports that a machine may miss and still count as ready. */
-const QUIET_REPORTS = 2;
+/** Heartbeats that a machine may miss and still count as ready. */
+const MAX_MISSED_HEARTBEATS = 2;
 const UNANSWERED_RETRY_MS = 5000;
 const REFUSED_RETRY_MS = 4000;
-const MOST_RETRY_MS = 60_000;
+const MAX_RETRY_MS = 60_000;
+/** Bounds the exponent, not the delay: `MAX_RETRY_MS` is reached before. */
+const MAX_BACKOFF_DOUBLINGS = 6;
 /** After this many failed replacements the operator is told so. */
-const MANY_TRIES = 3;
-/** Machines that the cloud rents out by one request. */
-const MOST_AT_ONCE = 50;
+const REPORTED_AFTER_REPLACEMENTS = 3;
+/** Machines that the cloud provisions by one request. */
+const MAX_MACHINES_PER_REQUEST = 50;
 
 /** What became of a replacement: ready, waited for, or given up for another one. */
 export type ReplacementState =
@@ -49,163 +61,172 @@
 
 const READY: ReplacementState = { kind: 'ready' };
 const GIVEN_UP: ReplacementState = { kind: 'given-up' };
+const blockedBy = (blocker: Blocker): ReplacementState => ({ kind: 'blocked', blocker });
 
-/** It obeys this leader's term, reports, and may take work. */
+/** It obeys this leader's fencing token, sends heartbeats, and may take work. */
 const isReady = (machine: MachineView, fleet: FleetView, { now }: Moment): boolean =>
   machine.hasReported &&
   machine.isReady &&
   !machine.isCordoned &&
-  !isGoing(machine) &&
-  now - machine.lastHeartbeatAt <= QUIET_REPORTS * fleet.heartbeatIntervalMs;
+  !isLeaving(machine) &&
+  now - machine.lastHeartbeatAt <= MAX_MISSED_HEARTBEATS * fleet.heartbeatIntervalMs;
 
-const kindOf = ({ type, zone, spot }: MachineView): string => `${type}/${zone}/${spot}`;
+const poolKeyOf = ({ type, zone, spot }: MachineView): string => `${type}/${zone}/${spot}`;
 
-const describeKind = ({ type, zone, spot }: MachineView): string =>
+const describePool = ({ type, zone, spot }: MachineView): string =>
   `${type} in ${zone} (${spot ? 'spot' : 'ordinary'})`;
 
+const groupByPool = (machines: readonly MachineView[]): Map<string, MachineId[]> => {
+  const byPool = new Map<string, MachineId[]>();
+  for (const machine of machines) {
+    const key = poolKeyOf(machine);
+    const samePool = byPool.get(key);
+    if (samePool) samePool.push(machine.id);
+    else byPool.set(key, [machine.id]);
+  }
+  return byPool;
+};
+
+const retryDelayMs = (replacementsRequested: number): number =>
+  Math.min(
+    MAX_RETRY_MS,
+    REFUSED_RETRY_MS * 2 ** Math.min(replacementsRequested, MAX_BACKOFF_DOUBLINGS),
+  );
+
+/** Owns the provision requests of one leader's term, and watches what they provisioned. */
 export class Replacements {
-  private readonly rentals = new Map<RequestName, Rental>();
-  private readonly watches = new Map<MachineDrain, Watch>();
+  private readonly provisionRequests = new Map<ProvisionRequestId, ProvisionRequestState>();
+  private readonly watches = new Map<MachineDrain, ReadinessWatch>();
   private nextRequest = 1;
 
   constructor(private readonly settings: DrainSettings) {}
 
-  /** A name that no leader has used or ever will: it holds the term. */
-  private newName({ fleet }: Turn): RequestName {
-    const name = `drain-${fleet.fencingToken}-${this.nextRequest}` as RequestName;
+  /** An id that no leader has used or ever will: it holds the fencing token. */
+  private nextRequestId({ fleet }: DecisionContext): ProvisionRequestId {
+    const id = `drain-${fleet.fencingToken}-${this.nextRequest}` as ProvisionRequestId;
     this.nextRequest += 1;
-    return name;
+    return id;
   }
 
-  /** A place in a request for each of these machines; one request for as many of a kind as the cloud rents at once. */
-  slotsFor(machines: readonly MachineView[], turn: Turn): Map<MachineId, RentalSlot> {
-    const byKind = new Map<string, MachineId[]>();
-    for (const machine of machines) {
-      const kind = kindOf(machine);
-      const same = byKind.get(kind);
-      if (same) same.push(machine.id);
-      else byKind.set(kind, [machine.id]);
-    }
-    const slots = new Map<MachineId, RentalSlot>();
-    for (const ids of byKind.values()) {
-      for (let from = 0; from < ids.length; from += MOST_AT_ONCE) {
-        const together = ids.slice(from, from + MOST_AT_ONCE);
-        const request = this.newName(turn);
-        for (const [slot, id] of together.entries())
-          slots.set(id, { request, slot, of: together.length });
+  /** A slot for each of these machines, in as few requests for each pool as the cloud takes. */
+  allocateSlots(
+    machines: readonly MachineView[],
+    context: DecisionContext,
+  ): Map<MachineId, ReplacementSlot> {
+    const slots = new Map<MachineId, ReplacementSlot>();
+    for (const ids of groupByPool(machines).values()) {
+      for (let from = 0; from < ids.length; from += MAX_MACHINES_PER_REQUEST) {
+        const together = ids.slice(from, from + MAX_MACHINES_PER_REQUEST);
+        const request = this.nextRequestId(context);
+        for (const [position, id] of together.entries())
+          slots.set(id, { request, position, requested: together.length });
       }
     }
     return slots;
   }
 
   /** A request for another replacement of one machine. */
-  anotherSlot(turn: Turn): RentalSlot {
-    return { request: this.newName(turn), slot: 0, of: 1 };
+  allocateSlot(context: DecisionContext): ReplacementSlot {
+    return { request: this.nextRequestId(context), position: 0, requested: 1 };
   }
 
-  private rentalOf({ request, of }: RentalSlot, tries: number, { now }: Moment): Rental {
-    let rental = this.rentals.get(request);
-    if (!rental) {
-      const retryAt = tries > 1 ? now + this.pauseMs(tries) : now;
-      rental = { of, underWay: false, refusals: 0, retryAt, machines: null };
-      this.rentals.set(request, rental);
+  private requestStateOf(
+    { request, requested }: ReplacementSlot,
+    replacementsRequested: number,
+    { now }: Moment,
+  ): ProvisionRequestState {
+    let state = this.provisionRequests.get(request);
+    if (!state) {
+      const delayMs = replacementsRequested > 1 ? retryDelayMs(replacementsRequested) : 0;
+      const retryAt = now + delayMs;
+      state = { count: requested, isInFlight: false, refusals: 0, retryAt, machines: null };
+      this.provisionRequests.set(request, state);
     }
-    return rental;
-  }
-
-  private pauseMs(tries: number): number {
-    return Math.min(MOST_RETRY_MS, REFUSED_RETRY_MS * 2 ** Math.min(tries, 6));
+    return state;
   }
 
-  /** Rents what is missing, and tells whether the replacement is ready. `of`: the machine that it replaces. */
-  advance(machineDrain: MachineDrain, of: MachineView, turn: Turn): ReplacementState {
-    const { rental: slot, replacement, tries } = machineDrain;
+  /** Provisions what is missing, and tells whether the replacement of `machine` is ready. */
+  advance(
+    machineDrain: MachineDrain,
+    machine: MachineView,
+    context: DecisionContext,
+  ): ReplacementState {
+    const { replacementSlot: slot, replacement, replacementsRequested } = machineDrain;
     if (slot === null) return GIVEN_UP;
-    if (replacement !== null) return this.watch(machineDrain, slot, replacement, turn);
-    const rental = this.rentalOf(slot, tries, turn.moment);
-    // Fewer machines were rented than asked for: this one is asked for anew.
-    if (rental.machines !== null) return GIVEN_UP;
-    return this.rent(rental, slot, of, tries, turn);
+    if (replacement !== null) return this.checkReadiness(machineDrain, slot, replacement, context);
+    const state = this.requestStateOf(slot, replacementsRequested, context.moment);
+    // Fewer machines were provisioned than requested: this one is requested anew.
+    if (state.machines !== null) return GIVEN_UP;
+    this.provision(state, slot, machine, context);
+    if (state.refusals > 0) return blockedBy({ kind: 'no-capacity', of: describePool(machine) });
+    if (replacementsRequested > REPORTED_AFTER_REPLACEMENTS)
+      return blockedBy({ kind: 'replacement-failed', tries: replacementsRequested - 1 });
+    return blockedBy({ kind: 'replacement-booting', request: slot.request });
   }
 
-  private rent(
-    rental: Rental,
-    { request }: RentalSlot,
-    machine: MachineView,
-    tries: number,
-    turn: Turn,
-  ): ReplacementState {
-    const { now } = turn.moment;
-    if (!rental.underWay && now >= rental.retryAt) {
-      rental.underWay = true;
-      const { type, zone, spot } = machine;
-      turn.requests.push({ kind: 'provision', request, type, zone, spot, count: rental.of });
-    }
-    if (rental.refusals > 0)
-      return { kind: 'blocked', blocker: { kind: 'no-capacity', of: describeKind(machine) } };
-    if (tries > MANY_TRIES)
-      return { kind: 'blocked', blocker: { kind: 'replacement-failed', tries: tries - 1 } };
-    return { kind: 'blocked', blocker: { kind: 'replacement-booting', request } };
+  /** Sends the request unless it is under way or has to wait. */
+  private provision(
+    state: ProvisionRequestState,
+    { request }: ReplacementSlot,
+    { type, zone, spot }: MachineView,
+    { moment, requests }: DecisionContext,
+  ): void {
+    if (state.isInFlight || moment.now < state.retryAt) return;
+    state.isInFlight = true;
+    requests.push({ kind: 'provision', request, type, zone, spot, count: state.count });
   }
 
-  private watch(
+  private checkReadiness(
     machineDrain: MachineDrain,
-    { request }: RentalSlot,
-    id: MachineId,
-    turn: Turn,
+    { request }: ReplacementSlot,
+    replacement: MachineId,
+    { fleet, moment }: DecisionContext,
   ): ReplacementState {
-    const { fleet, moment } = turn;
     const watch = this.watches.get(machineDrain) ?? { since: moment.now, wasReady: false };
     this.watches.set(machineDrain, watch);
-    const machine = fleet.machines.get(id);
+    const machine = fleet.machines.get(replacement);
     if (machine && isReady(machine, fleet, moment)) {
       watch.wasReady = true;
       return READY;
     }
-    const overdue = moment.now - watch.since > this.settings.readyTimeoutS * 1000;
-    const gone = machine ? isGoing(machine) : watch.wasReady;
-    if (!gone && !overdue)
-      return { kind: 'blocked', blocker: { kind: 'replacement-booting', request } };
+    const isOverdue = moment.now - watch.since > this.settings.readyTimeoutS * 1000;
+    const isGone = machine ? isLeaving(machine) : watch.wasReady;
+    if (!isGone && !isOverdue) return blockedBy({ kind: 'replacement-booting', request });
     this.watches.delete(machineDrain);
     return GIVEN_UP;
   }
 
-  /** The cloud's answer; true when it names machines. */
-  answered(
-    request: RequestName,
-    result: 'ok' | 'refused' | 'unknown',
-    machines: readonly MachineId[],
-    { now }: Moment,
-  ): boolean {
-    const rental = this.rentals.get(request);
-    if (!rental) return false;
-    rental.underWay = false;
+  /** Takes in the cloud's answer; true when it names machines. */
+  handleProvisionResult({ request, result, machines }: ProvisionResult, { now }: Moment): boolean {
+    const state = this.provisionRequests.get(request);
+    if (!state) return false;
+    state.isInFlight = false;
     if (result === 'ok' && machines.length > 0) {
-      rental.machines = machines;
+      state.machines = machines;
       return true;
     }
-    if (result === 'unknown') rental.retryAt = now + UNANSWERED_RETRY_MS;
+    if (result === 'unknown') state.retryAt = now + UNANSWERED_RETRY_MS;
     else {
-      rental.refusals += 1;
-      rental.retryAt = now + Math.min(MOST_RETRY_MS, REFUSED_RETRY_MS * rental.refusals);
+      state.refusals += 1;
+      state.retryAt = now + Math.min(MAX_RETRY_MS, REFUSED_RETRY_MS * state.refusals);
     }
     return false;
   }
 
-  /** The machine that an answered request rented for this place; null: none. */
-  machineFor({ request, slot }: RentalSlot): MachineId | null {
-    return this.rentals.get(request)?.machines?.[slot] ?? null;
+  /** The machine that an answered request provisioned for this slot; null: none. */
+  machineFor({ request, position }: ReplacementSlot): MachineId | null {
+    return this.provisionRequests.get(request)?.machines?.[position] ?? null;
   }
 
-  /** The machine's drain is over, or it gets another replacement. */
-  forget(machineDrain: MachineDrain): void {
+  /** The machine has left its drain, or gets another replacement. */
+  stopWatching(machineDrain: MachineDrain): void {
     this.watches.delete(machineDrain);
   }
 
   /** Drops requests that no machine waits for any more. */
-  prune(isWanted: (request: RequestName) => boolean): void {
-    for (const [request, { underWay }] of this.rentals) {
-      if (!underWay && !isWanted(request)) this.rentals.delete(request);
+  pruneUnneeded(isNeeded: (request: ProvisionRequestId) => boolean): void {
+    for (const [request, { isInFlight }] of this.provisionRequests) {
+      if (!isInFlight && !isNeeded(request)) this.provisionRequests.delete(request);
     }
   }
 }
--- a/packages/drain/src/core/views.ts
+++ b/packages/drain/src/core/views.ts
@@ -1,17 +1,20 @@
-/** What operators are told of drains and budgets. Answers stay well below what one line may hold. */
+/**
+ * What operators are told of drains and budgets, in the names of the HTTP interface. Answers stay
+ * well below what one line of the connection between controllers may hold.
+ */
 import type { FleetView, Moment } from '@robinspread/extension-api';
-import type { Drains } from './drains.js';
-import { isFinished } from './drains.js';
-import { membersOf } from './selection.js';
-import { type Blocker, type Drain, describeBlocker, type MachineDrain } from './types.js';
+import { type Blocker, describeBlocker } from './blocker.js';
+import { type Drain, isFinished, type MachineDrain } from './drain.js';
+import type { DrainManager } from './drain-manager.js';
+import { remainingMachines } from './machine-selection.js';
 
 /** Machines listed in one answer; the rest is counted. */
-export const LISTED_MACHINES = 200;
+export const MAX_LISTED_MACHINES = 200;
 
 const blockerView = (blocker: Blocker | null) =>
   blocker === null ? null : { kind: blocker.kind, text: describeBlocker(blocker) };
 
-/** A machine on its way back to the cloud is still draining to operators: it is not known to be gone. */
+/** A machine on its way back to the cloud is still draining to operators: it may yet be there. */
 const shownPhase = ({ phase }: MachineDrain): string =>
   phase === 'returning' ? 'draining' : phase;
 
@@ -24,45 +27,54 @@
 });
 
 /** One drain in a line. */
-export const summaryOf = (drains: Drains, drain: Drain, moment: Moment) => ({
+export const summaryOf = (manager: DrainManager, drain: Drain, moment: Moment) => ({
   name: drain.request.name,
-  status: drains.progress.statusOf(drain, moment),
+  status: manager.progress.statusOf(drain, moment),
   total: drain.total,
   returned: drain.returned,
   failed: drain.failed,
   step: drain.step,
-  inStep: drain.current.size,
+  inStep: drain.machinesInStep.size,
 });
 
 /** All that is known of one drain. */
-export const detailsOf = (drains: Drains, drain: Drain, fleet: FleetView, moment: Moment) => {
-  const current = [...drain.current.values()];
-  const left = isFinished(drain) ? 0 : membersOf(drain, fleet, moment).length;
+export const detailsOf = (
+  manager: DrainManager,
+  drain: Drain,
+  fleet: FleetView,
+  moment: Moment,
+) => {
+  const inStep = [...drain.machinesInStep.values()];
+  const remaining = isFinished(drain) ? 0 : remainingMachines(drain, fleet, moment).length;
   return {
-    ...summaryOf(drains, drain, moment),
-    why: drain.pausedBecause,
-    blocked: blockerView(drains.progress.blockerOf(drain)),
-    waiting: Math.max(0, left - current.length),
+    ...summaryOf(manager, drain, moment),
+    why: drain.pauseReason,
+    blocked: blockerView(manager.progress.blockerOf(drain)),
+    waiting: Math.max(0, remaining - inStep.length),
     startedAt: new Date(drain.startedAt).toISOString(),
     deadlineAt: drain.deadlineAt === null ? null : new Date(drain.deadlineAt).toISOString(),
     request: requestView(drain),
-    machines: current.slice(0, LISTED_MACHINES).map((machineDrain) => ({
+    machines: inStep.slice(0, MAX_LISTED_MACHINES).map((machineDrain) => ({
       name: machineDrain.machine,
       state: shownPhase(machineDrain),
       replacement: machineDrain.replacement,
       left: fleet.machines.get(machineDrain.machine)?.placements.size ?? 0,
-      blocked: blockerView(drains.progress.blockerOf(drain, machineDrain.machine)),
+      blocked: blockerView(manager.progress.blockerOf(drain, machineDrain.machine)),
     })),
   };
 };
 
 /** The budgets and their use. */
-export const budgetsOf = (drains: Drains, fleet: FleetView, moment: Moment) =>
-  drains.budget.uses(fleet, moment).map(({ scope, open, limit, recent }) => ({
+export const budgetsOf = (manager: DrainManager, fleet: FleetView, moment: Moment) =>
+  manager.budget.listUsage(fleet, moment).map(({ scope, open, limit, inWindow }) => ({
     scope: scope.name,
     disrupted: open,
     atOnce: limit,
     ...(scope.limits.window
-      ? { withinS: scope.limits.window.seconds, recent, most: scope.limits.window.count }
+      ? {
+          withinS: scope.limits.window.seconds,
+          recent: inWindow,
+          most: scope.limits.window.count,
+        }
       : {}),
   }));
--- a/packages/drain/src/drain-extension.ts
+++ b/packages/drain/src/drain-extension.ts
@@ -1,4 +1,4 @@
-/** The package as the daemon knows it: one for each term of leadership. */
+/** The package as the core knows it: one instance for each leader's term. */
 import type {
   AttemptView,
   Extension,
@@ -11,57 +11,60 @@
   OperatorAnswer,
   OperatorCall,
   RecordWrite,
-  Ticket,
+  ReplyTicket,
 } from '@robinspread/extension-api';
-import { Drains } from './core/drains.js';
+import { DrainManager } from './core/drain-manager.js';
 import type { DrainSettings } from './core/settings.js';
-import { Operators } from './operators.js';
+import { OperatorApiHandler } from './operator-api-handler.js';
 
-export const NAME = 'drain';
+/** The package's name: in its file, its routes and the prefix of its records. */
+export const EXTENSION_NAME = 'drain';
 
+/** Passes events, decisions and calls on to the drain manager and the operator API handler. */
 export class DrainExtension implements Extension {
-  readonly name = NAME;
-  readonly drains: Drains;
-  private readonly operators: Operators;
-  /** What events and calls ask for, until the next decision. */
+  readonly name = EXTENSION_NAME;
+  private readonly manager: DrainManager;
+  private readonly operatorApi: OperatorApiHandler;
+  /** What calls ask for, until the next decision. */
   private readonly requests: ExtensionRequest[] = [];
+  /** What events have stored, until the next decision. */
   private readonly writes: RecordWrite[] = [];
 
   constructor(settings: DrainSettings) {
-    this.drains = new Drains(settings);
-    this.operators = new Operators(this.drains);
+    this.manager = new DrainManager(settings);
+    this.operatorApi = new OperatorApiHandler(this.manager);
   }
 
   load(records: readonly ExtensionRecord[]): void {
-    this.drains.load(records);
+    this.manager.load(records);
   }
 
   observe(event: ExtensionEvent, moment: Moment): void {
-    this.writes.push(...this.drains.observe(event, moment));
+    this.writes.push(...this.manager.handleEvent(event, moment));
   }
 
   decide(fleet: FleetView, moment: Moment): readonly ExtensionRequest[] {
-    const turn = { fleet, moment, requests: this.requests.splice(0) };
-    this.drains.storeLater(this.writes.splice(0), turn);
-    this.drains.decide(turn);
-    this.operators.settle(turn);
-    return turn.requests;
+    const context = { fleet, moment, requests: this.requests.splice(0) };
+    this.manager.requestWrites(this.writes.splice(0), context);
+    this.manager.decide(context);
+    this.operatorApi.answerStored(context);
+    return context.requests;
   }
 
   call(
     call: OperatorCall,
-    ticket: Ticket,
+    ticket: ReplyTicket,
     fleet: FleetView,
     moment: Moment,
   ): OperatorAnswer | null {
-    return this.operators.call(call, ticket, { fleet, moment, requests: this.requests });
+    return this.operatorApi.handleCall(call, ticket, { fleet, moment, requests: this.requests });
   }
 
   mayScaleIn(machine: MachineView): boolean {
-    return this.drains.mayReturn(machine);
+    return this.manager.mayScaleIn(machine);
   }
 
   mayEvictReplica(attempt: AttemptView): boolean {
-    return this.drains.mayMove(attempt);
+    return this.manager.mayEvictReplica(attempt);
   }
 }
--- a/packages/drain/src/index.ts
+++ b/packages/drain/src/index.ts
@@ -1,9 +1,9 @@
 /** Drains machines in steps, within the teams' disruption budgets. */
 import type { ExtensionModule, ExtensionPackage, ExtensionRoute } from '@robinspread/extension-api';
-import { readSettings } from './adapters/settings-file.js';
+import { parseDrainSettings } from './adapters/settings-parser.js';
 import { addCommands } from './cli.js';
 import type { DrainSettings } from './core/settings.js';
-import { DrainExtension, NAME } from './drain-extension.js';
+import { DrainExtension, EXTENSION_NAME } from './drain-extension.js';
 
 const ROUTES: readonly ExtensionRoute[] = [
   { name: 'plan', method: 'POST', path: '/api/drains/plan' },
@@ -16,16 +16,17 @@
   { name: 'budgets', method: 'GET', path: '/api/budgets' },
 ];
 
-/** The daemon's part of the package. */
+/** The daemon's part of the package, with the settings of its file. */
 export const drainModule = (settings: DrainSettings): ExtensionModule => ({
-  name: NAME,
+  name: EXTENSION_NAME,
   routes: ROUTES,
   create: () => new DrainExtension(settings),
 });
 
+/** What the program loads when a file of this package is enabled. */
 export const extensionPackage: ExtensionPackage = {
   configure: (text, { teams }) => {
-    const settings = readSettings(text, teams);
+    const settings = parseDrainSettings(text, teams);
     return 'fault' in settings ? settings : drainModule(settings);
   },
   addCommands,
--- a/packages/drain/test/input.test.ts
+++ b/packages/drain/test/input.test.ts
@@ -1,18 +1,18 @@
 /** What operators may hand over: files and requests, and how faults are named. */
 import { describe, expect, it } from 'vitest';
-import { readRequest } from '../src/adapters/request-form.js';
-import { readSettings } from '../src/adapters/settings-file.js';
+import { parseDrainRequest } from '../src/adapters/drain-request-parser.js';
+import { parseDrainSettings } from '../src/adapters/settings-parser.js';
 import { DrainFleet, inZone } from './drain-fleet.js';
 
 const TEAMS = new Set(['blue', 'green']);
 const faultOf = (text: string): string => {
-  const read = readSettings(text, TEAMS);
+  const read = parseDrainSettings(text, TEAMS);
   return 'fault' in read ? read.fault : 'none';
 };
 
 describe('the file', () => {
   it('is read with every field, and what is left out keeps its default', () => {
-    const read = readSettings(
+    const read = parseDrainSettings(
       `; a comment
        (drain (let-end-s 30)
          (budgets (default (at-once 3))
@@ -94,13 +94,13 @@
     [{ ...body, atOnce: 1, atOnceShare: 0.5 }, 'field atOnceShare: not together with atOnce'],
     [{ ...body, deadlineS: -1 }, 'field deadlineS: must be above 0'],
   ])('with a fault is refused in one line that names the field: %j', (sent, fault) => {
-    expect(readRequest(sent)).toEqual({ fault });
+    expect(parseDrainRequest(sent)).toEqual({ kind: 'invalid', message: fault });
   });
 
   it.each([null, 7, [], { select: { all: true } }, { name: 'swap' }])(
     'that is none is refused: %j',
     (sent) => {
-      expect(readRequest(sent)).toHaveProperty('fault');
+      expect(parseDrainRequest(sent)).toEqual({ kind: 'invalid', message: expect.any(String) });
     },
   );
 
--- a/packages/drain/test/plain-model.test.ts
+++ b/packages/drain/test/plain-model.test.ts
@@ -11,8 +11,8 @@
 import * as fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { job } from '../../../test/model/build.js';
-import { BudgetLedger } from '../src/core/budget.js';
-import { byDisturbance } from '../src/core/selection.js';
+import { BudgetLedger } from '../src/core/budget-ledger.js';
+import { rankCandidates } from '../src/core/machine-selection.js';
 import { hasRoom, type PlainDisruption, type PlainLimits, takenBefore } from './plain-model.js';
 import { settingsOf } from './settings.js';
 
@@ -51,7 +51,7 @@
     fc.assert(
       fc.property(machines, (drawn) => {
         const now = 100_000;
-        const order = byDisturbance(drawn, LET_END_S, moment(now)).map(({ machine }) => machine);
+        const order = rankCandidates(drawn, LET_END_S, moment(now)).map(({ machine }) => machine);
         expect(order).toHaveLength(drawn.length);
         for (let i = 1; i < order.length; i += 1) {
           expect(takenBefore(order[i - 1]!, order[i]!, LET_END_S, now)).toBe(true);
@@ -159,14 +159,14 @@
               tasks.run(index);
               openHere.open = false;
             } else if (kind === 'suffer' && on) {
-              ledger.suffer(on, moment(now));
+              ledger.recordInvoluntary(on, moment(now));
               tasks.stop(index);
               list.push({ team: 'blue', jobClass: 'settle', at: now, open: true, index });
             } else if (kind === 'disrupt' && on) {
               const room = [team, jobClass].every((l) =>
                 hasRoom(l, list, tasks.onMachines, 0, now),
               );
-              const result = ledger.request(on, tasks.fleet, moment(now));
+              const result = ledger.requestDisruption(on, tasks.fleet, moment(now));
               const isGrant = result !== null && 'phase' in result;
               expect(isGrant, JSON.stringify({ team, jobClass, list, result, now })).toBe(room);
               if (isGrant) granted += 1;
--- a/packages/drain/test/settings.ts
+++ b/packages/drain/test/settings.ts
@@ -1,11 +1,11 @@
 /** Settings for tests, read as operators write them. */
-import { readSettings } from '../src/adapters/settings-file.js';
+import { parseDrainSettings } from '../src/adapters/settings-parser.js';
 import type { DrainSettings } from '../src/core/settings.js';
 
 const TEAMS = new Set(['blue', 'green']);
 
 export const settingsOf = (text: string): DrainSettings => {
-  const settings = readSettings(text, TEAMS);
+  const settings = parseDrainSettings(text, TEAMS);
   if ('fault' in settings) throw new Error(settings.fault);
   return settings;
 };
--- a/packages/extension-api/src/index.ts
+++ b/packages/extension-api/src/index.ts
@@ -1,5 +1,9 @@
-/** What optional packages may know of the daemon: types only, and nothing of its insides. */
+/**
+ * What optional packages may know of the daemon: types only, and nothing of its insides. Packages
+ * import from here alone, so that the core can change without them.
+ */
 
+/** The extension interface: what a package sees of the fleet, and what it may ask for. */
 export type {
   AttemptView,
   Extension,
@@ -15,24 +19,30 @@
   OperatorAnswer,
   OperatorCall,
 } from '../../../src/core/extensions/extension.js';
+/** What the program loads of a package: its configuration and its commands. */
 export type {
   CommandTools,
   ExtensionPackage,
 } from '../../../src/core/extensions/extension-package.js';
+/** Records of a package in the key-value store. */
 export type { ExtensionRecord, RecordWrite } from '../../../src/core/model/extension-record.js';
+/** Branded identifiers. */
 export type {
-  AttemptId as Attempt,
-  FencingToken as Term,
+  AttemptId,
+  FencingToken,
   ImageName,
   JobId,
   MachineId,
-  MachineTypeName as TypeName,
-  ProvisionRequestId as RequestName,
-  ReplyTicket as Ticket,
+  MachineTypeName,
+  ProvisionRequestId,
+  ReplyTicket,
   TaskIndex,
   TeamName,
   ZoneName,
 } from '../../../src/core/model/ids.js';
+/** Jobs as users submit them. */
 export type { JobSpec } from '../../../src/core/model/job.js';
+/** Machine types as the cloud offers them. */
 export type { MachineType } from '../../../src/core/model/machine.js';
+/** A moment on the steady clock. */
 export type { Instant } from '../../../src/core/model/time.js';
--- a/test/pinned-commands.test.ts
+++ b/test/pinned-commands.test.ts
@@ -4,7 +4,7 @@
  */
 import { readFileSync } from 'node:fs';
 import { afterEach, describe, expect, it, vi } from 'vitest';
-import { readSettings } from '../packages/drain/src/adapters/settings-file.js';
+import { parseDrainSettings } from '../packages/drain/src/adapters/settings-parser.js';
 import { DrainFleet, inZone } from '../packages/drain/test/drain-fleet.js';
 import { DEFAULT_POLICY, parsePolicy } from '../src/adapters/configuration/policy.js';
 import { parseSettings } from '../src/adapters/configuration/settings.js';
@@ -254,13 +254,16 @@
     ['ready-timeout-s', 300, 1],
     ['stalled-after-s', 60, 1],
   ] as const)('knows %s with its pinned default and bounds', (name, initial, least) => {
-    const plain = readSettings('(drain)', teams) as unknown as Record<string, unknown>;
-    const read = readSettings(`(drain (${name} 77))`, teams) as unknown as Record<string, unknown>;
+    const plain = parseDrainSettings('(drain)', teams) as unknown as Record<string, unknown>;
+    const read = parseDrainSettings(`(drain (${name} 77))`, teams) as unknown as Record<
+      string,
+      unknown
+    >;
     const changed = Object.keys(read).filter(
       (key) => typeof read[key] === 'number' && read[key] !== plain[key],
     );
     expect(changed.map((key) => [plain[key], read[key]])).toEqual([[initial, 77]]);
-    expect(readSettings(`(drain (${name} ${least - 1}))`, teams)).toEqual({
+    expect(parseDrainSettings(`(drain (${name} ${least - 1}))`, teams)).toEqual({
       fault: `drain: field ${name}: must be a number from ${least} to 86400`,
     });
   });
@@ -270,7 +273,7 @@
     const full = `(drain (budgets (default (at-once 3)) (team blue (at-once 2) (at-once-share 0.25)
       (within 600 10) (class settle (at-once 1) (at-once-share 0.5) (within 60 1)))))`;
     for (const text of [deployed, full])
-      expect(readSettings(text, teams)).not.toHaveProperty('fault');
+      expect(parseDrainSettings(text, teams)).not.toHaveProperty('fault');
   });
 });
 
--- a/test/pinned-records.test.ts
+++ b/test/pinned-records.test.ts
@@ -2,21 +2,20 @@
  * Records in the state service as commit 90313a6 writes them, byte for byte, with their keys; and that the schemas of that
  * commit accept what this version writes. Inner values are read from outside forms, or built in `inner`.
  */
-import type { Attempt, JobId, MachineId, TaskIndex } from '@robinspread/extension-api';
+import type { AttemptId, JobId, MachineId, TaskIndex } from '@robinspread/extension-api';
 import * as v from 'valibot';
 import { describe, expect, it } from 'vitest';
-import { readRequest } from '../packages/drain/src/adapters/request-form.js';
-import type { Disruption } from '../packages/drain/src/core/budget.js';
+import { parseDrainRequest } from '../packages/drain/src/adapters/drain-request-parser.js';
+import type { Disruption } from '../packages/drain/src/core/disruption.js';
+import { disruptionsKey, encodeDisruptions } from '../packages/drain/src/core/disruption-codec.js';
+import type { Drain, DrainName, MachineDrain } from '../packages/drain/src/core/drain.js';
 import {
-  disruptionsKey,
+  decodeRecords,
   drainKey,
+  encodeDrain,
+  encodeMachineDrain,
   machineKey,
-  readState,
-  writeDisruptions,
-  writeDrain,
-  writeMachine,
 } from '../packages/drain/src/core/records.js';
-import type { Drain, DrainName, MachineDrain } from '../packages/drain/src/core/types.js';
 import { parseJob, parseMachineTypes } from '../src/adapters/wire.js';
 import { segmentKey } from '../src/core/ledger/segments.js';
 import type { FencingToken, MachineTypeName, TeamName, ZoneName } from '../src/core/model/ids.js';
@@ -56,7 +55,7 @@
   const second = { job: 'job-413' as JobId, team: green, cpus: 2, gpus: 0, memoryGb: 8 };
   const number = (index: number, attempt: number) => ({
     index: index as TaskIndex,
-    attempt: attempt as Attempt,
+    attempt: attempt as AttemptId,
   });
   const ledger: SegmentRecord = {
     machines: [
@@ -85,12 +84,12 @@
     machines[phase] = {
       machine: `n-${phase}` as MachineId,
       phase,
-      rental:
+      replacementSlot:
         phase === 'waiting'
           ? null
-          : ({ request: 'x-41-7', slot: 1, of: 4 } as MachineDrain['rental']),
+          : ({ request: 'x-41-7', position: 1, requested: 4 } as MachineDrain['replacementSlot']),
       replacement: phase === 'draining' ? ('n-000009' as MachineId) : null,
-      tries: 2,
+      replacementsRequested: 2,
     };
   }
   const disruption = (voluntary: boolean): Disruption => ({
@@ -98,12 +97,12 @@
     job: second.job,
     team: green as Disruption['team'],
     jobClass: 'front',
-    at: 1790000000123,
-    voluntary,
+    startedAt: 1790000000123,
+    isVoluntary: voluntary,
     phase: voluntary ? 'granted' : 'stopped',
-    record: 'b/41-3',
+    recordKey: 'b/41-3',
     grantedAt: null,
-    inherited: true,
+    isInherited: true,
   });
   return {
     ledger,
@@ -224,20 +223,20 @@
 
 describe('records of drains', () => {
   const drainOf = (name: string, change: Partial<Drain> = {}): Drain => {
-    const read = readRequest(inputs.of(name));
-    if ('fault' in read) throw new Error(read.fault);
+    const read = parseDrainRequest(inputs.of(name));
+    if (read.kind === 'invalid') throw new Error(read.message);
     return {
       request: read.request,
       phase: 'running',
-      pausedBecause: null,
+      pauseReason: null,
       startedAt: 1790000000123,
-      lastMachine: 'n-000031' as MachineId,
+      newestMachineAtStart: 'n-000031' as MachineId,
       total: 30,
       returned: 12,
       failed: 1,
       step: 4,
       deadlineAt: null,
-      current: new Map(),
+      machinesInStep: new Map(),
       ...change,
     };
   };
@@ -245,18 +244,18 @@
   const drains: Record<string, Drain> = {
     'drain pending': drainOf('drain', { phase: 'pending', deadlineAt: 1790007200123 }),
     'drain running': drainOf('drain of all'),
-    'drain paused': drainOf('drain', { phase: 'paused', pausedBecause: 'an operator paused it' }),
+    'drain paused': drainOf('drain', { phase: 'paused', pauseReason: 'an operator paused it' }),
     'drain cancelled': drainOf('drain of all', { phase: 'cancelled' }),
     'drain done': drainOf('drain', { phase: 'done' }),
   };
   for (const [name, drain] of Object.entries(drains)) {
     it(`(${name}) are as pinned, are read back, and are accepted by the pinned schema`, () => {
-      pins.check(name, writeDrain(drain));
-      const read = readState([{ key: drainKey(drain.request.name), value: pins.of(name) }]);
+      pins.check(name, encodeDrain(drain));
+      const read = decodeRecords([{ key: drainKey(drain.request.name), value: pins.of(name) }]);
       expect(read.drains.get(drain.request.name)).toEqual(drain);
-      expect([read.unreadable.size, read.lost]).toEqual([0, []]);
-      pins.check(name, writeDrain(read.drains.get(drain.request.name)!));
-      const written = stored(writeDrain(drain));
+      expect([read.unreadable.size, read.orphaned]).toEqual([0, []]);
+      pins.check(name, encodeDrain(read.drains.get(drain.request.name)!));
+      const written = stored(encodeDrain(drain));
       expect(v.parse(frozen.drainRecord, written)).toEqual(written);
     });
   }
@@ -265,21 +264,21 @@
     const drain = drains['drain running']!;
     const { name } = drain.request;
     for (const [phase, machine] of Object.entries(inner.machines)) {
-      pins.check(`drain machine ${phase}`, writeMachine(machine));
-      const read = readState([
-        { key: drainKey(name), value: writeDrain(drain) },
+      pins.check(`drain machine ${phase}`, encodeMachineDrain(machine));
+      const read = decodeRecords([
+        { key: drainKey(name), value: encodeDrain(drain) },
         { key: machineKey(name, machine.machine), value: pins.of(`drain machine ${phase}`) },
       ]);
-      expect(read.drains.get(name)?.current.get(machine.machine)).toEqual(machine);
-      const written = stored(writeMachine(machine));
+      expect(read.drains.get(name)?.machinesInStep.get(machine.machine)).toEqual(machine);
+      const written = stored(encodeMachineDrain(machine));
       expect(v.parse(frozen.drainMachineRecord, written)).toEqual(written);
     }
   });
 
   it('of disruptions are as pinned, are read back, and are accepted by the pinned schema', () => {
-    const written = writeDisruptions(inner.disruptions);
+    const written = encodeDisruptions(inner.disruptions);
     pins.check('disruptions', written);
-    const read = readState([{ key: disruptionsKey(41, 3), value: pins.of('disruptions') }]);
+    const read = decodeRecords([{ key: disruptionsKey(41, 3), value: pins.of('disruptions') }]);
     expect(read.disruptions).toEqual(inner.disruptions);
     expect(v.parse(frozen.disruptionsRecord, stored(written))).toEqual(written);
   });
