--- a/packages/drain/test/plain-model.test.ts
+++ b/packages/drain/test/plain-model.test.ts
@@ -2,7 +2,9 @@
 import type {
   AttemptView,
   FleetView,
+  Instant,
   JobId,
+  JobSpec,
   JobView,
   MachineView,
   Moment,
@@ -19,16 +21,31 @@
 const LET_END_S = 30;
 const moment = (now: number): Moment => ({ now, timeOfDay: now }) as Moment;
 
-const attempt = fc.record({
-  phase: fc.constantFrom('dispatched', 'fetching', 'running', 'checkpointing', 'ended'),
-  startedAt: fc.option(fc.integer({ min: 0, max: 100_000 })),
-  kill: fc.option(fc.constant({ graceS: 5 }), { freq: 8 }),
-  superseded: fc.boolean().map((yes) => yes && false),
+/** What the planner reads of an attempt; typed, so that a renamed field does not go unnoticed. */
+type DrawnAttempt = Pick<AttemptView, 'phase' | 'startedAt' | 'stopRequest' | 'isSuperseded'> & {
+  readonly job:
+    | (Pick<JobView, 'terminalState'> & {
+        readonly spec: Pick<JobSpec, 'shape' | 'estimateS' | 'checkpointIntervalS'>;
+      })
+    | null;
+};
+
+const attempt: fc.Arbitrary<DrawnAttempt> = fc.record({
+  phase: fc.constantFrom<AttemptView['phase'][]>(
+    'dispatched',
+    'fetching',
+    'running',
+    'checkpointing',
+    'ended',
+  ),
+  startedAt: fc.option(fc.integer({ min: 0, max: 100_000 }).map((ms) => ms as Instant)),
+  stopRequest: fc.option(fc.constant({ graceS: 5 }), { freq: 8 }),
+  isSuperseded: fc.constant(false),
   job: fc.option(
     fc.record({
-      final: fc.constantFrom('none', 'none', 'none', 'done'),
+      terminalState: fc.constantFrom<JobView['terminalState'][]>('none', 'none', 'none', 'done'),
       spec: fc.record({
-        shape: fc.constantFrom('array', 'array', 'service'),
+        shape: fc.constantFrom<JobSpec['shape'][]>('array', 'array', 'service'),
         estimateS: fc.integer({ min: 0, max: 300 }),
         checkpointIntervalS: fc.constantFrom(0, 5),
       }),
