--- a/packages/drain/measure/drain-load.ts
+++ b/packages/drain/measure/drain-load.ts
@@ -9,7 +9,7 @@
 import { post } from '../../../test/stand-ins/cloud.js';
 import { body, cleanUp, until } from '../../../test/stand-ins/cluster.js';
 import { buildProgram, startProcesses } from '../../../test/stand-ins/processes.js';
-import { lostWithMachines, mostStoppedAtOnce, ranTwice } from '../test/history-checker.js';
+import { lostWithMachines, mostStoppedAtOnce, ranTwice } from '../test/support/history-checker.js';
 
 /** How the fleet is emptied: what the file allows, and the share of the machines that one step takes. */
 interface Way {
--- a/packages/drain/test/input.test.ts
+++ b/packages/drain/test/input.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import { parseDrainRequest } from '../src/adapters/drain-request-parser.js';
 import { parseDrainSettings } from '../src/adapters/settings-parser.js';
-import { DrainFleet, inZone } from './drain-fleet.js';
+import { DrainFleet, inZone } from './support/drain-fleet.js';
 
 const TEAMS = new Set(['blue', 'green']);
 const faultOf = (text: string): string => {
@@ -118,7 +118,7 @@
     for (const call of ['status', 'pause', 'resume', 'cancel'])
       expect(fleet.call(call, 'out').status).toBe(404);
     expect(fleet.start('out', { select: { all: 1 } }).status).toBe(400);
-    expect(fleet.records.size).toBe(0);
+    expect(fleet.store.records.size).toBe(0);
   });
 
   it('may be repeated; the same name with another body is refused', () => {
@@ -128,17 +128,17 @@
       200,
     );
     expect(fleet.start('out', { select: { all: true }, atOnce: 2 }).status).toBe(409);
-    fleet.until(() => fleet.phase('out') === 'done');
+    fleet.until(() => fleet.drainPhase('out') === 'done');
     expect(fleet.start('out', { select: { all: true } })).toMatchObject({
       status: 200,
       body: { status: 'done' },
     });
-    expect(fleet.hires.size).toBe(2);
+    expect(fleet.cloud.provisioned.size).toBe(2);
   });
 
   it('with more names than a record holds is refused, naming the field', () => {
     const fleet = new DrainFleet(inZone(120));
-    const machines = [...fleet.machines.keys()];
+    const machines = [...fleet.workers.machines.keys()];
     const refused = fleet.start('out', { select: { machines } });
     expect(refused.status).toBe(422);
     expect(refused.body.error).toMatch(/^field select.machines: more names/);
--- a/packages/drain/test/large-fleet.test.ts
+++ b/packages/drain/test/large-fleet.test.ts
@@ -2,7 +2,7 @@
 
 import { describe, expect, it } from 'vitest';
 import { CountingMap } from '../../../test/model/counting-map.js';
-import { DrainFleet, inZone, SAVING } from './drain-fleet.js';
+import { CHECKPOINTING, DrainFleet, inZone } from './support/drain-fleet.js';
 
 const FLEET = 4000;
 
@@ -23,13 +23,13 @@
     // Walks over the fleet for each tick: those of a drain are few beside those of the daemon itself.
     const draining = walks();
     expect(draining - idle).toBeLessThan(6);
-    expect([...fleet.records.keys()].length).toBeLessThanOrEqual(1 + 40);
+    expect([...fleet.store.records.keys()].length).toBeLessThanOrEqual(1 + 40);
     const told = fleet.call('status', 'all').body as { total: number };
     expect(told.total).toBe(FLEET);
     const plan = fleet.call('plan', '', { select: { all: true }, atOnceShare: 0.01 });
     for (const answer of [told, plan.body])
       expect(JSON.stringify(answer).length).toBeLessThan(60_000);
-    fleet.until(() => fleet.returned.length >= 120);
+    fleet.until(() => fleet.cloud.returned.length >= 120);
     expect(fleet.problems).toEqual([]);
   }, 120_000);
 
@@ -38,8 +38,8 @@
       inZone(1000),
       '(drain (let-end-s 5) (budgets (team blue (at-once-share 0.01))))',
     );
-    for (let i = 0; i < 20; i += 1) fleet.submit(`job-${i}`, { ...SAVING, tasks: 100 });
-    fleet.until(() => fleet.starts.length === 2000);
+    for (let i = 0; i < 20; i += 1) fleet.submit(`job-${i}`, { ...CHECKPOINTING, tasks: 100 });
+    fleet.until(() => fleet.workers.starts.length === 2000);
     const counting = new CountingMap(fleet.state.jobs);
     Object.assign(fleet.state, { jobs: counting });
     const walks = () => {
@@ -49,7 +49,7 @@
     };
     const idle = walks();
     fleet.start('part', { select: { all: true }, atOnceShare: 0.5, replace: false });
-    fleet.until(() => fleet.stops.length >= 20);
+    fleet.until(() => fleet.workers.stops.length >= 20);
     // 500 machines with 1,000 tasks are cordoned; walks over the jobs follow what is granted, not what asks.
     expect(walks() - idle).toBeLessThan(1000);
     expect(fleet.problems).toEqual([]);
--- a/packages/drain/test/loopback.test.ts
+++ b/packages/drain/test/loopback.test.ts
@@ -5,7 +5,7 @@
 import { post } from '../../../test/stand-ins/cloud.js';
 import { body, cleanUp, status, until } from '../../../test/stand-ins/cluster.js';
 import { buildProgram, runCommand, startProcesses } from '../../../test/stand-ins/processes.js';
-import { lostWithMachines, mostStoppedAtOnce, ranTwice } from './history-checker.js';
+import { lostWithMachines, mostStoppedAtOnce, ranTwice } from './support/history-checker.js';
 
 const BUDGETS = `(drain (let-end-s 0) (stalled-after-s 5)
   (budgets (team blue (at-once 2)) (team green (at-once 1))))`;
--- a/packages/drain/test/plain-model.test.ts
+++ b/packages/drain/test/plain-model.test.ts
@@ -15,8 +15,13 @@
 import { job } from '../../../test/model/build.js';
 import { BudgetLedger } from '../src/core/budget-ledger.js';
 import { rankCandidates } from '../src/core/machine-selection.js';
-import { hasRoom, type PlainDisruption, type PlainLimits, takenBefore } from './plain-model.js';
-import { settingsOf } from './settings.js';
+import {
+  hasRoom,
+  type PlainDisruption,
+  type PlainLimits,
+  takenBefore,
+} from './support/plain-model.js';
+import { settingsOf } from './support/settings.js';
 
 const LET_END_S = 30;
 const moment = (now: number): Moment => ({ now, timeOfDay: now }) as Moment;
--- a/packages/drain/test/recovery.test.ts
+++ b/packages/drain/test/recovery.test.ts
@@ -1,15 +1,15 @@
 /** Drains while leaders end, services are out, and the machines that are drained get into trouble. */
 import { describe, expect, it } from 'vitest';
-import { DrainFleet, inZone, SAVING } from './drain-fleet.js';
+import { CHECKPOINTING, DrainFleet, inZone } from './support/drain-fleet.js';
 
 const BUDGET_1 = '(drain (let-end-s 5) (ready-timeout-s 60) (budgets (team blue (at-once 1))))';
 
 /** Two machines, each with a task that saves, to be replaced one by one. */
-const begun = (settings = BUDGET_1, cloudAway = false): DrainFleet => {
+const begun = (settings = BUDGET_1, cloudUnavailable = false): DrainFleet => {
   const fleet = new DrainFleet(inZone(2), settings);
-  fleet.submit('job-1', { ...SAVING, cpus: 8, tasks: 2 });
+  fleet.submit('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 2 });
   fleet.run(4000);
-  fleet.trouble.cloudAway = cloudAway;
+  fleet.faults.cloudUnavailable = cloudUnavailable;
   expect(fleet.start('swap', { select: { all: true } }).status).toBe(201);
   return fleet;
 };
@@ -17,9 +17,9 @@
 /** Every machine was returned once, replaced once, and no task was lost, doubled or stopped more often than drained. */
 const expectWhole = (fleet: DrainFleet, hires = 2): void => {
   expect(fleet.problems).toEqual([]);
-  expect(fleet.returned.filter((id) => id < 'n-0002').sort()).toEqual(['n-0000', 'n-0001']);
-  const names = [...fleet.hires.keys()].filter((name) => name.startsWith('drain-'));
-  expect(names, [...fleet.hires].join(' ')).toHaveLength(hires);
+  expect(fleet.cloud.returned.filter((id) => id < 'n-0002').sort()).toEqual(['n-0000', 'n-0001']);
+  const names = [...fleet.cloud.provisioned.keys()].filter((name) => name.startsWith('drain-'));
+  expect(names, [...fleet.cloud.provisioned].join(' ')).toHaveLength(hires);
   fleet.run(5000);
   for (const name of ['job-1/0', 'job-1/1']) expect(fleet.holderOf(name), name).not.toBeNull();
   expect(fleet.status('swap')).toMatchObject({ status: 'done', returned: 2, failed: 0 });
@@ -27,9 +27,9 @@
 
 const writesOfAll = (): number => {
   const fleet = begun();
-  fleet.until(() => fleet.phase('swap') === 'done');
+  fleet.until(() => fleet.drainPhase('swap') === 'done');
   expectWhole(fleet);
-  return fleet.writes.length;
+  return fleet.store.writes.length;
 };
 
 describe('a leader that ends', () => {
@@ -37,25 +37,25 @@
     const all = writesOfAll();
     expect(all).toBeGreaterThan(12);
     for (let write = 2; write <= all; write += 1) {
-      for (const endAfter of [false, true]) {
+      for (const endLeaderAfterWrite of [false, true]) {
         const fleet = begun();
-        Object.assign(fleet.trouble, { endAtWrite: write, endAfter });
+        Object.assign(fleet.faults, { endLeaderAtWrite: write, endLeaderAfterWrite });
         const mostOpen = () => {
           const open = ['job-1/0', 'job-1/1'].filter((name) => fleet.holderOf(name) === null);
           expect(open.length, `write ${write}`).toBeLessThanOrEqual(1);
         };
         fleet.until(() => {
           mostOpen();
-          return fleet.ended || fleet.phase('swap') === 'done';
+          return fleet.hasLeaderEnded || fleet.drainPhase('swap') === 'done';
         });
-        fleet.trouble.endAtWrite = 0;
-        if (fleet.ended) {
+        fleet.faults.endLeaderAtWrite = 0;
+        if (fleet.hasLeaderEnded) {
           fleet.run(2000);
-          fleet.takeOver();
+          fleet.failOver();
         }
         fleet.until(() => {
           mostOpen();
-          return fleet.phase('swap') === 'done';
+          return fleet.drainPhase('swap') === 'done';
         });
         expectWhole(fleet);
       }
@@ -64,31 +64,33 @@
 
   it('leaves what it disrupted counted: its successor stops no more until that runs again', () => {
     const fleet = new DrainFleet(inZone(3), BUDGET_1);
-    fleet.submit('job-1', { ...SAVING, cpus: 8, tasks: 3 });
+    fleet.submit('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 3 });
     fleet.run(4000);
-    fleet.trouble.refuseRentals = true;
+    fleet.faults.refuseProvisioning = true;
     fleet.start('out', { select: { all: true }, atOnce: 3, replace: false });
-    fleet.until(() => fleet.stops.length === 1);
-    fleet.takeOver();
+    fleet.until(() => fleet.workers.stops.length === 1);
+    fleet.failOver();
     fleet.run(60_000);
-    expect(fleet.stops).toHaveLength(1);
-    const kept = [...fleet.records.keys()].filter((key) => key.startsWith('b/'));
+    expect(fleet.workers.stops).toHaveLength(1);
+    const kept = [...fleet.store.records.keys()].filter((key) => key.startsWith('b/'));
     expect(kept.length).toBe(1);
     // Without its record the next one would have been stopped: the record is what counts it.
-    for (const key of kept) fleet.records.delete(key);
-    fleet.takeOver();
-    fleet.until(() => fleet.stops.length === 2);
+    for (const key of kept) fleet.store.records.delete(key);
+    fleet.failOver();
+    fleet.until(() => fleet.workers.stops.length === 2);
   });
 
   it('and gives way to one of the version before it for a while: that one ignores the records, and hands them back', () => {
     const fleet = begun();
-    fleet.until(() => fleet.phaseOf('swap', 'n-0000') === 'draining' || fleet.returned.length > 0);
-    const records = JSON.stringify([...fleet.records]);
-    fleet.takeOver({ old: true });
+    fleet.until(
+      () => fleet.machinePhase('swap', 'n-0000') === 'draining' || fleet.cloud.returned.length > 0,
+    );
+    const records = JSON.stringify([...fleet.store.records]);
+    fleet.failOver({ withoutExtension: true });
     fleet.run(30_000);
-    expect(JSON.stringify([...fleet.records])).toBe(records);
-    fleet.takeOver();
-    fleet.until(() => fleet.phase('swap') === 'done');
+    expect(JSON.stringify([...fleet.store.records])).toBe(records);
+    fleet.failOver();
+    fleet.until(() => fleet.drainPhase('swap') === 'done');
     expectWhole(fleet);
   });
 });
@@ -97,12 +99,14 @@
   it('pauses its drain, is logged, and leaves the others alone', () => {
     const fleet = begun();
     fleet.until(
-      () => fleet.phaseOf('swap', 'n-0000') !== null || fleet.phaseOf('swap', 'n-0001') !== null,
+      () =>
+        fleet.machinePhase('swap', 'n-0000') !== null ||
+        fleet.machinePhase('swap', 'n-0001') !== null,
     );
-    const key = [...fleet.records.keys()].find((k) => k.startsWith('m/swap/'))!;
-    fleet.records.set(key, { phase: 'unheard of' });
-    fleet.records.set('d/other', 7);
-    fleet.takeOver();
+    const key = [...fleet.store.records.keys()].find((k) => k.startsWith('m/swap/'))!;
+    fleet.store.records.set(key, { phase: 'unheard of' });
+    fleet.store.records.set('d/other', 7);
+    fleet.failOver();
     fleet.run(30_000);
     expect(fleet.status('swap')).toMatchObject({
       status: 'paused',
@@ -114,7 +118,7 @@
     });
     expect(fleet.start('other', { select: { all: true } }).status).toBe(409);
     expect(fleet.start('third', { select: { all: true } }).status).toBe(201);
-    fleet.until(() => fleet.phase('third') === 'done');
+    fleet.until(() => fleet.drainPhase('third') === 'done');
     expect(fleet.problems).toEqual([]);
   });
 });
@@ -123,17 +127,21 @@
   it('of the state service: nothing is stopped, returned or rented that is not stored', () => {
     const fleet = begun();
     // The first request's name was stored with the drain.
-    expect(fleet.hires.size).toBe(1);
-    fleet.trouble.stateAway = true;
+    expect(fleet.cloud.provisioned.size).toBe(1);
+    fleet.faults.storeUnavailable = true;
     fleet.run(60_000);
-    expect([fleet.stops.length, fleet.returned.length, fleet.hires.size]).toEqual([0, 0, 1]);
-    fleet.trouble.stateAway = false;
-    fleet.until(() => fleet.stops.length === 1);
-    fleet.trouble.stateAway = true;
+    expect([
+      fleet.workers.stops.length,
+      fleet.cloud.returned.length,
+      fleet.cloud.provisioned.size,
+    ]).toEqual([0, 0, 1]);
+    fleet.faults.storeUnavailable = false;
+    fleet.until(() => fleet.workers.stops.length === 1);
+    fleet.faults.storeUnavailable = true;
     fleet.run(30_000);
-    expect(fleet.returned).toEqual([]);
-    fleet.trouble.stateAway = false;
-    fleet.until(() => fleet.phase('swap') === 'done');
+    expect(fleet.cloud.returned).toEqual([]);
+    fleet.faults.storeUnavailable = false;
+    fleet.until(() => fleet.drainPhase('swap') === 'done');
     expectWhole(fleet);
   });
 
@@ -141,33 +149,39 @@
     const fleet = begun(BUDGET_1, true);
     fleet.run(40_000);
     expect(fleet.status('swap').machines[0]?.blocked?.kind).toBe('replacement-booting');
-    Object.assign(fleet.trouble, { cloudAway: false, loseRentAnswers: 2, loseDeleteAnswers: 2 });
-    fleet.until(() => fleet.returned.length === 1);
-    fleet.trouble.cloudAway = true;
+    Object.assign(fleet.faults, {
+      cloudUnavailable: false,
+      loseProvisionAnswers: 2,
+      loseDeletionAnswers: 2,
+    });
+    fleet.until(() => fleet.cloud.returned.length === 1);
+    fleet.faults.cloudUnavailable = true;
     fleet.run(20_000);
-    fleet.trouble.cloudAway = false;
-    fleet.until(() => fleet.phase('swap') === 'done');
+    fleet.faults.cloudUnavailable = false;
+    fleet.until(() => fleet.drainPhase('swap') === 'done');
     expectWhole(fleet);
   });
 
   it('a return whose answer is lost with its leader is sent again, and its machine gets no work meanwhile', () => {
     const fleet = begun();
     fleet.until(() =>
-      [...fleet.records.values()].some((r) => (r as { phase?: string }).phase === 'returning'),
+      [...fleet.store.records.values()].some(
+        (r) => (r as { phase?: string }).phase === 'returning',
+      ),
     );
-    fleet.trouble.cloudAway = true;
-    const machine = [...fleet.records]
+    fleet.faults.cloudUnavailable = true;
+    const machine = [...fleet.store.records]
       .find(([, r]) => (r as { phase?: string }).phase === 'returning')![0]
       .split('/')[2]!;
-    fleet.takeOver();
+    fleet.failOver();
     fleet.submit('job-2', { cpus: 1, tasks: 4 });
     fleet.run(15_000);
     expect(fleet.tasksOn(machine)).toEqual([]);
     expect(fleet.call('cancel', 'swap').body).toMatchObject({ status: 'cancelled' });
     fleet.run(5000);
     expect(fleet.tasksOn(machine)).toEqual([]);
-    fleet.trouble.cloudAway = false;
-    fleet.until(() => fleet.returned.includes(machine));
+    fleet.faults.cloudUnavailable = false;
+    fleet.until(() => fleet.cloud.returned.includes(machine));
   });
 });
 
@@ -178,26 +192,26 @@
     fleet.run(3000);
     const id = fleet.holderOf('job-1/0')!;
     fleet.start('out', { select: { machines: [id] } });
-    fleet.until(() => fleet.phaseOf('out', id) === 'cordoned');
+    fleet.until(() => fleet.machinePhase('out', id) === 'cordoned');
     return { fleet, id };
   };
 
   it('and is cut off for good counts as lost, its work runs again elsewhere', () => {
     const { fleet, id } = half();
-    fleet.machines.get(id)!.silentUntil = Number.POSITIVE_INFINITY;
+    fleet.workers.machines.get(id)!.unreachableUntil = Number.POSITIVE_INFINITY;
     fleet.until(() => fleet.holderOf('job-1/0') !== id && fleet.holderOf('job-1/0') !== null);
-    fleet.until(() => fleet.phase('out') === 'done');
+    fleet.until(() => fleet.drainPhase('out') === 'done');
     expect(fleet.status('out')).toMatchObject({ returned: 0, failed: 1 });
     expect(fleet.problems).toEqual([]);
   });
 
   it('and hears nothing loses its work with its lease; that runs again elsewhere, and the machine goes', () => {
     const { fleet, id } = half();
-    fleet.machines.get(id)!.deaf = true;
-    fleet.until(() => fleet.phase('out') === 'done');
+    fleet.workers.machines.get(id)!.receivesNothing = true;
+    fleet.until(() => fleet.drainPhase('out') === 'done');
     const { returned, failed } = fleet.status('out');
     expect(returned + failed).toBe(1);
-    expect(fleet.machines.has(id)).toBe(false);
+    expect(fleet.workers.machines.has(id)).toBe(false);
     fleet.until(() => fleet.holderOf('job-1/0') !== null);
     expect(fleet.problems).toEqual([]);
   });
@@ -210,21 +224,23 @@
     fleet.until(() => fleet.status('out').machines[0]?.state === 'cordoned');
     const taken = fleet.status('out').machines[0]!.name;
     const waiting = ['n-0000', 'n-0001', 'n-0002'].find((id) => id !== taken)!;
-    fleet.machines.get(waiting)!.silentUntil = Number.POSITIVE_INFINITY;
-    fleet.until(() => fleet.holderOf('job-1/0') !== waiting && !fleet.machines.has(waiting));
-    fleet.runMs.set('job-1', 0);
-    fleet.until(() => fleet.phase('out') === 'done');
+    fleet.workers.machines.get(waiting)!.unreachableUntil = Number.POSITIVE_INFINITY;
+    fleet.until(
+      () => fleet.holderOf('job-1/0') !== waiting && !fleet.workers.machines.has(waiting),
+    );
+    fleet.workers.runMs.set('job-1', 0);
+    fleet.until(() => fleet.drainPhase('out') === 'done');
     expect(fleet.status('out')).toMatchObject({ returned: 2, failed: 1 });
   });
 
   it('and comes back late goes on where it was', () => {
     const { fleet, id } = half();
-    fleet.machines.get(id)!.silentUntil = fleet.now + 5000;
-    fleet.runMs.set('job-1', 40_000);
-    fleet.until(() => fleet.phase('out') === 'done');
+    fleet.workers.machines.get(id)!.unreachableUntil = fleet.now + 5000;
+    fleet.workers.runMs.set('job-1', 40_000);
+    fleet.until(() => fleet.drainPhase('out') === 'done');
     expect(fleet.status('out')).toMatchObject({ returned: 1, failed: 0 });
-    expect(fleet.finals.get('job-1')).toBe('done');
-    expect(fleet.starts).toHaveLength(1);
+    expect(fleet.store.completions.get('job-1')).toBe('done');
+    expect(fleet.workers.starts).toHaveLength(1);
   });
 
   it('and gets a spot notice is left to it; what is lost counts against the budget', () => {
@@ -232,26 +248,26 @@
     fleet.submit('job-1', { cpus: 8 });
     fleet.submit('job-2', { cpus: 8 });
     fleet.run(3000);
-    fleet.trouble.refuseRentals = true;
+    fleet.faults.refuseProvisioning = true;
     const id = fleet.holderOf('job-1/0')!;
     fleet.start('out', { select: { machines: [id] }, replace: false });
     fleet.run(2000);
-    fleet.machines.get(id)!.noticeAt = fleet.now + 10_000;
+    fleet.workers.machines.get(id)!.reclaimedAt = fleet.now + 10_000;
     fleet.run(2000);
     expect(fleet.status('out').machines[0]?.blocked?.kind).toBe('being-lost');
     expect(fleet.call('budgets').body.budgets).toMatchObject([
       { scope: 'team blue', disrupted: 1 },
     ]);
-    fleet.trouble.refuseRentals = false;
-    fleet.until(() => fleet.phase('out') === 'done');
+    fleet.faults.refuseProvisioning = false;
+    fleet.until(() => fleet.drainPhase('out') === 'done');
     expect(fleet.status('out')).toMatchObject({ returned: 0, failed: 1 });
   });
 
   it('and starts anew loses what ran on it, which counts until it runs again', () => {
     const { fleet, id } = half();
-    fleet.restart(id);
+    fleet.workers.restart(id);
     fleet.run(6000);
-    fleet.until(() => fleet.phase('out') === 'done');
+    fleet.until(() => fleet.drainPhase('out') === 'done');
     expect(fleet.holderOf('job-1/0')).not.toBe(id);
     fleet.run(2000);
     expect(fleet.call('budgets').body.budgets).toMatchObject([{ disrupted: 0 }]);
--- /dev/null
+++ b/packages/drain/test/support/drain-fleet.ts
@@ -0,0 +1,327 @@
+/**
+ * Drives a fleet under one leader after the other, for scripted cases: what is stored, provisioned,
+ * started, stopped and returned happens at once unless a test says otherwise, and is remembered by
+ * the model's workers, cloud and key-value store.
+ */
+import { applyCommands } from '../../../../src/core/apply-commands.js';
+import type { CoreState } from '../../../../src/core/core-state.js';
+import { ExtensionHost } from '../../../../src/core/extensions/extension-host.js';
+import type { Command } from '../../../../src/core/model/command.js';
+import type { Effect } from '../../../../src/core/model/effect.js';
+import type { Heartbeat } from '../../../../src/core/model/heartbeat.js';
+import type {
+  FencingToken,
+  JobId,
+  MachineId,
+  ReplyTicket,
+} from '../../../../src/core/model/ids.js';
+import type { JobSpec } from '../../../../src/core/model/job.js';
+import type { StoreOperation } from '../../../../src/core/model/ledger-record.js';
+import type { Instant } from '../../../../src/core/model/time.js';
+import { core, job, team, type } from '../../../../test/model/build.js';
+import { drainModule } from '../../src/index.js';
+import { type Clock, noFaults, STEP_MS } from './faults.js';
+import { ModelCloud } from './model-cloud.js';
+import { MAX_VALUE_BYTES, ModelKeyValueStore } from './model-key-value-store.js';
+import { type ModelWorker, ModelWorkers } from './model-workers.js';
+import { settingsOf } from './settings.js';
+
+const LIST_INTERVAL_MS = 4000;
+/** Until the first leader has heard of every machine. */
+const START_UP_MS = 6000;
+/** How long an operator's call may take. */
+const MAX_CALL_STEPS = 80;
+
+/** The answer to an operator's call. */
+type Answer = { readonly status: number; readonly body: Record<string, unknown> };
+
+/** What an operator is told of what holds something up. */
+interface BlockerAnswer {
+  readonly kind: string;
+  readonly text: string;
+}
+
+/** What an operator is told of one drain. */
+export interface DrainStatusAnswer {
+  readonly status: string;
+  readonly why: string | null;
+  readonly returned: number;
+  readonly failed: number;
+  readonly step: number;
+  readonly blocked: BlockerAnswer | null;
+  readonly machines: readonly {
+    readonly name: string;
+    readonly state: string;
+    readonly replacement: string | null;
+    readonly blocked: BlockerAnswer | null;
+  }[];
+}
+
+/** A change of leader: to a version without the package, or with another file. */
+export interface Failover {
+  readonly withoutExtension?: boolean;
+  readonly settings?: string;
+}
+
+/** A fleet, its services and its present leader. */
+export class DrainFleet {
+  /** What must never happen, and did. */
+  readonly problems: string[] = [];
+  readonly faults = noFaults();
+  readonly store: ModelKeyValueStore;
+  readonly workers: ModelWorkers;
+  readonly cloud: ModelCloud;
+  /** The present leader's state. */
+  state: CoreState;
+  /** A fault has ended the leader. */
+  hasLeaderEnded = false;
+  private readonly clock: Clock = { now: 0 };
+  private fencingToken = 10;
+  private queue: Command[] = [];
+  /** Answers of the cloud that have not arrived yet. */
+  private delayed: { readonly at: number; readonly command: Command }[] = [];
+  private unstored: { readonly batch: number; readonly ops: readonly StoreOperation[] } | null =
+    null;
+  private nextTicket = 1;
+  /** Which worker waits for the reply under a ticket. */
+  private readonly workerByTicket = new Map<number, string>();
+  private readonly answers = new Map<number, Answer>();
+
+  constructor(
+    machines: readonly { zone?: string; spot?: boolean }[],
+    private settings: string = '(drain (let-end-s 5))',
+  ) {
+    const { clock, faults, problems } = this;
+    this.store = new ModelKeyValueStore(faults, problems);
+    this.workers = new ModelWorkers({
+      clock,
+      problems,
+      isLeaderUp: () => !this.hasLeaderEnded,
+      isJobUnfinished: (id) => this.store.isUnfinished(id),
+      sendHeartbeat: (worker, heartbeat) => this.queueHeartbeat(worker, heartbeat),
+    });
+    this.cloud = new ModelCloud({
+      clock,
+      faults,
+      problems,
+      workers: this.workers,
+      isKnownHealthy: (id) => this.isKnownHealthy(id),
+      reply: (command) => this.delayed.push({ at: clock.now + STEP_MS, command }),
+    });
+    for (const { zone, spot } of machines) this.workers.add(zone ?? 'a', spot ?? false, 0);
+    this.state = this.electLeader();
+    this.run(START_UP_MS);
+  }
+
+  /** The steady clock, in milliseconds. */
+  get now(): number {
+    return this.clock.now;
+  }
+
+  // ---- leaders ----
+
+  /** A new leader goes on from what is stored. */
+  failOver({ withoutExtension = false, settings = this.settings }: Failover = {}): void {
+    this.settings = settings;
+    this.state = this.electLeader(withoutExtension);
+  }
+
+  private electLeader(withoutExtension = false): CoreState {
+    this.fencingToken += 10;
+    this.hasLeaderEnded = false;
+    this.unstored = null;
+    this.delayed = [];
+    const state = core(
+      {
+        teams: new Map([team('blue', 20_000), team('green', 20_000)].map((t) => [t.name, t])),
+        fencingToken: this.fencingToken as FencingToken,
+        acquiredAt: this.now as Instant,
+        timeOfDayOffsetMs: 1_000_000,
+        maxValueBytes: MAX_VALUE_BYTES,
+      },
+      // The fleet is neither scaled out nor scaled in but by drains.
+      { baselineCapacityShare: 0, capacityHeadroom: 1, scaleInAfterIdleS: 80_000 },
+    );
+    if (!withoutExtension) {
+      const extension = drainModule(settingsOf(this.settings)).create();
+      state.extensions = new ExtensionHost(state, [extension]);
+    }
+    this.queue = this.recoveryCommands();
+    return state;
+  }
+
+  private recoveryCommands(): Command[] {
+    const { jobs, ledger, records } = this.store;
+    const commands: Command[] = [{ kind: 'machine-types', types: [type('c8', { bootS: 5 })] }];
+    for (const spec of jobs.values())
+      commands.push({ kind: 'job', spec, submittedAt: this.now as Instant });
+    for (const [segment, { progress }] of ledger) {
+      for (const row of progress) commands.push({ kind: 'recovered-progress', segment, ...row });
+    }
+    for (const [segment, { machines }] of ledger) {
+      for (const row of machines) commands.push({ kind: 'recovered-attempts', segment, ...row });
+    }
+    const extensionRecords = [...records].map(([key, value]) => ({ key, value }));
+    commands.push(
+      { kind: 'extension-records', extension: 'drain', records: extensionRecords },
+      { kind: 'recovery-completed' },
+    );
+    return commands;
+  }
+
+  // ---- users and operators ----
+
+  /** Submits a job; its tasks run for ever unless `workers.runMs` says otherwise. */
+  submit(id: string, change: Partial<Record<keyof JobSpec, unknown>> = {}): void {
+    const spec = job(id, { estimateS: 600, ...change });
+    this.store.jobs.set(id, spec);
+    this.queue.push({ kind: 'job', spec, submittedAt: this.now as Instant });
+  }
+
+  /** Cancels a job. */
+  cancel(id: string): void {
+    const ticket = this.nextTicket++ as ReplyTicket;
+    this.queue.push({ kind: 'cancel-job', job: id as JobId, ticket });
+  }
+
+  /** An operator's call; plays on until it is answered. */
+  call(route: string, subject = '', body: object = {}): Answer {
+    const ticket = this.nextTicket++ as ReplyTicket;
+    const call = { route, subject, body };
+    this.queue.push({ kind: 'operator-call', extension: 'drain', call, ticket });
+    for (let step = 0; step < MAX_CALL_STEPS && !this.answers.has(ticket); step += 1)
+      this.run(STEP_MS);
+    const answer = this.answers.get(ticket);
+    if (!answer) throw new Error(`${route} was not answered`);
+    return answer;
+  }
+
+  /** Starts a drain. */
+  start(name: string, body: object): Answer {
+    return this.call('start', '', { name, ...body });
+  }
+
+  /** What an operator is told of a drain. */
+  status(name: string): DrainStatusAnswer {
+    return this.call('status', name).body as unknown as DrainStatusAnswer;
+  }
+
+  // ---- what is seen ----
+
+  /** The stored phase of a drain. */
+  drainPhase(drain: string): string {
+    return (this.store.records.get(`d/${drain}`) as { phase: string }).phase;
+  }
+
+  /** The stored phase of a machine in a drain's step; null: it is in none. */
+  machinePhase(drain: string, machine: string): string | null {
+    const record = this.store.records.get(`m/${drain}/${machine}`) as { phase: string } | undefined;
+    return record?.phase ?? null;
+  }
+
+  /** The machine on which a task runs; null: none. */
+  holderOf(task: string): string | null {
+    return this.workers.holderOf(task);
+  }
+
+  /** The tasks that run on a machine. */
+  tasksOn(machine: string): string[] {
+    return this.workers.tasksOn(machine);
+  }
+
+  private isKnownHealthy(id: MachineId): boolean {
+    const known = this.state.machines.get(id);
+    return known !== undefined && known.lostAt === null && known.hasReported;
+  }
+
+  // ---- the course of time ----
+
+  /** Plays until the condition holds; fails when it does not come to that. */
+  until(condition: () => boolean, maxMs = 600_000): void {
+    for (const end = this.now + maxMs; !condition(); this.run(STEP_MS)) {
+      if (this.now > end) throw new Error(`not within ${maxMs} ms: ${condition}`);
+    }
+  }
+
+  /** Plays for some time. */
+  run(ms: number): void {
+    for (const end = this.now + ms; this.now < end; ) {
+      this.clock.now += STEP_MS;
+      this.workers.advance();
+      this.queueDelayed();
+      this.queueMachineList();
+      this.storeBatch();
+      this.queue.push({ kind: 'tick' });
+      this.applyQueue();
+    }
+  }
+
+  private queueDelayed(): void {
+    const due = this.delayed.filter(({ at }) => at <= this.now);
+    this.delayed = this.delayed.filter(({ at }) => at > this.now);
+    this.queue.push(...due.map(({ command }) => command));
+  }
+
+  private queueMachineList(): void {
+    if (this.now % LIST_INTERVAL_MS !== 0) return;
+    const list = this.cloud.list();
+    if (list) this.queue.push(list);
+  }
+
+  private queueHeartbeat({ id }: ModelWorker, heartbeat: Heartbeat): void {
+    const ticket = this.nextTicket++ as ReplyTicket;
+    this.workerByTicket.set(ticket, id);
+    this.queue.push({ kind: 'heartbeat', heartbeat, ticket });
+  }
+
+  private applyQueue(): void {
+    while (this.queue.length > 0 && !this.hasLeaderEnded) {
+      const commands = this.queue.splice(0);
+      for (const effect of applyCommands(this.state, commands, this.now as Instant, 'lead')) {
+        if (!this.hasLeaderEnded) this.carryOut(effect);
+      }
+    }
+    if (this.hasLeaderEnded) this.queue = [];
+  }
+
+  private carryOut(effect: Effect): void {
+    switch (effect.kind) {
+      case 'store-batch':
+        this.unstored = { batch: effect.batch, ops: effect.ops };
+        return this.storeBatch();
+      case 'operator-answer':
+        this.answers.set(effect.ticket, effect.answer as Answer);
+        return;
+      case 'provision':
+        return this.cloud.provision(effect);
+      case 'delete-machines':
+        return this.cloud.delete(effect.machines);
+      case 'reply-to-heartbeat': {
+        const worker = this.workerByTicket.get(effect.ticket) ?? '';
+        return this.workers.receiveReply(worker, this.fencingToken, effect.commands);
+      }
+      case 'send-commands':
+        return this.workers.receiveCommands(effect.machine, effect.agentEpoch, effect.commands);
+      default:
+    }
+  }
+
+  /** Stores the batch that waits, unless the key-value store is away or a fault ends the leader. */
+  private storeBatch(): void {
+    if (!this.unstored || this.faults.storeUnavailable || this.hasLeaderEnded) return;
+    const { batch, ops } = this.unstored;
+    this.unstored = null;
+    if (this.store.storeAll(ops)) this.queue.push({ kind: 'batch-stored', batch });
+    else this.hasLeaderEnded = true;
+  }
+}
+
+/** Machines of one zone, for a new fleet. */
+export const inZone = (
+  count: number,
+  zone = 'a',
+  spot = false,
+): { zone: string; spot: boolean }[] => Array.from({ length: count }, () => ({ zone, spot }));
+
+/** An array whose tasks write checkpoints, two to a machine of 8 processors. */
+export const CHECKPOINTING = { cpus: 4, checkpointIntervalS: 5, checkpointWriteS: 1 };
--- /dev/null
+++ b/packages/drain/test/support/faults.ts
@@ -0,0 +1,42 @@
+/** Faults of the model's cloud, key-value store and leader, switched on and off by tests. */
+
+/** All faults are off at first. */
+export interface Faults {
+  /** The cloud refuses new provision requests for lack of capacity. */
+  refuseProvisioning: boolean;
+  /** Machines that are provisioned never come up. */
+  neverBoot: boolean;
+  cloudUnavailable: boolean;
+  storeUnavailable: boolean;
+  /** The answers to so many deletions are lost; they are carried out. */
+  loseDeletionAnswers: number;
+  /** The answers to so many provision requests are lost; they are carried out. */
+  loseProvisionAnswers: number;
+  /** The cloud fills requests up to this many machines. */
+  maxMachinesPerRequest: number;
+  /** The leader ends before it stores this change of a record, counted from 1; 0: never. */
+  endLeaderAtWrite: number;
+  /** It ends just after that change is stored instead. */
+  endLeaderAfterWrite: boolean;
+}
+
+/** No faults. */
+export const noFaults = (): Faults => ({
+  refuseProvisioning: false,
+  neverBoot: false,
+  cloudUnavailable: false,
+  storeUnavailable: false,
+  loseDeletionAnswers: 0,
+  loseProvisionAnswers: 0,
+  maxMachinesPerRequest: Number.POSITIVE_INFINITY,
+  endLeaderAtWrite: 0,
+  endLeaderAfterWrite: false,
+});
+
+/** The steady clock that all parts of the model share, in milliseconds. */
+export interface Clock {
+  now: number;
+}
+
+/** How far the clock goes on at a time. */
+export const STEP_MS = 250;
--- /dev/null
+++ b/packages/drain/test/support/model-cloud.ts
@@ -0,0 +1,97 @@
+/** The cloud of the model: provisions, deletes and lists machines at once, but for faults. */
+import type { Command } from '../../../../src/core/model/command.js';
+import type { Effect } from '../../../../src/core/model/effect.js';
+import type { MachineId, ZoneName } from '../../../../src/core/model/ids.js';
+import type { Instant } from '../../../../src/core/model/time.js';
+import type { Clock, Faults } from './faults.js';
+import type { ModelWorkers } from './model-workers.js';
+
+const BOOT_MS = 3000;
+
+type ProvisionEffect = Extract<Effect, { kind: 'provision' }>;
+
+/** What the cloud needs of the rest of the model. */
+export interface CloudSurroundings {
+  readonly clock: Clock;
+  readonly faults: Faults;
+  readonly problems: string[];
+  readonly workers: ModelWorkers;
+  /** Whether the leader holds the machine for one that is up and heard of. */
+  isKnownHealthy(machine: MachineId): boolean;
+  /** Hands an answer to the leader, one step later. */
+  reply(command: Command): void;
+}
+
+/** Machines that were provisioned and returned. */
+export class ModelCloud {
+  /** Machines that were provisioned, by request and position in it: `request#position`. */
+  readonly provisioned = new Map<string, string>();
+  readonly returned: string[] = [];
+  /** What each request provisioned: a repeat provisions nothing new. */
+  private readonly machinesByRequest = new Map<string, MachineId[]>();
+
+  constructor(private readonly surroundings: CloudSurroundings) {}
+
+  /** All machines; null while the cloud does not answer. */
+  list(): Command | null {
+    const { clock, faults, workers } = this.surroundings;
+    if (faults.cloudUnavailable) return null;
+    const machines = [...workers.machines.values()].map(({ id, zone, spot, bootedAt }) => ({
+      id: id as MachineId,
+      endpoint: '127.0.0.1:9',
+      type: 'c8' as never,
+      zone: zone as ZoneName,
+      spot,
+      status: clock.now < bootedAt ? ('booting' as const) : ('running' as const),
+      ageS: 100,
+    }));
+    return { kind: 'machines-listed', askedAt: clock.now as Instant, machines };
+  }
+
+  /** Provisions machines, or repeats the answer to a request that was carried out. */
+  provision({ request, zone, spot, count }: ProvisionEffect): void {
+    const { faults } = this.surroundings;
+    const reply = (result: 'ok' | 'refused' | 'unknown', machines: readonly MachineId[]) =>
+      this.surroundings.reply({ kind: 'provision-result', request, result, machines });
+    if (faults.cloudUnavailable) return reply('unknown', []);
+    const known = this.machinesByRequest.get(request);
+    if (!known && faults.refuseProvisioning) return reply('refused', []);
+    const filled = Math.min(count, faults.maxMachinesPerRequest);
+    const ids = known ?? this.addMachines(request, zone, spot, filled);
+    if (faults.loseProvisionAnswers > 0) {
+      faults.loseProvisionAnswers -= 1;
+      return reply('unknown', []);
+    }
+    reply('ok', ids);
+  }
+
+  private addMachines(request: string, zone: string, spot: boolean, count: number): MachineId[] {
+    const { faults, workers } = this.surroundings;
+    const bootMs = faults.neverBoot ? Number.POSITIVE_INFINITY : BOOT_MS;
+    const ids = Array.from(
+      { length: count },
+      () => workers.add(zone, spot, bootMs).id as MachineId,
+    );
+    this.machinesByRequest.set(request, ids);
+    for (const [position, id] of ids.entries()) this.provisioned.set(`${request}#${position}`, id);
+    return ids;
+  }
+
+  /** Deletes machines; one that is healthy and has work on it is a problem. */
+  delete(ids: readonly MachineId[]): void {
+    const { faults, workers, problems } = this.surroundings;
+    const reply = (ok: boolean) =>
+      this.surroundings.reply({ kind: 'deletion-result', machines: ids, ok });
+    if (faults.cloudUnavailable) return reply(false);
+    for (const id of ids) {
+      if (this.surroundings.isKnownHealthy(id) && workers.tasksOn(id).length > 0)
+        problems.push(`returned with work ${id}`);
+      if (workers.machines.delete(id)) this.returned.push(id);
+    }
+    if (faults.loseDeletionAnswers > 0) {
+      faults.loseDeletionAnswers -= 1;
+      return reply(false);
+    }
+    reply(true);
+  }
+}
--- /dev/null
+++ b/packages/drain/test/support/model-key-value-store.ts
@@ -0,0 +1,72 @@
+/** The key-value store of the model: what outlives a leader. */
+import type { JobId, SegmentKey } from '../../../../src/core/model/ids.js';
+import type { JobSpec } from '../../../../src/core/model/job.js';
+import type { StoreOperation } from '../../../../src/core/model/ledger-record.js';
+import type { Faults } from './faults.js';
+
+/** The largest value, in bytes. */
+export const MAX_VALUE_BYTES = 1024;
+
+type SegmentWrite = Extract<StoreOperation, { kind: 'write-segment' }>;
+type RecordWrites = Exclude<
+  StoreOperation,
+  { kind: 'write-segment' | 'drop-segment' | 'job-completion' }
+>;
+
+/** Jobs, the placement ledger, completions, and the package's records. */
+export class ModelKeyValueStore {
+  readonly jobs = new Map<string, JobSpec>();
+  /** The outcome of each job that is over. */
+  readonly completions = new Map<string, string>();
+  readonly ledger = new Map<SegmentKey, SegmentWrite>();
+  /** The package's records, by the key under its prefix. */
+  readonly records = new Map<string, unknown>();
+  /** Changes of records that were stored, in order: their keys. */
+  readonly writes: string[] = [];
+
+  constructor(
+    private readonly faults: Faults,
+    private readonly problems: string[],
+  ) {}
+
+  /** Whether the job is not over. */
+  isUnfinished(job: JobId): boolean {
+    return this.jobs.has(job);
+  }
+
+  /** Stores operations in order; false when a fault ends the leader at one of them. */
+  storeAll(operations: readonly StoreOperation[]): boolean {
+    return operations.every((operation) => this.store(operation));
+  }
+
+  private store(operation: StoreOperation): boolean {
+    switch (operation.kind) {
+      case 'write-segment':
+        this.ledger.set(operation.key, operation);
+        return true;
+      case 'drop-segment':
+        this.ledger.delete(operation.key);
+        return true;
+      case 'job-completion':
+        this.jobs.delete(operation.job);
+        this.completions.set(operation.job, operation.outcome);
+        return true;
+      default:
+        return this.storeRecords(operation);
+    }
+  }
+
+  private storeRecords({ writes }: RecordWrites): boolean {
+    const { endLeaderAtWrite, endLeaderAfterWrite } = this.faults;
+    const isLast = this.writes.length + 1 === endLeaderAtWrite;
+    if (isLast && !endLeaderAfterWrite) return false;
+    for (const { key, value } of writes) {
+      if (value === null) this.records.delete(key);
+      else this.records.set(key, JSON.parse(JSON.stringify(value)));
+      if (JSON.stringify(value).length > MAX_VALUE_BYTES)
+        this.problems.push(`record ${key} too large`);
+    }
+    this.writes.push(writes.map(({ key }) => key).join('+'));
+    return !isLast;
+  }
+}
--- /dev/null
+++ b/packages/drain/test/support/model-workers.ts
@@ -0,0 +1,224 @@
+/** The machines of the model and their workers: they send heartbeats and execute commands. */
+import type { Heartbeat, TaskStatus } from '../../../../src/core/model/heartbeat.js';
+import type { JobId, ZoneName } from '../../../../src/core/model/ids.js';
+import type { WorkerCommand } from '../../../../src/core/model/worker-command.js';
+import { report, task } from '../../../../test/model/build.js';
+import { type Clock, STEP_MS } from './faults.js';
+
+const HEARTBEAT_MS = 1000;
+const LEASE_MS = 16_000;
+/** A worker waits this long for the reply to a heartbeat. */
+const REPLY_TIMEOUT_MS = 4000;
+
+/** A task on a worker. */
+type ModelTask = TaskStatus & { readonly startedAt: number };
+
+/** One machine with its worker. */
+export interface ModelWorker {
+  readonly id: string;
+  readonly zone: string;
+  readonly spot: boolean;
+  readonly bootedAt: number;
+  /** By name: job and index. */
+  readonly tasks: Map<string, ModelTask>;
+  heartbeatSequence: number;
+  fencingToken: number;
+  agentEpoch: number;
+  /** Neither sends nor receives anything until then. */
+  unreachableUntil: number;
+  /** Its heartbeats arrive, but no reply and no command reaches it. */
+  receivesNothing: boolean;
+  /** When the cloud reclaims it; null: it does not. */
+  reclaimedAt: number | null;
+  heartbeatDueAt: number;
+  /** When it sent the heartbeat whose reply last renewed its lease. */
+  leaseRenewedAt: number;
+  /** When it sent the heartbeat that waits for a reply; null: none does. */
+  heartbeatSentAt: number | null;
+}
+
+/** Something that happened to a task on a machine. */
+export interface ModelTaskEvent {
+  readonly task: string;
+  readonly machine: string;
+  readonly at: number;
+}
+
+/** What the workers need of the rest of the model. */
+export interface WorkerSurroundings {
+  readonly clock: Clock;
+  readonly problems: string[];
+  /** Whether a leader takes heartbeats. */
+  isLeaderUp(): boolean;
+  isJobUnfinished(job: JobId): boolean;
+  sendHeartbeat(worker: ModelWorker, heartbeat: Heartbeat): void;
+}
+
+const isOnWorker = (held: ModelTask | undefined): boolean =>
+  held !== undefined && held.phase !== 'ended';
+
+/** All workers, and what has happened on them. */
+export class ModelWorkers {
+  readonly machines = new Map<string, ModelWorker>();
+  /** How long each task runs, by job; others run for ever. */
+  readonly runMs = new Map<string, number>();
+  /** Tasks of unfinished jobs that were stopped by command, on machines without a notice. */
+  readonly stops: ModelTaskEvent[] = [];
+  readonly starts: ModelTaskEvent[] = [];
+  private nextMachine = 0;
+
+  constructor(private readonly surroundings: WorkerSurroundings) {}
+
+  private get now(): number {
+    return this.surroundings.clock.now;
+  }
+
+  /** A new machine, named after those before it. */
+  add(zone: string, spot: boolean, bootMs: number): ModelWorker {
+    const id = `n-${String(this.nextMachine++).padStart(4, '0')}`;
+    const worker: ModelWorker = {
+      id,
+      zone,
+      spot,
+      bootedAt: this.now + bootMs,
+      tasks: new Map(),
+      heartbeatSequence: 0,
+      fencingToken: 0,
+      agentEpoch: 1,
+      unreachableUntil: 0,
+      receivesNothing: false,
+      reclaimedAt: null,
+      heartbeatDueAt: 0,
+      leaseRenewedAt: this.now + bootMs,
+      heartbeatSentAt: null,
+    };
+    this.machines.set(id, worker);
+    return worker;
+  }
+
+  /** The machine on which a task runs; null: none. */
+  holderOf(name: string): string | null {
+    for (const { id, tasks } of this.machines.values()) if (isOnWorker(tasks.get(name))) return id;
+    return null;
+  }
+
+  /** The tasks that run on a machine. */
+  tasksOn(id: string): string[] {
+    const tasks = this.machines.get(id)?.tasks ?? new Map<string, ModelTask>();
+    return [...tasks.keys()].filter((name) => isOnWorker(tasks.get(name)));
+  }
+
+  /** A restart within its lease: what ran on it is gone, and a new agent epoch begins. */
+  restart(id: string): void {
+    const worker = this.machines.get(id);
+    if (!worker) throw new Error(`no machine ${id}`);
+    worker.tasks.clear();
+    worker.agentEpoch += 1;
+    worker.heartbeatSequence = 0;
+    worker.heartbeatSentAt = null;
+  }
+
+  /** Lets every worker do what is due now. */
+  advance(): void {
+    for (const worker of [...this.machines.values()]) this.advanceWorker(worker);
+  }
+
+  private advanceWorker(worker: ModelWorker): void {
+    if (this.now < worker.bootedAt || this.now < worker.unreachableUntil) return;
+    if (worker.reclaimedAt !== null && this.now >= worker.reclaimedAt) {
+      this.machines.delete(worker.id);
+      return;
+    }
+    this.endTasks(worker);
+    if (this.now - worker.leaseRenewedAt > LEASE_MS) {
+      this.restart(worker.id);
+      worker.leaseRenewedAt = this.now;
+    }
+    const { heartbeatSentAt } = worker;
+    if (heartbeatSentAt !== null && this.now - heartbeatSentAt > REPLY_TIMEOUT_MS)
+      worker.heartbeatSentAt = null;
+    const isDue = this.now >= worker.heartbeatDueAt && worker.heartbeatSentAt === null;
+    if (isDue && this.surroundings.isLeaderUp()) this.sendHeartbeat(worker);
+  }
+
+  private endTasks({ tasks }: ModelWorker): void {
+    for (const [name, held] of tasks) {
+      const runMs = this.runMs.get(held.job) ?? Number.POSITIVE_INFINITY;
+      if (held.phase !== 'ended' && this.now - held.startedAt >= runMs)
+        tasks.set(name, { ...held, phase: 'ended', cause: 'done' });
+    }
+  }
+
+  private sendHeartbeat(worker: ModelWorker): void {
+    worker.heartbeatSentAt = this.now;
+    worker.heartbeatDueAt = this.now + HEARTBEAT_MS;
+    worker.heartbeatSequence += 1;
+    const { id, heartbeatSequence, fencingToken, reclaimedAt } = worker;
+    const tasks = [...worker.tasks.values()];
+    const heartbeat = report(id, heartbeatSequence, fencingToken, tasks, {
+      zone: worker.zone as ZoneName,
+      spot: worker.spot,
+      agentEpoch: worker.agentEpoch,
+      reclaimNoticeS: reclaimedAt === null ? null : (reclaimedAt - this.now) / 1000,
+    });
+    this.surroundings.sendHeartbeat(worker, heartbeat);
+  }
+
+  private isReached(worker: ModelWorker | undefined): worker is ModelWorker {
+    return worker !== undefined && !worker.receivesNothing && this.now >= worker.unreachableUntil;
+  }
+
+  /** The reply to a heartbeat; `commands`: null when the leader does not know the worker yet. */
+  receiveReply(id: string, fencingToken: number, commands: readonly WorkerCommand[] | null): void {
+    const worker = this.machines.get(id);
+    if (!this.isReached(worker)) return;
+    const { heartbeatSentAt } = worker;
+    worker.heartbeatSentAt = null;
+    if (!commands) return;
+    worker.leaseRenewedAt = heartbeatSentAt ?? worker.leaseRenewedAt;
+    worker.fencingToken = fencingToken;
+    this.execute(worker, commands);
+  }
+
+  /** Commands that the leader sends beside replies, to one agent epoch. */
+  receiveCommands(id: string, agentEpoch: number, commands: readonly WorkerCommand[]): void {
+    const worker = this.machines.get(id);
+    if (this.isReached(worker) && agentEpoch === worker.agentEpoch) this.execute(worker, commands);
+  }
+
+  private execute(worker: ModelWorker, commands: readonly WorkerCommand[]): void {
+    for (const command of commands) {
+      const name = `${command.job}/${command.index}`;
+      const held = worker.tasks.get(name);
+      switch (command.op) {
+        case 'start':
+          if (held?.attempt !== command.attempt) this.startTask(worker, name, command);
+          break;
+        case 'kill':
+          if (held?.attempt === command.attempt) this.stopTask(worker, name, held);
+          break;
+        case 'reap':
+          if (held?.phase === 'ended') worker.tasks.delete(name);
+          break;
+      }
+      if (command.op !== 'reap')
+        worker.heartbeatDueAt = Math.min(worker.heartbeatDueAt, this.now + STEP_MS);
+    }
+  }
+
+  private startTask(worker: ModelWorker, name: string, command: WorkerCommand): void {
+    const holder = this.holderOf(name);
+    if (holder !== null)
+      this.surroundings.problems.push(`ran twice ${name} on ${holder} and ${worker.id}`);
+    const status = task(command.job, command.index, command.attempt);
+    worker.tasks.set(name, { ...status, startedAt: this.now });
+    this.starts.push({ task: name, machine: worker.id, at: this.now });
+  }
+
+  private stopTask(worker: ModelWorker, name: string, held: ModelTask): void {
+    if (held.phase === 'ended') return;
+    worker.tasks.set(name, { ...held, phase: 'ended', cause: 'stopped' });
+    if (worker.reclaimedAt === null && this.surroundings.isJobUnfinished(held.job))
+      this.stops.push({ task: name, machine: worker.id, at: this.now });
+  }
+}
--- a/packages/drain/test/settings.ts
+++ b/packages/drain/test/support/settings.ts
@@ -1,6 +1,6 @@
 /** Settings for tests, read as operators write them. */
-import { parseDrainSettings } from '../src/adapters/settings-parser.js';
-import type { DrainSettings } from '../src/core/settings.js';
+import { parseDrainSettings } from '../../src/adapters/settings-parser.js';
+import type { DrainSettings } from '../../src/core/settings.js';
 
 const TEAMS = new Set(['blue', 'green']);
 
--- a/test/extensions.test.ts
+++ b/test/extensions.test.ts
@@ -1,7 +1,7 @@
 /** The extension host: without an extension nothing changes, and a faulty one stops nothing. */
 import { describe, expect, it } from 'vitest';
 import { drainModule } from '../packages/drain/src/index.js';
-import { settingsOf } from '../packages/drain/test/settings.js';
+import { settingsOf } from '../packages/drain/test/support/settings.js';
 import type {
   Extension,
   ExtensionRequest,
--- a/test/pinned-commands.test.ts
+++ b/test/pinned-commands.test.ts
@@ -5,7 +5,7 @@
 import { readFileSync } from 'node:fs';
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { parseDrainSettings } from '../packages/drain/src/adapters/settings-parser.js';
-import { DrainFleet, inZone } from '../packages/drain/test/drain-fleet.js';
+import { DrainFleet, inZone } from '../packages/drain/test/support/drain-fleet.js';
 import { DEFAULT_POLICY, parsePolicy } from '../src/adapters/configuration/policy.js';
 import { parseSettings } from '../src/adapters/configuration/settings.js';
 import { run } from '../src/cli/main.js';
--- a/test/pinned-http.test.ts
+++ b/test/pinned-http.test.ts
@@ -8,7 +8,7 @@
 import * as v from 'valibot';
 import { afterEach, describe, expect, it } from 'vitest';
 import { drainModule } from '../packages/drain/src/index.js';
-import { settingsOf } from '../packages/drain/test/settings.js';
+import { settingsOf } from '../packages/drain/test/support/settings.js';
 import { DEFAULT_POLICY } from '../src/adapters/configuration/policy.js';
 import { parseSettings } from '../src/adapters/configuration/settings.js';
 import { startApi } from '../src/adapters/http/api-server.js';
