--- a/packages/drain/measure/drain-load.ts
+++ b/packages/drain/measure/drain-load.ts
@@ -1,6 +1,6 @@
 /**
- * Drains a fleet of stand-in workers under load in different ways and reports what each costs. Not part of the tests: see
- * `scripts/measure-drain.mjs`. Usage: drain-load WAY MACHINES [SEED]
+ * Drains a fleet of stand-in workers under load in different ways and reports what each costs. Not
+ * part of the tests: see `scripts/measure-drain.mjs`. Usage: drain-load WAY MACHINES [SEED]
  */
 import { writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -11,7 +11,7 @@
 import { buildProgram, startProcesses } from '../../../test/stand-ins/processes.js';
 import { lostWithMachines, mostStoppedAtOnce, ranTwice } from '../test/support/history-checker.js';
 
-/** How the fleet is emptied: what the file allows, and the share of the machines that one step takes. */
+/** How the fleet is emptied: the budgets of the file, and the share of the machines in a step. */
 interface Way {
   readonly budgets: string;
   readonly share: number;
@@ -29,30 +29,83 @@
   'taken-at-once': { budgets: '(budgets)', share: 1, byCloud: true },
 };
 
-const CPUS = 8;
-/** Of the fleet's processors, what long tasks and replicas are to use. */
-const LONG_SHARE = 0.5;
+const CPUS_PER_MACHINE = 8;
+/** Shares of the fleet's processors that long tasks and replicas use. */
+const LONG_TASK_SHARE = 0.5;
 const REPLICA_SHARE = 0.05;
 /** Longer than any drain that is measured. */
-const LONG_RUN_MS = 1_200_000;
-const SHORT_RATE_PER_S = 4;
+const LONG_TASK_MS = 1_200_000;
+const SHORT_JOBS_PER_S = 4;
 const WARM_UP_MS = 5000;
-const CHECK_IN_MS = 1000;
+/** For the last stops and starts to be in the history. */
+const SETTLE_MS = 3000;
+const HEARTBEAT_MS = 1000;
 
 const BLUE = 'blue';
 const GREEN = 'green';
-const idOf = (n: number): string => `job-${String(n).padStart(6, '0')}`;
+const jobIdOf = (n: number): string => `job-${String(n).padStart(6, '0')}`;
 
-const run = async (name: string, machines: number, seed: number): Promise<object> => {
-  const way = WAYS[name];
-  if (!way) throw new Error(`unknown way ${name}; known: ${Object.keys(WAYS).join(', ')}`);
-  const source = randomLcg(seed);
-  const gapS = randomExponential.source(source)(SHORT_RATE_PER_S);
-  const shortMs = randomLogNormal.source(source)(Math.log(1500), 0.5);
-  const { directory, remove } = await buildProgram();
+const jobOf = (task: string): string => task.split('/')[0] ?? '';
+const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
+
+type Fleet = Awaited<ReturnType<typeof startProcesses>>;
+
+/** The jobs that a measurement submits, and what the stand-in workers make of them. */
+class Load {
+  /** When each job was submitted. */
+  readonly submittedAt = new Map<string, number>();
+  private readonly teamByJob = new Map<string, string>();
+  /** How long each job's tasks run; null: for ever. */
+  private readonly runMsByJob = new Map<string, number | null>();
+  private next = 0;
+  private isOn = true;
+
+  constructor(private readonly fleet: Fleet) {
+    fleet.cloud.runMsOf = (task) => this.runMsByJob.get(jobOf(task)) ?? null;
+    fleet.cloud.savesOf = (task) => this.runMsByJob.get(jobOf(task)) === LONG_TASK_MS;
+  }
+
+  teamOf(task: string): string {
+    return this.teamByJob.get(jobOf(task)) ?? '';
+  }
+
+  runningTasks(): number {
+    const workers = [...this.fleet.cloud.workers.values()];
+    return workers.reduce((sum, worker) => sum + worker.running().length, 0);
+  }
+
+  /** Submits a job to the controllers in turn, until one takes it. */
+  async submit(runMs: number | null, fields: Record<string, unknown>): Promise<void> {
+    const { processes } = this.fleet;
+    const id = jobIdOf(this.next++);
+    this.runMsByJob.set(id, runMs);
+    this.teamByJob.set(id, String(fields.Crew));
+    this.submittedAt.set(id, Date.now());
+    const controller = processes[this.next % processes.length];
+    if (!controller) throw new Error('no controller');
+    await until(async () => {
+      const reply = await post(controller.api, '/api/jobs', body(id, fields));
+      return [200, 201].includes(reply?.status ?? 0);
+    });
+  }
+
+  /** Submits short jobs until it is ended. */
+  async keepSubmitting(nextRunMs: () => number, nextGapS: () => number): Promise<void> {
+    while (this.isOn) {
+      await this.submit(nextRunMs(), { Crew: BLUE, Pieces: 2, Cpus: 1, GuessS: 2 });
+      await sleep(nextGapS() * 1000);
+    }
+  }
+
+  end(): void {
+    this.isOn = false;
+  }
+}
+
+const startFleet = async (directory: string, way: Way, machines: number): Promise<Fleet> => {
   const file = join(directory, 'drain.scm');
   await writeFile(file, `(drain (let-end-s 5) ${way.budgets})`);
-  const cpus = machines * CPUS;
+  const cpus = machines * CPUS_PER_MACHINE;
   const fleet = await startProcesses(directory, 3, machines * 4, ['--enable', file], {
     workers: { report_s: 2, lease_s: 16, cancel_s: 40 },
     teams: [
@@ -61,73 +114,85 @@
     ],
     quota: { cores: 1, mem_mb: 1000, max_connections: machines * 4 + 500 },
   });
-  const { cloud, processes } = fleet;
-  const runMs = new Map<string, number | null>();
-  const teams = new Map<string, string>();
-  cloud.checkInMs = CHECK_IN_MS;
-  cloud.runMsOf = (task) => runMs.get(task.split('/')[0]!) ?? null;
-  cloud.savesOf = (task) => runMs.get(task.split('/')[0]!) === LONG_RUN_MS;
-  const submitted = new Map<string, number>();
-  let next = 0;
-  const submit = async (ms: number | null, change: Record<string, unknown>) => {
-    const id = idOf(next++);
-    runMs.set(id, ms);
-    teams.set(id, String(change.Crew));
-    submitted.set(id, Date.now());
-    const at = processes[next % processes.length]!.api;
-    await until(async () =>
-      [200, 201].includes((await post(at, '/api/jobs', body(id, change)))?.status ?? 0),
-    );
-  };
+  fleet.cloud.checkInMs = HEARTBEAT_MS;
+  return fleet;
+};
+
+/** Submits the replicas and the long tasks; returns how many there are of both. */
+const submitLongWork = async (load: Load, cpus: number): Promise<number> => {
   const replicas = Math.round(cpus * REPLICA_SHARE);
-  const longTasks = Math.round((cpus * LONG_SHARE) / 2);
-  await submit(null, { Crew: GREEN, Shape: 'daemon', Rank: 'standard', Pieces: replicas, Cpus: 1 });
-  await submit(LONG_RUN_MS, {
+  const longTasks = Math.round((cpus * LONG_TASK_SHARE) / 2);
+  const service = { Crew: GREEN, Shape: 'daemon', Rank: 'standard', Pieces: replicas, Cpus: 1 };
+  await load.submit(null, service);
+  await load.submit(LONG_TASK_MS, {
     Crew: BLUE,
     Pieces: longTasks,
     Cpus: 2,
-    GuessS: LONG_RUN_MS / 1000,
+    GuessS: LONG_TASK_MS / 1000,
     BookmarkS: 5,
     StowS: 1,
   });
-  const running = () => [...cloud.workers.values()].reduce((sum, w) => sum + w.running().length, 0);
-  await until(() => running() >= replicas + longTasks);
-  let loading = true;
-  const load = (async () => {
-    while (loading) {
-      await submit(shortMs(), { Crew: BLUE, Pieces: 2, Cpus: 1, GuessS: 2 });
-      await new Promise((resolve) => setTimeout(resolve, gapS() * 1000));
-    }
-  })();
-  await new Promise((resolve) => setTimeout(resolve, WARM_UP_MS));
-  const before = [...cloud.workers.keys()];
-  const from = Date.now();
-  const at = processes[0]!.api;
+  return replicas + longTasks;
+};
+
+/** Has the fleet emptied: by a drain, or by the cloud at once. */
+const emptyFleet = async (
+  { cloudAt, processes }: Fleet,
+  way: Way,
+  machines: readonly string[],
+): Promise<void> => {
   if (way.byCloud) {
-    await post(fleet.cloudAt, '/machines/delete', { Berths: before });
-  } else {
-    const request = { name: 'whole', select: { all: true }, atOnceShare: way.share };
-    const begun = await until(async () => {
-      const reply = await post(at, '/api/drains', request);
-      return reply && reply.status !== 503 ? reply : null;
-    });
-    if (begun.status !== 201) throw new Error(`refused: ${JSON.stringify(begun.body)}`);
+    await post(cloudAt, '/machines/delete', { Berths: machines });
+    return;
   }
-  await until(() => before.every((machine) => !cloud.workers.has(machine)));
-  await until(() => running() >= replicas + longTasks);
-  const tookS = (Date.now() - from) / 1000;
-  loading = false;
-  await load;
-  await new Promise((resolve) => setTimeout(resolve, 3000));
+  const controller = processes[0];
+  if (!controller) throw new Error('no controller');
+  const request = { name: 'whole', select: { all: true }, atOnceShare: way.share };
+  const reply = await until(async () => {
+    const answer = await post(controller.api, '/api/drains', request);
+    return answer && answer.status !== 503 ? answer : null;
+  });
+  if (reply.status !== 201) throw new Error(`refused: ${JSON.stringify(reply.body)}`);
+};
+
+/** How long the jobs that were submitted from a moment on waited for their first start. */
+const startDelays = ({ cloud }: Fleet, load: Load, from: number) => {
   const delays = buildHistogram({ lowestDiscernibleValue: 1, highestTrackableValue: 3_600_000 });
-  for (const [id, submittedAt] of submitted) {
-    if (submittedAt < from || id < idOf(2)) continue;
+  for (const [id, submittedAt] of load.submittedAt) {
+    if (submittedAt < from || id < jobIdOf(2)) continue;
     const started = cloud.history.find(
       ({ kind, task }) => kind === 'start' && task.startsWith(`${id}/`),
     );
     if (started) delays.recordValue(Math.max(1, started.at - submittedAt));
   }
-  const most = mostStoppedAtOnce(cloud.history, (task) => teams.get(task.split('/')[0]!) ?? '');
+  return delays;
+};
+
+const run = async (name: string, machines: number, seed: number): Promise<object> => {
+  const way = WAYS[name];
+  if (!way) throw new Error(`unknown way ${name}; known: ${Object.keys(WAYS).join(', ')}`);
+  const source = randomLcg(seed);
+  const nextGapS = randomExponential.source(source)(SHORT_JOBS_PER_S);
+  const nextRunMs = randomLogNormal.source(source)(Math.log(1500), 0.5);
+  const { directory, remove } = await buildProgram();
+  const fleet = await startFleet(directory, way, machines);
+  const { cloud } = fleet;
+  const load = new Load(fleet);
+  const longWork = await submitLongWork(load, machines * CPUS_PER_MACHINE);
+  await until(() => load.runningTasks() >= longWork);
+  const arrivals = load.keepSubmitting(nextRunMs, nextGapS);
+  await sleep(WARM_UP_MS);
+  const before = [...cloud.workers.keys()];
+  const from = Date.now();
+  await emptyFleet(fleet, way, before);
+  await until(() => before.every((machine) => !cloud.workers.has(machine)));
+  await until(() => load.runningTasks() >= longWork);
+  const tookS = (Date.now() - from) / 1000;
+  load.end();
+  await arrivals;
+  await sleep(SETTLE_MS);
+  const delays = startDelays(fleet, load, from);
+  const most = mostStoppedAtOnce(cloud.history, (task) => load.teamOf(task));
   const result = {
     way: name,
     machines: before.length,
--- a/packages/drain/test/histories.test.ts
+++ b/packages/drain/test/histories.test.ts
@@ -1,11 +1,15 @@
-/** Drawn histories of drains, failures and takeovers in the simulated world, which knows what really happens on its machines. */
+/**
+ * Drawn histories of drains, faults and failovers in the simulated world, which knows what really
+ * happens on its machines.
+ */
 import * as fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { SimulatedWorld } from '../../../test/model/simulated-world.js';
 import { drainModule } from '../src/index.js';
 import { settingsOf, TIGHT } from './support/settings.js';
 
-interface Told {
+/** What operators are told of a drain. */
+interface DrainAnswer {
   status: string;
   why: string | null;
   blocked: { text: string } | null;
@@ -13,15 +17,16 @@
 }
 
 /** At most this many of a team's tasks may be stopped by decision and not run again. */
-const AT_ONCE: Readonly<Record<string, number>> = { blue: 2, green: 1 };
+const MAX_STOPPED: Readonly<Record<string, number>> = { blue: 2, green: 1 };
 const WINDOW = { team: 'green', ms: 60_000, count: 3 };
 /** Stops of one window by the machines' clock may be decided within a slightly longer one. */
 const WINDOW_SLACK_MS = 20_000;
 
-/** What has been seen over all histories: a check of histories in which nothing happens would mean nothing. */
-const seen = { stops: 0, drains: 0, takeovers: 0, done: 0 };
+/** Counts over all histories: checks of histories in which nothing happens would mean nothing. */
+const observed = { stops: 0, drains: 0, failovers: 0, done: 0 };
 
-class Observed {
+/** A world whose budgets are checked all the time. */
+class ObservedWorld {
   readonly world: SimulatedWorld;
   readonly names = new Set<string>();
   private readonly stops: { team: string; at: number }[] = [];
@@ -34,7 +39,7 @@
       mostMachines: 9,
     });
     this.world.onVoluntaryStop = (name) => {
-      seen.stops += 1;
+      observed.stops += 1;
       const { team } = this.world.interrupted.get(name)!;
       this.stops.push({ team, at: this.world.now });
     };
@@ -43,7 +48,7 @@
   /** The slow, plain check: counted anew from what the machines know. */
   check(): void {
     expect(this.world.problems).toEqual([]);
-    for (const [team, most] of Object.entries(AT_ONCE)) {
+    for (const [team, most] of Object.entries(MAX_STOPPED)) {
       const open = this.world.interruptedByDecision().filter((i) => i.team === team);
       expect(open.length, `${team} at ${this.world.now}`).toBeLessThanOrEqual(most);
     }
@@ -73,12 +78,12 @@
 }
 
 type Model = Record<string, never>;
-type Step = fc.Command<Model, Observed>;
+type Step = fc.Command<Model, ObservedWorld>;
 
 class Play implements Step {
   constructor(readonly ms: number) {}
   check = () => true;
-  run(_: Model, real: Observed): void {
+  run(_: Model, real: ObservedWorld): void {
     real.play(this.ms, false);
   }
   toString = () => `play ${this.ms}`;
@@ -90,10 +95,10 @@
     readonly body: object,
   ) {}
   check = () => true;
-  run(_: Model, real: Observed): void {
+  run(_: Model, real: ObservedWorld): void {
     const answer = real.call('start', '', { name: this.name, ...this.body });
     if (answer?.status === 201) {
-      seen.drains += 1;
+      observed.drains += 1;
       real.names.add(this.name);
     }
   }
@@ -106,20 +111,20 @@
     readonly change: 'pause' | 'resume' | 'cancel',
   ) {}
   check = () => true;
-  run(_: Model, real: Observed): void {
+  run(_: Model, real: ObservedWorld): void {
     const answer = real.call(this.change, this.name);
     expect([200, 404, 409, undefined]).toContain(answer?.status);
   }
   toString = () => `${this.change} ${this.name}`;
 }
 
-class Trouble implements Step {
+class Fault implements Step {
   constructor(
     readonly kind: 'cloudDownUntil' | 'noCapacityUntil' | 'bootTroubleUntil' | 'stateDownUntil',
     readonly ms: number,
   ) {}
   check = () => true;
-  run(_: Model, real: Observed): void {
+  run(_: Model, real: ObservedWorld): void {
     real.world[this.kind] = real.world.now + this.ms;
     real.play(2000, false);
   }
@@ -156,47 +161,47 @@
       ),
       fc.integer({ min: 1000, max: 20_000 }),
     )
-    .map(([kind, ms]) => new Trouble(kind, ms)),
+    .map(([kind, ms]) => new Fault(kind, ms)),
 ];
 
 /** It has ended, or gives a reason why not. */
-const saysWhy = (told: Told | undefined): boolean => {
-  if (told?.status === 'done' || told?.status === 'cancelled') return true;
+const isExplained = (answer: DrainAnswer | undefined): boolean => {
+  if (answer?.status === 'done' || answer?.status === 'cancelled') return true;
   const reasons = [
-    told?.why,
-    told?.blocked?.text,
-    ...(told?.machines ?? []).map((m) => m.blocked?.text),
+    answer?.why,
+    answer?.blocked?.text,
+    ...(answer?.machines ?? []).map((m) => m.blocked?.text),
   ];
   return reasons.some(Boolean);
 };
 
-/** Once the troubles are over every drain ends, pauses, or says what holds it up; and every job is done. */
-const finish = (real: Observed): void => {
+/** Once the faults are over every job ends, and every drain ends or says what holds it up. */
+const finish = (real: ObservedWorld): void => {
   real.world.heal();
   // Much work of a team at its limit goes on task by task.
   for (let i = 0; i < 400 && real.world.unfinished().length > 0; i += 1) real.play(30_000, true);
   expect(real.world.unfinished()).toEqual([]);
   for (const name of real.names) {
-    let told: Told | undefined;
+    let answer: DrainAnswer | undefined;
     // One that is just moving on has nothing to say for a moment.
-    for (let i = 0; i < 20 && !saysWhy(told); i += 1) {
+    for (let i = 0; i < 20 && !isExplained(answer); i += 1) {
       real.play(1000, true);
-      told = real.call('status', name)?.body as Told | undefined;
+      answer = real.call('status', name)?.body as DrainAnswer | undefined;
     }
-    expect(saysWhy(told), `${name}: ${JSON.stringify(told)}`).toBe(true);
-    if (told?.status === 'done') seen.done += 1;
+    expect(isExplained(answer), `${name}: ${JSON.stringify(answer)}`).toBe(true);
+    if (answer?.status === 'done') observed.done += 1;
   }
-  seen.takeovers += real.world.takeovers;
+  observed.failovers += real.world.takeovers;
 };
 
 describe('drains in drawn histories', () => {
-  it('keep every budget, lose no job, run nothing twice, return nothing with work, and end or say why not', () => {
+  it('keep budgets, lose no job, run nothing twice, return no machine with work, and end or say why', () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 1e6 }),
         fc.commands(commands, { maxCommands: 14, size: 'max' }),
         (seed, steps) => {
-          const real = new Observed(seed);
+          const real = new ObservedWorld(seed);
           real.play(8000, false);
           fc.modelRun(() => ({ model: {}, real }), steps);
           finish(real);
@@ -204,9 +209,9 @@
       ),
       { numRuns: 60, seed: 20_261_202 },
     );
-    expect(seen.stops).toBeGreaterThan(40);
-    expect(seen.drains).toBeGreaterThan(40);
-    expect(seen.takeovers).toBeGreaterThan(100);
-    expect(seen.done).toBeGreaterThan(15);
+    expect(observed.stops).toBeGreaterThan(40);
+    expect(observed.drains).toBeGreaterThan(40);
+    expect(observed.failovers).toBeGreaterThan(100);
+    expect(observed.done).toBeGreaterThan(15);
   }, 120_000);
 });
--- a/packages/drain/test/input.test.ts
+++ b/packages/drain/test/input.test.ts
@@ -1,17 +1,17 @@
-/** What operators may hand over: files and requests, and how faults are named. */
+/** What operators hand over: files and requests, and how errors in them are told. */
 import { describe, expect, it } from 'vitest';
 import { parseDrainRequest } from '../src/adapters/drain-request-parser.js';
 import { parseDrainSettings } from '../src/adapters/settings-parser.js';
 import { DrainFleet, inZone } from './support/drain-fleet.js';
 
 const TEAMS = new Set(['blue', 'green']);
-const faultOf = (text: string): string => {
+const errorOf = (text: string): string => {
   const read = parseDrainSettings(text, TEAMS);
   return 'fault' in read ? read.fault : 'none';
 };
 
-describe('the file', () => {
-  it('is read with every field, and what is left out keeps its default', () => {
+describe('parseDrainSettings', () => {
+  it('reads every field, and keeps the default of a field that is left out', () => {
     const read = parseDrainSettings(
       `; a comment
        (drain (let-end-s 30)
@@ -68,17 +68,17 @@
     ['(drain (let-end-s soon))', 'drain: field let-end-s: must be a number from 0 to 86400'],
     ['(drains)', 'drain: expected (drain ...)'],
     ['drain', 'drain: expected (drain ...)'],
-  ])('with a fault is refused in one line that names it: %s', (text, fault) => {
-    expect(faultOf(text)).toBe(fault);
+  ])('refuses a faulty file in one line that names the field: %s', (text, fault) => {
+    expect(errorOf(text)).toBe(fault);
   });
 
-  it('cut short or empty is refused', () => {
+  it('refuses a file that is cut short or empty', () => {
     for (const text of ['(drain', '', '())', '(drain let-end-s)'])
-      expect(faultOf(text)).toMatch(/^drain: .+/);
+      expect(errorOf(text)).toMatch(/^drain: .+/);
   });
 });
 
-describe('a request', () => {
+describe('a request for a drain', () => {
   const body = { name: 'swap', select: { all: true } };
 
   it.each([
@@ -93,18 +93,18 @@
     [{ ...body, atOnce: 0 }, 'field atOnce: must be 1 or more'],
     [{ ...body, atOnce: 1, atOnceShare: 0.5 }, 'field atOnceShare: not together with atOnce'],
     [{ ...body, deadlineS: -1 }, 'field deadlineS: must be above 0'],
-  ])('with a fault is refused in one line that names the field: %j', (sent, fault) => {
+  ])('is refused in one line that names the faulty field: %j', (sent, fault) => {
     expect(parseDrainRequest(sent)).toEqual({ kind: 'invalid', message: fault });
   });
 
   it.each([null, 7, [], { select: { all: true } }, { name: 'swap' }])(
-    'that is none is refused: %j',
+    'is refused when its body is none: %j',
     (sent) => {
       expect(parseDrainRequest(sent)).toEqual({ kind: 'invalid', message: expect.any(String) });
     },
   );
 
-  it('for what there is not gets 422 and stores nothing; an unknown drain 404', () => {
+  it('gets 422 for unknown types, zones and machines and stores nothing; an unknown drain gets 404', () => {
     const fleet = new DrainFleet(inZone(2));
     const refusals = [
       [{ type: 'c9' }, 'field select.type: unknown machine type c9'],
@@ -121,7 +121,7 @@
     expect(fleet.store.records.size).toBe(0);
   });
 
-  it('may be repeated; the same name with another body is refused', () => {
+  it('may be repeated with the same body; another body under its name is refused', () => {
     const fleet = new DrainFleet(inZone(2));
     expect(fleet.start('out', { select: { all: true } }).status).toBe(201);
     expect(fleet.start('out', { select: { all: true }, atOnce: 1, replace: true }).status).toBe(
@@ -136,7 +136,7 @@
     expect(fleet.cloud.provisioned.size).toBe(2);
   });
 
-  it('with more names than a record holds is refused, naming the field', () => {
+  it('is refused, naming the field, when it has more names than a record holds', () => {
     const fleet = new DrainFleet(inZone(120));
     const machines = [...fleet.workers.machines.keys()];
     const refused = fleet.start('out', { select: { machines } });
--- a/packages/drain/test/large-fleet.test.ts
+++ b/packages/drain/test/large-fleet.test.ts
@@ -1,5 +1,4 @@
-/** Planning for a fleet of 4,000 machines, with the work counted. */
-
+/** Drains of large fleets, with the work counted. */
 import { describe, expect, it } from 'vitest';
 import { CountingMap } from '../../../test/model/counting-map.js';
 import { CHECKPOINTING, DrainFleet, inZone } from './support/drain-fleet.js';
@@ -7,21 +6,21 @@
 const FLEET = 4000;
 
 describe('a drain of 4,000 machines', () => {
-  it('looks at each machine a bounded number of times a step, keeps few records, and answers within a line', () => {
+  it('visits each machine a bounded number of times, keeps few records and answers within a line', () => {
     const fleet = new DrainFleet(inZone(FLEET));
     const counting = new CountingMap(fleet.state.machines);
     Object.assign(fleet.state, { machines: counting });
-    const walks = () => {
+    const countWalks = () => {
       const before = counting.visited;
       fleet.run(2000);
       return (counting.visited - before) / FLEET / 4;
     };
-    const idle = walks();
+    const idle = countWalks();
     expect(
       fleet.start('all', { select: { all: true }, atOnceShare: 0.01, replace: false }).status,
     ).toBe(201);
-    // Walks over the fleet for each tick: those of a drain are few beside those of the daemon itself.
-    const draining = walks();
+    // Walks over the fleet for each tick: a drain adds few to those of the daemon itself.
+    const draining = countWalks();
     expect(draining - idle).toBeLessThan(6);
     expect([...fleet.store.records.keys()].length).toBeLessThanOrEqual(1 + 40);
     const told = fleet.call('status', 'all').body as { total: number };
@@ -33,7 +32,7 @@
     expect(fleet.problems).toEqual([]);
   }, 120_000);
 
-  it('asks a budget once a turn for each kind of work, however many tasks there are of it', () => {
+  it('asks the budgets once a decision for each job class, whatever the number of tasks', () => {
     const fleet = new DrainFleet(
       inZone(1000),
       '(drain (let-end-s 5) (budgets (team blue (at-once-share 0.01))))',
@@ -42,16 +41,17 @@
     fleet.until(() => fleet.workers.starts.length === 2000);
     const counting = new CountingMap(fleet.state.jobs);
     Object.assign(fleet.state, { jobs: counting });
-    const walks = () => {
+    const countWalks = () => {
       const before = counting.visited;
       fleet.run(2000);
       return (counting.visited - before) / 20;
     };
-    const idle = walks();
+    const idle = countWalks();
     fleet.start('part', { select: { all: true }, atOnceShare: 0.5, replace: false });
     fleet.until(() => fleet.workers.stops.length >= 20);
-    // 500 machines with 1,000 tasks are cordoned; walks over the jobs follow what is granted, not what asks.
-    expect(walks() - idle).toBeLessThan(1000);
+    // 500 machines with 1,000 tasks are cordoned; walks over the jobs follow what is granted,
+    // not what asks.
+    expect(countWalks() - idle).toBeLessThan(1000);
     expect(fleet.problems).toEqual([]);
   }, 120_000);
 });
--- a/packages/drain/test/loopback.test.ts
+++ b/packages/drain/test/loopback.test.ts
@@ -1,4 +1,7 @@
-/** A fleet of stand-ins under steady load is drained whole by the command line on real daemons, with leaders killed on the way. */
+/**
+ * A fleet of stand-ins under steady load is drained whole by the command line on real daemons, with
+ * leaders killed on the way.
+ */
 import { writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { afterAll, afterEach, beforeAll, describe, expect, it } from 'vitest';
@@ -30,10 +33,10 @@
   });
 };
 
-const SAVES = { Pieces: 4, GuessS: 600, BookmarkS: 1, StowS: 0, Cpus: 2 };
+const CHECKPOINTING = { Pieces: 4, GuessS: 600, BookmarkS: 1, StowS: 0, Cpus: 2 };
 
-describe('a drain of a whole fleet', () => {
-  it('keeps every budget and loses no job while load goes on, leaders are killed and machines die', async () => {
+describe('a drain of a whole fleet of processes', () => {
+  it('keeps every budget and loses no job under load, while leaders are killed and machines die', async () => {
     const { cloud, processes, leader, killAndRestart } = await startFleet(40);
     const teamOf = (task: string) => (Number(task.slice(4, 10)) % 2 === 0 ? 'blue' : 'green');
     const id = (n: number) => `job-${String(n).padStart(6, '0')}`;
@@ -48,7 +51,7 @@
       );
     };
     for (const n of [2, 3]) await submit(n, { Shape: 'daemon', Rank: 'standard', Pieces: 3 });
-    for (const n of [4, 5]) await submit(n, { ...SAVES, Pieces: n === 4 ? 6 : 3 });
+    for (const n of [4, 5]) await submit(n, { ...CHECKPOINTING, Pieces: n === 4 ? 6 : 3 });
     const tasks = () => [...cloud.workers.values()].reduce((sum, w) => sum + w.running().length, 0);
     await until(() => tasks() >= 15);
     const before = [...cloud.workers.keys()];
@@ -71,12 +74,12 @@
     let loading = true;
     const arrivals = (async () => {
       for (; loading; load += 1) {
-        await submit(load, { ...SAVES, Pieces: 2, Cpus: 1 });
+        await submit(load, { ...CHECKPOINTING, Pieces: 2, Cpus: 1 });
         await new Promise((resolve) => setTimeout(resolve, 150));
       }
     })();
     const gone = () => before.filter((name) => !cloud.workers.has(name)).length;
-    // Two leaders are killed, and at those moments a machine that is to be drained and a replacement die.
+    // Two leaders are killed, and at those moments a machine of the drain and a replacement die.
     for (const part of [0.25, 0.6]) {
       await until(() => gone() >= before.length * part);
       await killAndRestart(leader()!);
@@ -124,16 +127,16 @@
     expect(list.out).toMatch(/^whole: done/);
   }, 120_000);
 
-  it('goes on within the rate of a slow state service, and users are served beside it', async () => {
+  it('stays within the rate of a slow key-value store, while users are served', async () => {
     const { cloud, processes, state } = await startFleet(20, {
       state: { rps: 150, write_rps: 20, value_kb: 1, txn_ops: 3 },
     });
     state.limits = { valueBytes: 1024, txnOps: 3, writeRps: 20 };
     const at = processes[0]!.api;
     cloud.runMsOf = (task) => (task.startsWith('job-000004') ? null : 300);
-    expect((await post(at, '/api/jobs', body('job-000004', { ...SAVES, Pieces: 6 })))?.status).toBe(
-      201,
-    );
+    expect(
+      (await post(at, '/api/jobs', body('job-000004', { ...CHECKPOINTING, Pieces: 6 })))?.status,
+    ).toBe(201);
     await until(
       () => [...cloud.workers.values()].reduce((sum, w) => sum + w.running().length, 0) === 6,
     );
@@ -162,8 +165,8 @@
   }, 60_000);
 });
 
-describe('the commands', () => {
-  it('say in one line what is wrong, with an exit code for each kind', async () => {
+describe('the drain commands', () => {
+  it('tell errors in one line, with an exit code for each kind', async () => {
     const { processes, state } = await startFleet(4);
     const at = processes[0]!.api;
     const run = (...args: string[]) => runCommand(directory, ['drain', ...args]);
@@ -190,7 +193,7 @@
     expect((await run('budgets', '--at', at)).out).toBe(
       'team blue: 0 disrupted of 2\nteam green: 0 disrupted of 1\n',
     );
-    // Half up: the state service is away, and nobody leads. Answered at once, with another exit code.
+    // Without the key-value store nobody leads: answered at once, with another exit code.
     state.down = true;
     const later = await until(async () => {
       const answer = await run('list', '--at', at);
@@ -201,7 +204,7 @@
     expect(reply?.headers['retry-after']).toBeDefined();
   }, 60_000);
 
-  it('and a file with a fault ends the start with exit code 2 and one line', async () => {
+  it('refuse a faulty file at start-up with exit code 2 and one line', async () => {
     const file = join(directory, 'bad.scm');
     await writeFile(file, '(drain (budgets (team red (at-once 1))))');
     const settings = join(directory, 'plain.json');
--- a/packages/drain/test/plain-model.test.ts
+++ b/packages/drain/test/plain-model.test.ts
@@ -1,4 +1,4 @@
-/** The planner's order and the budget ledger against their plain models, on drawn fleets and histories. */
+/** The order of candidates and the budget ledger against plain models, on drawn inputs. */
 import type {
   AttemptView,
   FleetView,
@@ -17,9 +17,9 @@
 import { rankCandidates } from '../src/core/machine-selection.js';
 import {
   hasRoom,
+  isDrainedBefore,
   type PlainDisruption,
   type PlainLimits,
-  takenBefore,
 } from './support/plain-model.js';
 import { settingsOf } from './support/settings.js';
 
@@ -68,15 +68,15 @@
     })),
   ) as fc.Arbitrary<unknown> as fc.Arbitrary<MachineView[]>;
 
-describe('the order in which machines are taken', () => {
-  it('is that of the plain model', () => {
+describe('rankCandidates', () => {
+  it('orders machines as the plain model does', () => {
     fc.assert(
       fc.property(machines, (drawn) => {
         const now = 100_000;
         const order = rankCandidates(drawn, LET_END_S, moment(now)).map(({ machine }) => machine);
         expect(order).toHaveLength(drawn.length);
         for (let i = 1; i < order.length; i += 1) {
-          expect(takenBefore(order[i - 1]!, order[i]!, LET_END_S, now)).toBe(true);
+          expect(isDrainedBefore(order[i - 1]!, order[i]!, LET_END_S, now)).toBe(true);
         }
       }),
       { numRuns: 500 },
@@ -135,7 +135,7 @@
 const TASKS = 12;
 const action = fc.oneof(
   fc.record({
-    kind: fc.constantFrom('disrupt', 'again', 'suffer'),
+    kind: fc.constantFrom('disrupt', 'resume', 'lose'),
     index: fc.integer({ min: 0, max: TASKS - 1 }),
   }),
   fc.record({ kind: fc.constant('wait'), index: fc.integer({ min: 100, max: 40_000 }) }),
@@ -155,8 +155,8 @@
     l.window === null ? '' : `(within ${l.window.seconds} ${l.window.count})`,
   ].join(' ');
 
-describe('the budget ledger', () => {
-  it('grants just what the plain model has room for, over drawn histories of a team and its class', () => {
+describe('BudgetLedger', () => {
+  it('grants what the plain model has room for, and nothing else, over drawn histories', () => {
     let granted = 0;
     let refused = 0;
     fc.assert(
@@ -177,10 +177,10 @@
             ledger.update(tasks.fleet, moment(now));
             const on = tasks.attemptOf(index);
             const openHere = list.find((d) => d.open && d.index === index);
-            if (kind === 'again' && openHere && !on) {
+            if (kind === 'resume' && openHere && !on) {
               tasks.run(index);
               openHere.open = false;
-            } else if (kind === 'suffer' && on) {
+            } else if (kind === 'lose' && on) {
               ledger.recordInvoluntary(on, moment(now));
               tasks.stop(index);
               list.push({ team: 'blue', jobClass: 'settle', at: now, open: true, index });
--- a/packages/drain/test/recovery.test.ts
+++ b/packages/drain/test/recovery.test.ts
@@ -1,11 +1,11 @@
-/** Drains while leaders end, services are out, and the machines that are drained get into trouble. */
+/** Drains through failovers, outages of services, and faults of the machines that are drained. */
 import { describe, expect, it } from 'vitest';
 import { CHECKPOINTING, DrainFleet, inZone } from './support/drain-fleet.js';
 
 const BUDGET_1 = '(drain (let-end-s 5) (ready-timeout-s 60) (budgets (team blue (at-once 1))))';
 
 /** Two machines, each with a task that saves, to be replaced one by one. */
-const begun = (settings = BUDGET_1, cloudUnavailable = false): DrainFleet => {
+const startDrain = (settings = BUDGET_1, cloudUnavailable = false): DrainFleet => {
   const fleet = new DrainFleet(inZone(2), settings);
   fleet.submit('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 2 });
   fleet.run(4000);
@@ -14,38 +14,38 @@
   return fleet;
 };
 
-/** Every machine was returned once, replaced once, and no task was lost, doubled or stopped more often than drained. */
-const expectWhole = (fleet: DrainFleet, hires = 2): void => {
+/** Each machine was returned and replaced once, and no task was lost or ran twice. */
+const expectCompleted = (fleet: DrainFleet, provisioned = 2): void => {
   expect(fleet.problems).toEqual([]);
   expect(fleet.cloud.returned.filter((id) => id < 'n-0002').sort()).toEqual(['n-0000', 'n-0001']);
   const names = [...fleet.cloud.provisioned.keys()].filter((name) => name.startsWith('drain-'));
-  expect(names, [...fleet.cloud.provisioned].join(' ')).toHaveLength(hires);
+  expect(names, [...fleet.cloud.provisioned].join(' ')).toHaveLength(provisioned);
   fleet.run(5000);
   for (const name of ['job-1/0', 'job-1/1']) expect(fleet.holderOf(name), name).not.toBeNull();
   expect(fleet.status('swap')).toMatchObject({ status: 'done', returned: 2, failed: 0 });
 };
 
-const writesOfAll = (): number => {
-  const fleet = begun();
+const countWritesOfDrain = (): number => {
+  const fleet = startDrain();
   fleet.until(() => fleet.drainPhase('swap') === 'done');
-  expectWhole(fleet);
+  expectCompleted(fleet);
   return fleet.store.writes.length;
 };
 
-describe('a leader that ends', () => {
-  it('between any two changes of a drain is followed by one that goes on at the same step', () => {
-    const all = writesOfAll();
+describe('a failover', () => {
+  it('between any two changes of a drain goes on at the same step', () => {
+    const all = countWritesOfDrain();
     expect(all).toBeGreaterThan(12);
     for (let write = 2; write <= all; write += 1) {
       for (const endLeaderAfterWrite of [false, true]) {
-        const fleet = begun();
+        const fleet = startDrain();
         Object.assign(fleet.faults, { endLeaderAtWrite: write, endLeaderAfterWrite });
-        const mostOpen = () => {
+        const expectOneOpenAtMost = () => {
           const open = ['job-1/0', 'job-1/1'].filter((name) => fleet.holderOf(name) === null);
           expect(open.length, `write ${write}`).toBeLessThanOrEqual(1);
         };
         fleet.until(() => {
-          mostOpen();
+          expectOneOpenAtMost();
           return fleet.hasLeaderEnded || fleet.drainPhase('swap') === 'done';
         });
         fleet.faults.endLeaderAtWrite = 0;
@@ -54,15 +54,15 @@
           fleet.failOver();
         }
         fleet.until(() => {
-          mostOpen();
+          expectOneOpenAtMost();
           return fleet.drainPhase('swap') === 'done';
         });
-        expectWhole(fleet);
+        expectCompleted(fleet);
       }
     }
   }, 60_000);
 
-  it('leaves what it disrupted counted: its successor stops no more until that runs again', () => {
+  it('keeps disruptions counted: the new leader stops no more until their work runs again', () => {
     const fleet = new DrainFleet(inZone(3), BUDGET_1);
     fleet.submit('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 3 });
     fleet.run(4000);
@@ -80,8 +80,8 @@
     fleet.until(() => fleet.workers.stops.length === 2);
   });
 
-  it('and gives way to one of the version before it for a while: that one ignores the records, and hands them back', () => {
-    const fleet = begun();
+  it('to a version without the package leaves the records as they are, and back goes on from them', () => {
+    const fleet = startDrain();
     fleet.until(
       () => fleet.machinePhase('swap', 'n-0000') === 'draining' || fleet.cloud.returned.length > 0,
     );
@@ -91,13 +91,13 @@
     expect(JSON.stringify([...fleet.store.records])).toBe(records);
     fleet.failOver();
     fleet.until(() => fleet.drainPhase('swap') === 'done');
-    expectWhole(fleet);
+    expectCompleted(fleet);
   });
 });
 
-describe('what cannot be read', () => {
-  it('pauses its drain, is logged, and leaves the others alone', () => {
-    const fleet = begun();
+describe('a record that cannot be read', () => {
+  it('pauses its drain and leaves the others alone', () => {
+    const fleet = startDrain();
     fleet.until(
       () =>
         fleet.machinePhase('swap', 'n-0000') !== null ||
@@ -123,9 +123,9 @@
   });
 });
 
-describe('outages in mid step', () => {
-  it('of the state service: nothing is stopped, returned or rented that is not stored', () => {
-    const fleet = begun();
+describe('an outage in the middle of a step', () => {
+  it('of the key-value store lets nothing be stopped, returned or provisioned that is not stored', () => {
+    const fleet = startDrain();
     // The first request's name was stored with the drain.
     expect(fleet.cloud.provisioned.size).toBe(1);
     fleet.faults.storeUnavailable = true;
@@ -142,11 +142,11 @@
     expect(fleet.cloud.returned).toEqual([]);
     fleet.faults.storeUnavailable = false;
     fleet.until(() => fleet.drainPhase('swap') === 'done');
-    expectWhole(fleet);
+    expectCompleted(fleet);
   });
 
-  it('of the cloud, and lost answers to rentals and returns: asked again under the same names', () => {
-    const fleet = begun(BUDGET_1, true);
+  it('of the cloud, and lost answers, repeat provision requests and returns under the same ids', () => {
+    const fleet = startDrain(BUDGET_1, true);
     fleet.run(40_000);
     expect(fleet.status('swap').machines[0]?.blocked?.kind).toBe('replacement-booting');
     Object.assign(fleet.faults, {
@@ -159,11 +159,11 @@
     fleet.run(20_000);
     fleet.faults.cloudUnavailable = false;
     fleet.until(() => fleet.drainPhase('swap') === 'done');
-    expectWhole(fleet);
+    expectCompleted(fleet);
   });
 
-  it('a return whose answer is lost with its leader is sent again, and its machine gets no work meanwhile', () => {
-    const fleet = begun();
+  it('of the cloud during a failover repeats the return, and its machine gets no work meanwhile', () => {
+    const fleet = startDrain();
     fleet.until(() =>
       [...fleet.store.records.values()].some(
         (r) => (r as { phase?: string }).phase === 'returning',
@@ -185,8 +185,8 @@
   });
 });
 
-describe('a machine that is being drained', () => {
-  const half = (): { fleet: DrainFleet; id: string } => {
+describe('a machine of a drain', () => {
+  const startHalfDrained = (): { fleet: DrainFleet; id: string } => {
     const fleet = new DrainFleet(inZone(2), BUDGET_1);
     fleet.submit('job-1', { cpus: 8 });
     fleet.run(3000);
@@ -196,8 +196,8 @@
     return { fleet, id };
   };
 
-  it('and is cut off for good counts as lost, its work runs again elsewhere', () => {
-    const { fleet, id } = half();
+  it('counts as failed when it is cut off for good, and its work runs again elsewhere', () => {
+    const { fleet, id } = startHalfDrained();
     fleet.workers.machines.get(id)!.unreachableUntil = Number.POSITIVE_INFINITY;
     fleet.until(() => fleet.holderOf('job-1/0') !== id && fleet.holderOf('job-1/0') !== null);
     fleet.until(() => fleet.drainPhase('out') === 'done');
@@ -205,8 +205,8 @@
     expect(fleet.problems).toEqual([]);
   });
 
-  it('and hears nothing loses its work with its lease; that runs again elsewhere, and the machine goes', () => {
-    const { fleet, id } = half();
+  it('loses its work with its lease when nothing reaches it; the work runs elsewhere, and it leaves', () => {
+    const { fleet, id } = startHalfDrained();
     fleet.workers.machines.get(id)!.receivesNothing = true;
     fleet.until(() => fleet.drainPhase('out') === 'done');
     const { returned, failed } = fleet.status('out');
@@ -216,7 +216,7 @@
     expect(fleet.problems).toEqual([]);
   });
 
-  it('or was to be, and is lost before its step, counts as lost too', () => {
+  it('counts as failed when it is lost before its step', () => {
     const fleet = new DrainFleet(inZone(3));
     fleet.submit('job-1', { cpus: 8, tasks: 3 });
     fleet.run(3000);
@@ -233,8 +233,8 @@
     expect(fleet.status('out')).toMatchObject({ returned: 2, failed: 1 });
   });
 
-  it('and comes back late goes on where it was', () => {
-    const { fleet, id } = half();
+  it('goes on where it was when it comes back late', () => {
+    const { fleet, id } = startHalfDrained();
     fleet.workers.machines.get(id)!.unreachableUntil = fleet.now + 5000;
     fleet.workers.runMs.set('job-1', 40_000);
     fleet.until(() => fleet.drainPhase('out') === 'done');
@@ -243,7 +243,7 @@
     expect(fleet.workers.starts).toHaveLength(1);
   });
 
-  it('and gets a spot notice is left to it; what is lost counts against the budget', () => {
+  it('is left to its reclaim notice, and the work that it loses counts against the budget', () => {
     const fleet = new DrainFleet(inZone(2), BUDGET_1);
     fleet.submit('job-1', { cpus: 8 });
     fleet.submit('job-2', { cpus: 8 });
@@ -263,8 +263,8 @@
     expect(fleet.status('out')).toMatchObject({ returned: 0, failed: 1 });
   });
 
-  it('and starts anew loses what ran on it, which counts until it runs again', () => {
-    const { fleet, id } = half();
+  it('loses its work when it restarts, which counts until it runs again', () => {
+    const { fleet, id } = startHalfDrained();
     fleet.workers.restart(id);
     fleet.run(6000);
     fleet.until(() => fleet.drainPhase('out') === 'done');
--- a/packages/drain/test/steps.test.ts
+++ b/packages/drain/test/steps.test.ts
@@ -1,14 +1,14 @@
-/** A drain's steps, and what is done when they are disturbed. */
+/** The steps of drains, their replacements, and disruption budgets. */
 import { describe, expect, it } from 'vitest';
 import { CHECKPOINTING, DrainFleet, inZone } from './support/drain-fleet.js';
 
 const BUDGET_1 = '(drain (let-end-s 5) (budgets (team blue (at-once 1))))';
 
-const spread = (fleet: DrainFleet) =>
+const tasksByMachine = (fleet: DrainFleet) =>
   [...fleet.workers.machines.keys()].map((id) => fleet.tasksOn(id).length);
 
 describe('a drain', () => {
-  it('replaces machines step by step: replacement ready, cordon, stops, return, and only then the next', () => {
+  it('replaces machines step by step, and begins a step only when the work of the last runs again', () => {
     const fleet = new DrainFleet(inZone(3));
     fleet.submit('job-1', { ...CHECKPOINTING, tasks: 4 });
     fleet.run(5000);
@@ -19,7 +19,7 @@
     expect(fleet.cloud.provisioned.size).toBe(3);
     expect(fleet.workers.machines.size).toBe(3);
     expect(fleet.holderOf('job-1/3')).not.toBeNull();
-    expect(spread(fleet).reduce((a, b) => a + b)).toBe(4);
+    expect(tasksByMachine(fleet).reduce((a, b) => a + b)).toBe(4);
     // The idle one went first, then each of the others: four tasks stopped once each.
     expect(fleet.workers.stops).toHaveLength(4);
     for (const { task } of fleet.workers.stops)
@@ -36,7 +36,7 @@
     expect([...fleet.store.records.keys()]).toEqual(['d/swap']);
   });
 
-  it('takes machines whose loss disturbs least first: idle, then what saves, then what ends', () => {
+  it('takes the least disturbing machines first: idle, then checkpointing, then finishing ones', () => {
     const fleet = new DrainFleet(inZone(3));
     fleet.submit('job-1', { cpus: 8, estimateS: 100 });
     fleet.run(3000);
@@ -50,7 +50,7 @@
     expect(fleet.store.records.size).toBe(0);
   });
 
-  it('lets work that ends soon, or does not save, run to its end', () => {
+  it('lets work that ends soon, or writes no checkpoints, run to its end', () => {
     const fleet = new DrainFleet(inZone(2));
     fleet.submit('job-1', { cpus: 8, estimateS: 30 });
     fleet.workers.runMs.set('job-1', 30_000);
@@ -68,7 +68,7 @@
     expect(fleet.cloud.provisioned.size).toBe(0);
   });
 
-  it('moves a replica when room for it is held elsewhere, and never before', () => {
+  it('evicts a replica once capacity for it is reserved elsewhere, and never before', () => {
     const fleet = new DrainFleet(inZone(2));
     fleet.submit('job-1', { shape: 'service', cpus: 6, estimateS: 0 });
     fleet.submit('job-2', { cpus: 6 });
@@ -85,7 +85,7 @@
     expect(fleet.problems).toEqual([]);
   });
 
-  it('gives no room to new work on a cordoned machine, and puts it back into use when cancelled half empty', () => {
+  it('places no work on a cordoned machine, and uncordons it when cancelled half empty', () => {
     const fleet = new DrainFleet(inZone(2));
     fleet.submit('job-1', { cpus: 4, tasks: 2 });
     fleet.run(3000);
@@ -125,7 +125,7 @@
     expect(fleet.store.completions.get('job-1')).toBe('cancelled');
   });
 
-  it('pauses at its deadline instead of forcing, and goes on when resumed', () => {
+  it('pauses at its deadline instead of stopping more work, and goes on when resumed', () => {
     const fleet = new DrainFleet(inZone(2));
     fleet.submit('job-1', { cpus: 8 });
     fleet.run(3000);
@@ -142,7 +142,7 @@
     fleet.until(() => fleet.drainPhase('out') === 'done');
   });
 
-  it('is refused when it would leave the head without any machine that could ever fit it', () => {
+  it('is refused when it would leave no machine that the head of the queue ever fits', () => {
     const fleet = new DrainFleet([...inZone(1, 'a'), ...inZone(1, 'b')]);
     fleet.submit('job-1', { cpus: 8, zone: 'b', tasks: 2 });
     fleet.run(3000);
@@ -165,7 +165,7 @@
 });
 
 describe('a replacement', () => {
-  const started = (): DrainFleet => {
+  const startFleet = (): DrainFleet => {
     const fleet = new DrainFleet(
       inZone(1),
       '(drain (let-end-s 5) (ready-timeout-s 30) (stalled-after-s 20))',
@@ -175,8 +175,8 @@
     return fleet;
   };
 
-  it('that never becomes ready is given up for another under a new name; until then the machine works on', () => {
-    const fleet = started();
+  it('is given up for another request when it never becomes ready; the machine works on meanwhile', () => {
+    const fleet = startFleet();
     fleet.faults.neverBoot = true;
     fleet.start('swap', { select: { all: true } });
     fleet.run(25_000);
@@ -196,8 +196,8 @@
     expect(fleet.problems).toEqual([]);
   });
 
-  it('that is refused for capacity is asked for again under the same name, and the status says so', () => {
-    const fleet = started();
+  it('is requested again under the same id when capacity is lacking, and the status says so', () => {
+    const fleet = startFleet();
     fleet.faults.refuseProvisioning = true;
     fleet.start('swap', { select: { all: true } });
     fleet.run(30_000);
@@ -210,7 +210,7 @@
     expect(fleet.cloud.provisioned.size).toBe(1);
   });
 
-  it('rented together with others may be fewer than asked for: the rest is asked for anew', () => {
+  it('is requested anew when the cloud provisions fewer machines than requested together', () => {
     const fleet = new DrainFleet(inZone(5));
     fleet.submit('job-1', { ...CHECKPOINTING, tasks: 10 });
     fleet.run(4000);
@@ -225,7 +225,7 @@
     expect(fleet.problems).toEqual([]);
   });
 
-  it('that dies once ready is replaced in turn; the drained machine is in use meanwhile', () => {
+  it('is replaced in turn when it is lost once ready; the drained machine is in use meanwhile', () => {
     const fleet = new DrainFleet(inZone(1));
     fleet.submit('job-1', { cpus: 4 });
     fleet.run(3000);
@@ -243,8 +243,8 @@
     expect(fleet.problems).toEqual([]);
   });
 
-  it('is not returned for lack of work before its machine is drained', () => {
-    const fleet = started();
+  it('is not scaled in for idleness before its machine is drained', () => {
+    const fleet = startFleet();
     fleet.start('swap', { select: { all: true } });
     fleet.until(() => (fleet.machinePhase('swap', 'n-0000') ?? 'waiting') !== 'waiting');
     const id = fleet.status('swap').machines[0]!.replacement as never;
@@ -255,8 +255,8 @@
   });
 });
 
-describe('budgets', () => {
-  it('hold up a drain that begins while a team is at its budget, until its work runs again', () => {
+describe('a disruption budget', () => {
+  it('holds up a drain that begins while it is used up, until the work runs again', () => {
     const fleet = new DrainFleet(inZone(3), BUDGET_1);
     fleet.submit('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 3 });
     fleet.run(4000);
@@ -280,7 +280,7 @@
     expect(fleet.workers.stops).toHaveLength(1);
   });
 
-  it('of 0 block and say so', () => {
+  it('of 0 blocks the drain, and the status says so', () => {
     const fleet = new DrainFleet(
       inZone(2),
       '(drain (let-end-s 5) (budgets (team blue (at-once 0))))',
@@ -297,7 +297,7 @@
     expect(fleet.workers.stops).toEqual([]);
   });
 
-  it('of 0 for one class hold up its machines last: all others go first', () => {
+  it('of 0 for one job class has the machines of that class drained last', () => {
     const settings = '(drain (let-end-s 5) (budgets (team blue (class settle (at-once 0)))))';
     const fleet = new DrainFleet(inZone(4), settings);
     fleet.submit('job-1', { ...CHECKPOINTING, cpus: 8, jobClass: 'settle' });
@@ -310,7 +310,7 @@
     expect(fleet.holderOf('job-1/0')).toBe(kept);
   });
 
-  it('that shrink below what is in use start nothing new', () => {
+  it('that is lowered below its use lets nothing new be stopped', () => {
     const fleet = new DrainFleet(
       inZone(4),
       '(drain (let-end-s 5) (budgets (team blue (at-once 2))))',
@@ -327,7 +327,7 @@
     expect(fleet.call('budgets').body.budgets).toMatchObject([{ disrupted: 2, atOnce: 1 }]);
   });
 
-  it('hold for a class, for a share, and within a window', () => {
+  it('holds for a job class, for a share, and within a window', () => {
     const settings = `(drain (let-end-s 5) (budgets
       (team blue (at-once-share 0.5) (within 300 3) (class settle (at-once 0)))))`;
     const fleet = new DrainFleet(inZone(4), settings);
@@ -357,7 +357,7 @@
     expect(fleet.now - first).toBeGreaterThan(299_000);
   });
 
-  it('are used up by a lost zone: the drain waits, and goes on after', () => {
+  it('is used up by a lost zone: the drain waits until the work runs again', () => {
     const fleet = new DrainFleet([...inZone(2, 'a'), ...inZone(2, 'b')], BUDGET_1);
     fleet.submit('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 4 });
     fleet.run(4000);
@@ -376,7 +376,7 @@
     expect(fleet.problems).toEqual([]);
   });
 
-  it('also hold for replicas that leave a machine which fails jobs: the gate is one', () => {
+  it('also holds for replicas that the core evicts from a machine that fails jobs', () => {
     const fleet = new DrainFleet(inZone(3), '(drain (budgets (team blue (at-once 0))))');
     fleet.submit('job-1', { shape: 'service', cpus: 2, estimateS: 0 });
     fleet.run(4000);
@@ -390,8 +390,8 @@
   });
 });
 
-describe('two drains for the same machines', () => {
-  it('share the budget and take each machine once', () => {
+describe('two drains of the same machines', () => {
+  it('share the budget and return each machine once', () => {
     const fleet = new DrainFleet(inZone(3), BUDGET_1);
     fleet.submit('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 3 });
     fleet.run(4000);
--- a/packages/drain/test/support/history-checker.ts
+++ b/packages/drain/test/support/history-checker.ts
@@ -1,4 +1,4 @@
-/** Checks what the machines' own history says of budgets: not by what the code under test believes. */
+/** Checks the machines' own history against the budgets, not what the code under test believes. */
 import type { TaskEvent } from '../../../../test/stand-ins/cloud.js';
 
 /** The most tasks of each team that were stopped at a time and did not run again yet. */
--- a/packages/drain/test/support/plain-model.ts
+++ b/packages/drain/test/support/plain-model.ts
@@ -1,33 +1,41 @@
-/** Slow and plain: what the planner's order and the budgets mean, written down directly, for comparison with the real ones. */
+/**
+ * Plain models of the order of candidates and of the budgets: slow, written down directly from the
+ * design note, for comparison with the real ones.
+ */
 import type { AttemptView, MachineView } from '@robinspread/extension-api';
 
 /** What a task needs to leave its machine, by the letter of the design note. */
-const wayOut = (
-  a: AttemptView,
+const exitOf = (
+  attempt: AttemptView,
   letEndS: number,
   now: number,
-): 'ends' | 'saves' | 'moves' | 'leaving' => {
-  const { job } = a;
-  if (a.stopRequest !== null || job === null || job.terminalState !== 'none' || a.isSuperseded)
-    return 'leaving';
+): 'finishes' | 'checkpoints' | 'moves' | 'stopping' => {
+  const { job } = attempt;
+  if (
+    attempt.stopRequest !== null ||
+    job === null ||
+    job.terminalState !== 'none' ||
+    attempt.isSuperseded
+  )
+    return 'stopping';
   if (job.spec.shape === 'service') return 'moves';
-  const ran = a.startedAt === null ? 0 : now - a.startedAt;
+  const ran = attempt.startedAt === null ? 0 : now - attempt.startedAt;
   const left = Math.max(0, job.spec.estimateS * 1000 - ran);
-  return job.spec.checkpointIntervalS > 0 && left > letEndS * 1000 ? 'saves' : 'ends';
+  return job.spec.checkpointIntervalS > 0 && left > letEndS * 1000 ? 'checkpoints' : 'finishes';
 };
 
-const lastEnd = (machine: MachineView, letEndS: number, now: number): number => {
+const lastFinishMs = (machine: MachineView, letEndS: number, now: number): number => {
   let last = 0;
-  for (const a of machine.placements.values()) {
-    if (a.phase === 'ended' || wayOut(a, letEndS, now) !== 'ends') continue;
-    const ran = a.startedAt === null ? 0 : now - a.startedAt;
-    last = Math.max(last, a.job!.spec.estimateS * 1000 - ran);
+  for (const attempt of machine.placements.values()) {
+    if (attempt.phase === 'ended' || exitOf(attempt, letEndS, now) !== 'finishes') continue;
+    const ran = attempt.startedAt === null ? 0 : now - attempt.startedAt;
+    last = Math.max(last, attempt.job!.spec.estimateS * 1000 - ran);
   }
   return Math.max(0, last);
 };
 
 /** True when the first machine is to be taken before the second. */
-export const takenBefore = (
+export const isDrainedBefore = (
   one: MachineView,
   other: MachineView,
   letEndS: number,
@@ -35,15 +43,15 @@
 ): boolean => {
   const ways = (m: MachineView) =>
     [...m.placements.values()]
-      .filter((a) => a.phase !== 'ended')
-      .map((a) => wayOut(a, letEndS, now));
+      .filter((attempt) => attempt.phase !== 'ended')
+      .map((attempt) => exitOf(attempt, letEndS, now));
   const rank = (m: MachineView) => {
     const all = ways(m);
     if (all.length === 0) return 0;
-    return all.every((way) => way === 'saves' || way === 'leaving') ? 1 : 2;
+    return all.every((way) => way === 'checkpoints' || way === 'stopping') ? 1 : 2;
   };
   if (rank(one) !== rank(other)) return rank(one) < rank(other);
-  const ends = [lastEnd(one, letEndS, now), lastEnd(other, letEndS, now)] as const;
+  const ends = [lastFinishMs(one, letEndS, now), lastFinishMs(other, letEndS, now)] as const;
   if (ends[0] !== ends[1]) return ends[0] < ends[1];
   const moves = [one, other].map((m) => ways(m).filter((way) => way === 'moves').length) as [
     number,
@@ -61,6 +69,7 @@
   open: boolean;
 }
 
+/** The limits of one scope. */
 export interface PlainLimits {
   readonly count: number | null;
   readonly share: number | null;
--- a/packages/drain/test/support/settings.ts
+++ b/packages/drain/test/support/settings.ts
@@ -4,6 +4,7 @@
 
 const TEAMS = new Set(['blue', 'green']);
 
+/** The settings of a file; throws when it is faulty. */
 export const settingsOf = (text: string): DrainSettings => {
   const settings = parseDrainSettings(text, TEAMS);
   if ('fault' in settings) throw new Error(settings.fault);
--- a/scripts/measure-drain.mjs
+++ b/scripts/measure-drain.mjs
@@ -1,5 +1,9 @@
-// Measures drains of a fleet of stand-in workers on loopback, one way after the other; prints one line of JSON for each.
-// Usage: node scripts/measure-drain.mjs [MACHINES] [SEED] [WAY...]
+/**
+ * Measures drains of a fleet of stand-in workers on loopback, one way after the other; prints one
+ * line of JSON for each.
+ *
+ * Usage: node scripts/measure-drain.mjs [MACHINES] [SEED] [WAY...]
+ */
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { join } from 'node:path';
