--- a/packages/drain/test/input.test.ts
+++ b/packages/drain/test/input.test.ts
@@ -112,6 +112,7 @@
       [{ machines: ['n-0000', 'n-77'] }, 'field select.machines: unknown machine n-77'],
       [{ spot: true }, 'field select: no machine meets it'],
     ] as const;
+
     for (const [select, error] of refusals) {
       expect(fleet.start('out', { select })).toMatchObject({ status: 422, body: { error } });
     }
@@ -123,12 +124,14 @@
 
   it('may be repeated with the same body; another body under its name is refused', () => {
     const fleet = new DrainFleet(inZone(2));
+
     expect(fleet.start('out', { select: { all: true } }).status).toBe(201);
     expect(fleet.start('out', { select: { all: true }, atOnce: 1, replace: true }).status).toBe(
       200,
     );
     expect(fleet.start('out', { select: { all: true }, atOnce: 2 }).status).toBe(409);
     fleet.until(() => fleet.drainPhase('out') === 'done');
+
     expect(fleet.start('out', { select: { all: true } })).toMatchObject({
       status: 200,
       body: { status: 'done' },
@@ -139,7 +142,9 @@
   it('is refused, naming the field, when it has more names than a record holds', () => {
     const fleet = new DrainFleet(inZone(120));
     const machines = [...fleet.workers.machines.keys()];
+
     const refused = fleet.start('out', { select: { machines } });
+
     expect(refused.status).toBe(422);
     expect(refused.body.error).toMatch(/^field select.machines: more names/);
   });
--- a/packages/drain/test/large-fleet.test.ts
+++ b/packages/drain/test/large-fleet.test.ts
@@ -16,6 +16,7 @@
       return (counting.visited - before) / FLEET / 4;
     };
     const idle = countWalks();
+
     expect(
       fleet.start('all', { select: { all: true }, atOnceShare: 0.01, replace: false }).status,
     ).toBe(201);
@@ -29,6 +30,7 @@
     for (const answer of [told, plan.body])
       expect(JSON.stringify(answer).length).toBeLessThan(60_000);
     fleet.until(() => fleet.cloud.returned.length >= 120);
+
     expect(fleet.problems).toEqual([]);
   }, 120_000);
 
@@ -47,8 +49,10 @@
       return (counting.visited - before) / 20;
     };
     const idle = countWalks();
+
     fleet.start('part', { select: { all: true }, atOnceShare: 0.5, replace: false });
     fleet.until(() => fleet.workers.stops.length >= 20);
+
     // 500 machines with 1,000 tasks are cordoned; walks over the jobs follow what is granted,
     // not what asks.
     expect(countWalks() - idle).toBeLessThan(1000);
--- a/packages/drain/test/recovery.test.ts
+++ b/packages/drain/test/recovery.test.ts
@@ -67,6 +67,7 @@
     fleet.submit('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 3 });
     fleet.run(4000);
     fleet.faults.refuseProvisioning = true;
+
     fleet.start('out', { select: { all: true }, atOnce: 3, replace: false });
     fleet.until(() => fleet.workers.stops.length === 1);
     fleet.failOver();
@@ -116,9 +117,11 @@
       status: 'paused',
       why: 'its record cannot be read',
     });
+
     expect(fleet.start('other', { select: { all: true } }).status).toBe(409);
     expect(fleet.start('third', { select: { all: true } }).status).toBe(201);
     fleet.until(() => fleet.drainPhase('third') === 'done');
+
     expect(fleet.problems).toEqual([]);
   });
 });
@@ -177,6 +180,7 @@
     fleet.submit('job-2', { cpus: 1, tasks: 4 });
     fleet.run(15_000);
     expect(fleet.tasksOn(machine)).toEqual([]);
+
     expect(fleet.call('cancel', 'swap').body).toMatchObject({ status: 'cancelled' });
     fleet.run(5000);
     expect(fleet.tasksOn(machine)).toEqual([]);
@@ -201,6 +205,7 @@
     fleet.workers.machines.get(id)!.unreachableUntil = Number.POSITIVE_INFINITY;
     fleet.until(() => fleet.holderOf('job-1/0') !== id && fleet.holderOf('job-1/0') !== null);
     fleet.until(() => fleet.drainPhase('out') === 'done');
+
     expect(fleet.status('out')).toMatchObject({ returned: 0, failed: 1 });
     expect(fleet.problems).toEqual([]);
   });
@@ -213,6 +218,7 @@
     expect(returned + failed).toBe(1);
     expect(fleet.workers.machines.has(id)).toBe(false);
     fleet.until(() => fleet.holderOf('job-1/0') !== null);
+
     expect(fleet.problems).toEqual([]);
   });
 
@@ -220,6 +226,7 @@
     const fleet = new DrainFleet(inZone(3));
     fleet.submit('job-1', { cpus: 8, tasks: 3 });
     fleet.run(3000);
+
     fleet.start('out', { select: { all: true }, atOnce: 1 });
     fleet.until(() => fleet.status('out').machines[0]?.state === 'cordoned');
     const taken = fleet.status('out').machines[0]!.name;
@@ -230,6 +237,7 @@
     );
     fleet.workers.runMs.set('job-1', 0);
     fleet.until(() => fleet.drainPhase('out') === 'done');
+
     expect(fleet.status('out')).toMatchObject({ returned: 2, failed: 1 });
   });
 
@@ -238,6 +246,7 @@
     fleet.workers.machines.get(id)!.unreachableUntil = fleet.now + 5000;
     fleet.workers.runMs.set('job-1', 40_000);
     fleet.until(() => fleet.drainPhase('out') === 'done');
+
     expect(fleet.status('out')).toMatchObject({ returned: 1, failed: 0 });
     expect(fleet.store.completions.get('job-1')).toBe('done');
     expect(fleet.workers.starts).toHaveLength(1);
@@ -250,6 +259,7 @@
     fleet.run(3000);
     fleet.faults.refuseProvisioning = true;
     const id = fleet.holderOf('job-1/0')!;
+
     fleet.start('out', { select: { machines: [id] }, replace: false });
     fleet.run(2000);
     fleet.workers.machines.get(id)!.reclaimedAt = fleet.now + 10_000;
@@ -260,6 +270,7 @@
     ]);
     fleet.faults.refuseProvisioning = false;
     fleet.until(() => fleet.drainPhase('out') === 'done');
+
     expect(fleet.status('out')).toMatchObject({ returned: 0, failed: 1 });
   });
 
@@ -270,6 +281,7 @@
     fleet.until(() => fleet.drainPhase('out') === 'done');
     expect(fleet.holderOf('job-1/0')).not.toBe(id);
     fleet.run(2000);
+
     expect(fleet.call('budgets').body.budgets).toMatchObject([{ disrupted: 0 }]);
     expect(fleet.problems).toEqual([]);
   });
--- a/packages/drain/test/steps.test.ts
+++ b/packages/drain/test/steps.test.ts
@@ -8,11 +8,12 @@
   [...fleet.workers.machines.keys()].map((id) => fleet.tasksOn(id).length);
 
 describe('a drain', () => {
-  it('replaces machines step by step, and begins a step only when the work of the last runs again', () => {
+  it('replaces each machine once, step by step, and stops each task on it once', () => {
     const fleet = new DrainFleet(inZone(3));
     fleet.submit('job-1', { ...CHECKPOINTING, tasks: 4 });
     fleet.run(5000);
     const before = [...fleet.workers.machines.keys()];
+
     expect(fleet.start('swap', { select: { all: true }, atOnce: 1 }).status).toBe(201);
     fleet.until(() => fleet.drainPhase('swap') === 'done');
     expect(fleet.cloud.returned.sort()).toEqual(before);
@@ -33,6 +34,7 @@
     expect(fleet.problems).toEqual([]);
     // What is over leaves no records but its own.
     fleet.run(5000);
+
     expect([...fleet.store.records.keys()]).toEqual(['d/swap']);
   });
 
@@ -44,7 +46,9 @@
     fleet.run(3000);
     const [ends, saves] = ['job-1/0', 'job-2/0'].map((name) => fleet.holderOf(name));
     const idle = [...fleet.workers.machines.keys()].find((id) => fleet.tasksOn(id).length === 0);
+
     const { body } = fleet.call('plan', '', { select: { all: true } });
+
     expect((body.plan as { name: string }[]).map((m) => m.name)).toEqual([idle, saves, ends]);
     expect(body).toMatchObject({ machines: 3, steps: 3, refused: null });
     expect(fleet.store.records.size).toBe(0);
@@ -56,6 +60,7 @@
     fleet.workers.runMs.set('job-1', 30_000);
     fleet.run(3000);
     const holder = fleet.holderOf('job-1/0')!;
+
     fleet.start('out', { select: { machines: [holder] }, replace: false });
     fleet.run(8000);
     expect(fleet.status('out').machines[0]).toMatchObject({
@@ -63,6 +68,7 @@
       blocked: { kind: 'work-ends-by-itself' },
     });
     fleet.until(() => fleet.drainPhase('out') === 'done');
+
     expect(fleet.workers.stops).toEqual([]);
     expect(fleet.store.completions.get('job-1')).toBe('done');
     expect(fleet.cloud.provisioned.size).toBe(0);
@@ -75,12 +81,14 @@
     fleet.run(4000);
     const from = fleet.holderOf('job-1/0')!;
     fleet.faults.refuseProvisioning = true;
+
     fleet.start('out', { select: { machines: [from] }, replace: false });
     fleet.run(20_000);
     expect(fleet.holderOf('job-1/0')).toBe(from);
     expect(fleet.status('out').machines[0]?.blocked?.kind).toBe('replica-needs-room');
     fleet.workers.runMs.set('job-2', 0);
     fleet.until(() => fleet.drainPhase('out') === 'done');
+
     expect(fleet.workers.starts.filter((s) => s.task === 'job-1/0')).toHaveLength(2);
     expect(fleet.problems).toEqual([]);
   });
@@ -91,6 +99,7 @@
     fleet.run(3000);
     const holder = fleet.holderOf('job-1/0')!;
     fleet.workers.runMs.set('job-1', 60_000);
+
     fleet.start('out', { select: { machines: [holder] }, replace: false });
     fleet.run(3000);
     fleet.submit('job-2', { cpus: 8, tasks: 2 });
@@ -107,6 +116,7 @@
     expect(again.call('cancel', 'out').body).toMatchObject({ status: 'cancelled', machines: [] });
     again.submit('job-2', { cpus: 4, tasks: 3 });
     again.run(5000);
+
     expect(again.tasksOn('n-0000')).toHaveLength(2);
     expect(again.cloud.returned).toEqual([]);
     expect(again.call('resume', 'out').status).toBe(409);
@@ -117,10 +127,12 @@
     fleet.submit('job-1', { cpus: 8 });
     fleet.run(3000);
     const holder = fleet.holderOf('job-1/0')!;
+
     fleet.start('out', { select: { machines: [holder] }, replace: false });
     fleet.run(5000);
     fleet.cancel('job-1');
     fleet.until(() => fleet.drainPhase('out') === 'done');
+
     expect(fleet.cloud.returned).toEqual([holder]);
     expect(fleet.store.completions.get('job-1')).toBe('cancelled');
   });
@@ -130,6 +142,7 @@
     fleet.submit('job-1', { cpus: 8 });
     fleet.run(3000);
     const holder = fleet.holderOf('job-1/0')!;
+
     fleet.start('out', { select: { machines: [holder] }, replace: false, deadlineS: 20 });
     fleet.run(30_000);
     expect(fleet.status('out')).toMatchObject({ status: 'paused', why: 'its deadline has passed' });
@@ -156,7 +169,9 @@
       allowsSpot: false,
     });
     fleet.run(30_000);
+
     const refused = fleet.start('out', { select: { zone: 'b' }, replace: false });
+
     expect(refused.status).toBe(422);
     expect(refused.body.error).toMatch(/job-\d, the head of the queue/);
     expect(fleet.store.records.size).toBe(0);
@@ -178,6 +193,7 @@
   it('is given up for another request when it never becomes ready; the machine works on meanwhile', () => {
     const fleet = startFleet();
     fleet.faults.neverBoot = true;
+
     fleet.start('swap', { select: { all: true } });
     fleet.run(25_000);
     expect(fleet.status('swap')).toMatchObject({ status: 'stalled' });
@@ -191,6 +207,7 @@
     fleet.run(1000);
     expect(fleet.workers.stops).toEqual([]);
     fleet.until(() => fleet.drainPhase('swap') === 'done');
+
     expect(new Set(fleet.cloud.provisioned.values()).size).toBe(fleet.cloud.provisioned.size);
     expect(fleet.cloud.returned).toContain('n-0000');
     expect(fleet.problems).toEqual([]);
@@ -199,6 +216,7 @@
   it('is requested again under the same id when capacity is lacking, and the status says so', () => {
     const fleet = startFleet();
     fleet.faults.refuseProvisioning = true;
+
     fleet.start('swap', { select: { all: true } });
     fleet.run(30_000);
     expect(fleet.status('swap').machines[0]?.blocked?.text).toBe(
@@ -207,6 +225,7 @@
     expect(fleet.workers.stops).toEqual([]);
     fleet.faults.refuseProvisioning = false;
     fleet.until(() => fleet.drainPhase('swap') === 'done');
+
     expect(fleet.cloud.provisioned.size).toBe(1);
   });
 
@@ -215,9 +234,11 @@
     fleet.submit('job-1', { ...CHECKPOINTING, tasks: 10 });
     fleet.run(4000);
     fleet.faults.maxMachinesPerRequest = 2;
+
     fleet.start('swap', { select: { all: true }, atOnce: 5 });
     fleet.until(() => fleet.drainPhase('swap') === 'done');
     const requests = [...fleet.cloud.provisioned.keys()].map((name) => name.split('#')[0]);
+
     // Two came with the first request; each of the others has one of its own.
     expect(fleet.cloud.provisioned.size).toBe(5);
     expect(new Set(requests).size).toBe(4);
@@ -229,6 +250,7 @@
     const fleet = new DrainFleet(inZone(1));
     fleet.submit('job-1', { cpus: 4 });
     fleet.run(3000);
+
     fleet.start('swap', { select: { machines: ['n-0000'] } });
     fleet.until(() => (fleet.machinePhase('swap', 'n-0000') ?? 'waiting') !== 'waiting');
     const first = fleet.status('swap').machines[0]!.replacement!;
@@ -239,18 +261,21 @@
     fleet.workers.runMs.set('job-1', 0);
     fleet.faults.refuseProvisioning = false;
     fleet.until(() => fleet.drainPhase('swap') === 'done');
+
     expect(fleet.cloud.provisioned.size).toBe(2);
     expect(fleet.problems).toEqual([]);
   });
 
   it('is not scaled in for idleness before its machine is drained', () => {
     const fleet = startFleet();
+
     fleet.start('swap', { select: { all: true } });
     fleet.until(() => (fleet.machinePhase('swap', 'n-0000') ?? 'waiting') !== 'waiting');
     const id = fleet.status('swap').machines[0]!.replacement as never;
     const machine = fleet.state.machines.get(id)!;
     expect(fleet.state.extensions!.mayScaleIn(machine)).toBe(false);
     fleet.until(() => fleet.drainPhase('swap') === 'done');
+
     expect(fleet.state.extensions!.mayScaleIn(machine)).toBe(true);
   });
 });
@@ -266,6 +291,7 @@
     fleet.workers.machines.delete(lost);
     fleet.until(() => fleet.state.machines.get(lost as never) === undefined);
     const drained = fleet.holderOf('job-1/1')!;
+
     fleet.start('out', { select: { machines: [drained] }, replace: false });
     fleet.run(60_000);
     expect(fleet.workers.stops).toEqual([]);
@@ -277,6 +303,7 @@
     ]);
     fleet.faults.refuseProvisioning = false;
     fleet.until(() => fleet.drainPhase('out') === 'done');
+
     expect(fleet.workers.stops).toHaveLength(1);
   });
 
@@ -287,9 +314,11 @@
     );
     fleet.submit('job-1', CHECKPOINTING);
     fleet.run(4000);
+
     fleet.start('out', { select: { machines: [fleet.holderOf('job-1/0')!] }, replace: false });
     fleet.run(90_000);
     const told = fleet.status('out');
+
     expect(told.status).toBe('stalled');
     expect(told.machines[0]?.blocked?.text).toBe(
       'budget of team blue is 0: none of its work may be disrupted',
@@ -304,8 +333,10 @@
     fleet.submit('job-2', { ...CHECKPOINTING, cpus: 8, tasks: 3 });
     fleet.run(5000);
     const kept = fleet.holderOf('job-1/0')!;
+
     fleet.start('swap', { select: { all: true }, atOnce: 1 });
     fleet.until(() => fleet.cloud.returned.length === 3);
+
     expect(fleet.cloud.returned).not.toContain(kept);
     expect(fleet.holderOf('job-1/0')).toBe(kept);
   });
@@ -318,11 +349,13 @@
     fleet.submit('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 4 });
     fleet.run(4000);
     fleet.faults.refuseProvisioning = true;
+
     fleet.start('out', { select: { all: true }, atOnce: 4, replace: false });
     fleet.until(() => fleet.workers.stops.length === 2);
     fleet.run(5000);
     fleet.failOver({ settings: BUDGET_1 });
     fleet.run(60_000);
+
     expect(fleet.workers.stops).toHaveLength(2);
     expect(fleet.call('budgets').body.budgets).toMatchObject([{ disrupted: 2, atOnce: 1 }]);
   });
@@ -335,6 +368,7 @@
     fleet.submit('job-2', { ...CHECKPOINTING, cpus: 8, jobClass: 'settle' });
     fleet.run(5000);
     const settle = fleet.holderOf('job-2/0')!;
+
     fleet.start('swap', { select: { all: true }, atOnce: 4 });
     // Of four tasks half at once, by the third the window is full, and the class may lose none.
     const first = fleet.now;
@@ -354,6 +388,7 @@
       '3 of 3 disrupted within 300 s',
     );
     fleet.until(() => fleet.drainPhase('more') === 'done');
+
     expect(fleet.now - first).toBeGreaterThan(299_000);
   });
 
@@ -366,12 +401,14 @@
     for (const m of [...fleet.workers.machines.values()])
       if (m.zone === 'b') fleet.workers.machines.delete(m.id);
     fleet.until(() => fleet.state.machines.size === 2);
+
     fleet.start('out', { select: { zone: 'a' }, replace: false });
     fleet.run(60_000);
     expect(fleet.workers.stops).toEqual([]);
     expect(fleet.call('budgets').body.budgets).toMatchObject([{ disrupted: 2 }]);
     fleet.faults.refuseProvisioning = false;
     fleet.until(() => fleet.drainPhase('out') === 'done');
+
     expect(fleet.cloud.returned).toEqual(expect.arrayContaining(inA));
     expect(fleet.problems).toEqual([]);
   });
@@ -395,9 +432,11 @@
     const fleet = new DrainFleet(inZone(3), BUDGET_1);
     fleet.submit('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 3 });
     fleet.run(4000);
+
     fleet.start('one', { select: { all: true }, atOnce: 2 });
     fleet.start('two', { select: { zone: 'a' }, atOnce: 2 });
     fleet.until(() => fleet.drainPhase('one') === 'done' && fleet.drainPhase('two') === 'done');
+
     expect(new Set(fleet.cloud.returned).size).toBe(fleet.cloud.returned.length);
     expect(fleet.cloud.returned).toEqual(expect.arrayContaining(['n-0000', 'n-0001', 'n-0002']));
     expect(fleet.cloud.provisioned.size).toBe(fleet.cloud.returned.length);
