--- a/packages/drain/test/loopback.test.ts
+++ b/packages/drain/test/loopback.test.ts
@@ -53,7 +53,8 @@
     for (const n of [2, 3]) await submit(n, { Shape: 'daemon', Rank: 'standard', Pieces: 3 });
     for (const n of [4, 5]) await submit(n, { ...CHECKPOINTING, Pieces: n === 4 ? 6 : 3 });
     const tasks = () => [...cloud.workers.values()].reduce((sum, w) => sum + w.running().length, 0);
-    await until(() => tasks() >= 15);
+    // Three machines hold these tasks; the capacity headroom of 1.2 brings the fourth soon after.
+    await until(() => tasks() >= 15 && cloud.workers.size >= 4);
     const before = [...cloud.workers.keys()];
     expect(before.length).toBeGreaterThanOrEqual(4);
 
