--- a/src/core/fleet/scale-in.ts
+++ b/src/core/fleet/scale-in.ts
@@ -5,7 +5,7 @@
 import type { Machine, Placement } from '../model/entities.js';
 import { isService } from '../model/job.js';
 import type { Instant } from '../model/time.js';
-import { onDemandCpusForServices } from '../scheduling/services.js';
+import { onDemandCpusForServices } from '../scheduling/service-reservation.js';
 import { addOnDemandSupply, isSupply, machineCpus, measureDemand } from './demand.js';
 
 /** A machine on which tasks of this many jobs failed is faulty itself. */
--- a/src/core/fleet/scale-out.ts
+++ b/src/core/fleet/scale-out.ts
@@ -12,7 +12,8 @@
 import type { Instant } from '../model/time.js';
 import { isFeasible, satisfiesZoneConstraints, tasksWithinQuota } from '../scheduling/capacity.js';
 import { NO_MACHINE } from '../scheduling/placement.js';
-import { isReplica, onDemandCpusForServices } from '../scheduling/services.js';
+import { onDemandCpusForServices } from '../scheduling/service-reservation.js';
+import { isReplica } from '../scheduling/services.js';
 import {
   addOnDemandSupply,
   countRequestedMachines,
--- a/src/core/lifecycle/job-view.ts
+++ b/src/core/lifecycle/job-view.ts
@@ -5,8 +5,8 @@
 import type { JobId, TeamName } from '../model/ids.js';
 import type { JobOutcome, JobShape } from '../model/job.js';
 import type { Instant } from '../model/time.js';
-import { rankWaitingJobs } from '../scheduling/backfill.js';
 import { tasksWithinQuota } from '../scheduling/capacity.js';
+import { rankWaitingJobs } from '../scheduling/ranking.js';
 import { failsEverywhere } from './job-tasks.js';
 
 export interface CoreJobView {
--- a/src/core/scheduling/capacity.ts
+++ b/src/core/scheduling/capacity.ts
@@ -1,5 +1,6 @@
 /**
- * What machines have free in one scheduling round, which jobs may use it, and what a team's limit still allows.
+ * What machines have free in one scheduling round, which machines are feasible for a job, what fits
+ * on them, and how many tasks a team's quota still allows.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -11,11 +12,20 @@
 import type { Instant } from '../model/time.js';
 import type { RankedJob } from './scoring.js';
 
-/** A machine's free capacity: what is free now, and what the head's reservation leaves free at the shadow time. */
+/** The state that a round schedules on, and the moment for which it does. */
+export interface SchedulingContext {
+  readonly state: CoreState;
+  readonly now: Instant;
+}
+
+/**
+ * A machine's free capacity: what is free now, and (`shadow…`) what the queue head's reservation
+ * leaves free at the shadow time.
+ */
 export interface FreeCapacity {
   readonly machine: Machine;
   readonly type: MachineType;
-  /** Attempts that it may still take on. */
+  /** Attempts that the machine may still take on: its heartbeats must stay readable. */
   slots: number;
   cpus: number;
   gpus: number;
@@ -25,14 +35,14 @@
   shadowMemoryGb: number;
 }
 
-/** Sums of fractions of a processor may be off by this much. */
+/** Rounding error that sums of fractions of a processor may show. */
 export const EPSILON = 1e-6;
 
 /** Orders machines by power, the most powerful first. */
 export const compareByPower = (a: FreeCapacity, b: FreeCapacity): number =>
   b.type.gpus - a.type.gpus || b.type.cpus - a.type.cpus || b.type.memoryGb - a.type.memoryGb;
 
-/** Usable machines, the most powerful first. */
+/** The free capacity of the machines that take work, the most powerful first. */
 export const freeCapacities = (state: CoreState, now: Instant): FreeCapacity[] => {
   const capacities: FreeCapacity[] = [];
   for (const machine of state.machines.values()) {
@@ -48,7 +58,10 @@
   return capacities.sort((a, b) => compareByPower(a, b) || (a.machine.id < b.machine.id ? -1 : 1));
 };
 
-/** Whether the job's own demands and failures let it use the machine, whatever is free on it. */
+/**
+ * Whether the job's requirements and failures let it use the machine, whatever is free on it. For a
+ * starving job the machines that are reserved for services are feasible, too.
+ */
 export const isFeasible = (job: Job, machine: Machine): boolean => {
   const { spec } = job;
   if (spec.machineTypes && !spec.machineTypes.includes(machine.type)) return false;
@@ -59,7 +72,7 @@
   return !(job.failedMachines.size < FAILED_MACHINES_LIMIT && job.failedMachines.has(machine.id));
 };
 
-/** The zone rules, given where the job's other tasks may be at this moment. */
+/** Whether the zone rules allow the machine, given where the job's other tasks may be now. */
 export const satisfiesZoneConstraints = (job: Job, machine: Pick<Machine, 'zone'>): boolean => {
   const { spec, attemptsByZone } = job;
   if (
@@ -74,24 +87,32 @@
   return true;
 };
 
-/** Whether a task of the job fits beside what is on the machine now. */
+/** Whether a task of the job fits into what is free on the machine now. */
 export const fitsFreeCapacity = (job: Job, capacity: FreeCapacity): boolean =>
   capacity.slots > 0 && fitsResources(job, capacity);
 
-/** Whether a task of the job leaves the head's reservation alone. */
+/** Whether a task of the job fits beside the queue head's reservation. */
 export const fitsBesideReservation = (job: Job, capacity: FreeCapacity): boolean =>
   capacity.shadowCpus + EPSILON >= job.spec.cpus &&
   capacity.shadowGpus + EPSILON >= job.spec.gpus &&
   capacity.shadowMemoryGb + EPSILON >= job.spec.memoryGb;
 
-/** Counts a task against what is free at the shadow time. */
+/** Takes a task of the job from what is free on the machine now. */
+export const takeFreeCapacity = (job: Job, capacity: FreeCapacity): void => {
+  capacity.slots -= 1;
+  capacity.cpus -= job.spec.cpus;
+  capacity.gpus -= job.spec.gpus;
+  capacity.memoryGb -= job.spec.memoryGb;
+};
+
+/** Takes a task of the job from what is free on the machine at the shadow time. */
 export const reserveShadowCapacity = (job: Job, capacity: FreeCapacity): void => {
   capacity.shadowCpus -= job.spec.cpus;
   capacity.shadowGpus -= job.spec.gpus;
   capacity.shadowMemoryGb -= job.spec.memoryGb;
 };
 
-/** How many more tasks the team's limit allows. */
+/** How many more tasks of the job its team's quota allows; none for an unknown team. */
 export const tasksWithinQuota = (state: CoreState, job: Job): number => {
   const team = state.config.teams.get(job.spec.team);
   if (!team) return 0;
@@ -104,20 +125,27 @@
   return Math.max(0, Math.floor(tasks));
 };
 
-/** How long the machine fetches the job's image before a task starts. */
+/** Bounds the estimate for a machine type without a usable fetch rate. */
+const MIN_FETCH_GB_PER_S = 0.01;
+
+/** How long a machine of the type fetches these gigabytes, in milliseconds. */
+export const estimateFetchMs = (gb: number, type: MachineType): number =>
+  (gb / Math.max(type.fetchGbPerS, MIN_FETCH_GB_PER_S)) * 1000;
+
+/** How long the machine fetches the job's image before a task starts, in milliseconds. */
 export const imageFetchMs = (job: Job, capacity: FreeCapacity): number =>
   capacity.machine.images.has(job.spec.image)
     ? 0
-    : (job.spec.imageGb / Math.max(capacity.type.fetchGbPerS, 0.01)) * 1000;
+    : estimateFetchMs(job.spec.imageGb, capacity.type);
 
-/** The least that any waiting job takes: a machine with less is of no use in this round. */
+/** The least that any waiting task takes: a machine with less is of no use in this round. */
 export interface SmallestRequirement {
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
 }
 
-/** The smallest need, resource by resource. */
+/** The smallest requirement of all waiting jobs, resource by resource. */
 export const smallestRequirementOf = (ranked: readonly RankedJob<Job>[]): SmallestRequirement => {
   let cpus = Number.POSITIVE_INFINITY;
   let gpus = Number.POSITIVE_INFINITY;
@@ -131,16 +159,16 @@
 };
 
 /** The machines on which some waiting task may still fit. */
-export const capacitiesWithRoom = (
+export const filterUsable = (
   capacities: readonly FreeCapacity[],
-  least: SmallestRequirement,
+  smallest: SmallestRequirement,
 ): FreeCapacity[] =>
   capacities.filter(
     (capacity) =>
       capacity.slots > 0 &&
-      capacity.cpus + EPSILON >= least.cpus &&
-      capacity.gpus + EPSILON >= least.gpus &&
-      capacity.memoryGb + EPSILON >= least.memoryGb,
+      capacity.cpus + EPSILON >= smallest.cpus &&
+      capacity.gpus + EPSILON >= smallest.gpus &&
+      capacity.memoryGb + EPSILON >= smallest.memoryGb,
   );
 
 /** An amount of each resource. */
@@ -156,17 +184,17 @@
   leaving: readonly Placement[],
 ): Resources => {
   const { cpus, gpus, memoryGb } = capacity;
-  const space = { cpus, gpus, memoryGb };
+  const free = { cpus, gpus, memoryGb };
   for (const { entry } of leaving) {
-    space.cpus += entry.cpus;
-    space.gpus += entry.gpus;
-    space.memoryGb += entry.memoryGb;
+    free.cpus += entry.cpus;
+    free.gpus += entry.gpus;
+    free.memoryGb += entry.memoryGb;
   }
-  return space;
+  return free;
 };
 
 /** Whether a task of the job fits into these resources. */
-export const fitsResources = (job: Job, space: Resources): boolean =>
-  space.cpus + EPSILON >= job.spec.cpus &&
-  space.gpus + EPSILON >= job.spec.gpus &&
-  space.memoryGb + EPSILON >= job.spec.memoryGb;
+export const fitsResources = (job: Job, free: Resources): boolean =>
+  free.cpus + EPSILON >= job.spec.cpus &&
+  free.gpus + EPSILON >= job.spec.gpus &&
+  free.memoryGb + EPSILON >= job.spec.memoryGb;
--- a/src/core/scheduling/placement.ts
+++ b/src/core/scheduling/placement.ts
@@ -4,7 +4,7 @@
 import { ATTEMPTS_PER_REVISION, addPlacement, hasAttemptLeft } from '../lifecycle/attempts.js';
 import { failsEverywhere, takePendingTask } from '../lifecycle/job-tasks.js';
 import type { Job, Placement } from '../model/entities.js';
-import type { AttemptId } from '../model/ids.js';
+import type { AttemptId, ZoneName } from '../model/ids.js';
 import { isService } from '../model/job.js';
 import type { LedgerEntry } from '../model/ledger-record.js';
 import type { Instant } from '../model/time.js';
@@ -17,64 +17,146 @@
   imageFetchMs,
   isFeasible,
   reserveShadowCapacity,
+  type SchedulingContext,
   satisfiesZoneConstraints,
+  takeFreeCapacity,
   tasksWithinQuota,
 } from './capacity.js';
-import { runMs } from './estimates.js';
-import { capacitiesForReplicas } from './services.js';
+import { estimatedRunMs } from './estimates.js';
+import { spreadReplicas } from './replica-spreading.js';
 
+/** Why a job waits, as users read it: its team's quota allows no more tasks. */
 export const TEAM_LIMIT = 'team limit';
+/** Why a job waits, as users read it: no feasible machine has the capacity. */
 export const NO_MACHINE = 'no machine with room';
 
+/** What bounds the placement of a job in one phase of a round. */
+export interface PlacementLimits {
+  /** The shadow time of the head's reservation, to be respected; null for no reservation. */
+  readonly shadowTime: Instant | null;
+  readonly maxTasks: number;
+}
+
+/** For jobs that no reservation stands against: as many tasks as fit. */
+export const NO_LIMITS: PlacementLimits = { shadowTime: null, maxTasks: Number.POSITIVE_INFINITY };
+
+/** What was placed of a job, and what the rest waits for: '' where nothing waits. */
+export interface PlacementResult {
+  readonly placed: Placement[];
+  readonly blockedBy: string;
+}
+
 /**
- * The rooms for a job's tasks, best first: the most powerful, and among equals those that have the image, since a task starts
- * sooner there. While one job is placed rooms only fill up, so that one that was passed over need not be looked at again:
- * the work of a round follows the rooms and not rooms times tasks.
+ * The machines for an array's tasks, best first: the most powerful, and among equals those that have
+ * the image, since a task starts sooner there. While one job is placed, free capacity only shrinks,
+ * so that a machine that was passed over is never looked at again: the cost of a round follows the
+ * machines, and not machines times tasks.
  */
-function* candidates(
-  state: CoreState,
+function* arrayCandidates(
   job: Job,
   capacities: readonly FreeCapacity[],
-  now: Instant,
-): Generator<FreeCapacity> {
-  if (isService(job)) {
-    const suits = capacities.filter((r) => fitsFreeCapacity(job, r) && isFeasible(job, r.machine));
-    yield* capacitiesForReplicas(state, job, suits, now);
-    return;
-  }
-  let next = 0;
-  while (next < capacities.length) {
-    const first = capacities[next]!;
-    const without: FreeCapacity[] = [];
-    for (; next < capacities.length && compareByPower(first, capacities[next]!) === 0; next += 1) {
-      const capacity = capacities[next]!;
-      if (!fitsFreeCapacity(job, capacity) || !isFeasible(job, capacity.machine)) continue;
-      if (capacity.machine.images.has(job.spec.image)) yield capacity;
-      else without.push(capacity);
+): Generator<FreeCapacity, undefined> {
+  let index = 0;
+  let strongest = capacities[index];
+  while (strongest) {
+    const withoutImage: FreeCapacity[] = [];
+    let capacity: FreeCapacity | undefined = strongest;
+    while (capacity && compareByPower(strongest, capacity) === 0) {
+      if (fitsFreeCapacity(job, capacity) && isFeasible(job, capacity.machine)) {
+        if (capacity.machine.images.has(job.spec.image)) yield capacity;
+        else withoutImage.push(capacity);
+      }
+      index += 1;
+      capacity = capacities[index];
     }
-    yield* without;
+    yield* withoutImage;
+    strongest = capacity;
   }
 }
 
-/** A job with one zone starts where most of it fits. */
-const chooseZone = (job: Job, capacities: readonly FreeCapacity[]): string | null => {
+/** The machines for a service's replicas: one for each, see `spreadReplicas`. */
+function* serviceCandidates(
+  context: SchedulingContext,
+  job: Job,
+  capacities: readonly FreeCapacity[],
+): Generator<FreeCapacity, undefined> {
+  const feasible = capacities.filter(
+    (capacity) => fitsFreeCapacity(job, capacity) && isFeasible(job, capacity.machine),
+  );
+  yield* spreadReplicas(context, job, feasible);
+}
+
+/** The zone in which a job that must stay in one starts: where most of it fits. */
+const chooseZone = (job: Job, capacities: readonly FreeCapacity[]): ZoneName | null => {
   if (!job.spec.singleZone || job.attemptsByZone.size > 0) return null;
-  const slots = new Map<string, number>();
+  const tasksByZone = new Map<ZoneName, number>();
   for (const capacity of capacities) {
     if (!fitsFreeCapacity(job, capacity) || !isFeasible(job, capacity.machine)) continue;
-    const n = job.spec.cpus > 0 ? Math.floor((capacity.cpus + EPSILON) / job.spec.cpus) : 1;
-    slots.set(capacity.machine.zone, (slots.get(capacity.machine.zone) ?? 0) + n);
+    const { zone } = capacity.machine;
+    const tasks = job.spec.cpus > 0 ? Math.floor((capacity.cpus + EPSILON) / job.spec.cpus) : 1;
+    tasksByZone.set(zone, (tasksByZone.get(zone) ?? 0) + tasks);
+  }
+  let best: ZoneName | null = null;
+  let bestTasks = 0;
+  for (const [zone, tasks] of tasksByZone) {
+    if (best !== null && tasks <= bestTasks) continue;
+    best = zone;
+    bestTasks = tasks;
   }
-  let best: string | null = null;
-  for (const [zone, n] of slots) if (best === null || n > (slots.get(best) ?? 0)) best = zone;
   return best;
 };
 
-const place = (
-  state: CoreState,
+/** The search for machines for one job's tasks. */
+interface MachineSearch {
+  readonly job: Job;
+  readonly now: Instant;
+  readonly shadowTime: Instant | null;
+  /** The zone that the job is bound to from its first task on; null for none. */
+  readonly zone: ZoneName | null;
+  readonly candidates: Generator<FreeCapacity, undefined>;
+  /** The machine that got the last task: an array fills it before it takes the next. */
+  current: FreeCapacity | undefined;
+  /** A machine had the capacity, but it is reserved for the head. */
+  isBlockedByReservation: boolean;
+}
+
+/** Whether a task that is placed now ends before the shadow time, the fetch of its image included. */
+const endsByShadowTime = (search: MachineSearch, capacity: FreeCapacity): boolean => {
+  const { job, now, shadowTime } = search;
+  return (
+    shadowTime !== null && now + estimatedRunMs(job) + imageFetchMs(job, capacity) <= shadowTime
+  );
+};
+
+/** Whether a task fits there now, within the zone rules and without delaying the head. */
+const isUsable = (search: MachineSearch, capacity: FreeCapacity): boolean => {
+  const { job, zone, shadowTime } = search;
+  if (!fitsFreeCapacity(job, capacity)) return false;
+  if (!satisfiesZoneConstraints(job, capacity.machine)) return false;
+  if (zone !== null && capacity.machine.zone !== zone) return false;
+  if (shadowTime === null || fitsBesideReservation(job, capacity)) return true;
+  if (endsByShadowTime(search, capacity)) return true;
+  search.isBlockedByReservation = true;
+  return false;
+};
+
+/** The machine for the next task, or undefined where none is left. */
+const nextMachine = (search: MachineSearch): FreeCapacity | undefined => {
+  // A service's replicas go to one machine after the other, an array's tasks fill each.
+  let capacity = isService(search.job) ? undefined : search.current;
+  while (!capacity || !isUsable(search, capacity)) {
+    capacity = search.candidates.next().value;
+    if (!capacity) return undefined;
+  }
+  search.current = capacity;
+  return capacity;
+};
+
+/** Places the job's next task on the machine; null where no task or attempt number is left. */
+const placeTask = (
+  { state, now }: SchedulingContext,
   job: Job,
   capacity: FreeCapacity,
-  now: Instant,
 ): Placement | null => {
   const index = takePendingTask(job);
   if (index === null) return null;
@@ -82,8 +164,8 @@
     job.requeuedTasks.push(index);
     return null;
   }
-  const attempt = (state.config.fencingToken * ATTEMPTS_PER_REVISION +
-    state.nextAttemptOffset) as AttemptId;
+  const firstAttempt = state.config.fencingToken * ATTEMPTS_PER_REVISION;
+  const attempt = (firstAttempt + state.nextAttemptOffset) as AttemptId;
   state.nextAttemptOffset += 1;
   const { id, team, cpus, gpus, memoryGb } = job.spec;
   const entry: LedgerEntry = { job: id, index, attempt, team, cpus, gpus, memoryGb };
@@ -103,58 +185,50 @@
   addPlacement(state, placement);
   state.awaitingLedgerEntry.add(placement);
   capacity.machine.images.add(job.spec.image);
-  capacity.slots -= 1;
-  capacity.cpus -= cpus;
-  capacity.gpus -= gpus;
-  capacity.memoryGb -= memoryGb;
+  takeFreeCapacity(job, capacity);
   return placement;
 };
 
-interface PlaceResult {
-  readonly placed: Placement[];
-  readonly blockedBy: string;
-}
+/** Why no further task may start, whatever machines have free; null where one may. */
+const whyNoneMayStart = (state: CoreState, job: Job, isSuspect: boolean): string | null => {
+  // A job that fails everywhere is tried one task at a time.
+  if (isSuspect && job.attemptsByTask.size > 0) return 'its tasks fail on every machine';
+  return tasksWithinQuota(state, job) < 1 ? TEAM_LIMIT : null;
+};
+
+const whyNoMachine = ({ isBlockedByReservation }: MachineSearch): string =>
+  isBlockedByReservation ? 'room reserved for the head' : NO_MACHINE;
 
+/** Places as many of the job's waiting tasks as the limits, its team's quota and machines allow. */
 export const placeJob = (
-  state: CoreState,
+  context: SchedulingContext,
   job: Job,
   capacities: readonly FreeCapacity[],
-  now: Instant,
-  shadowAt: number,
-  most = Number.POSITIVE_INFINITY,
-): PlaceResult => {
+  { shadowTime, maxTasks }: PlacementLimits,
+): PlacementResult => {
+  const { state, now } = context;
   const placed: Placement[] = [];
-  const zone = chooseZone(job, capacities);
-  const suspect = failsEverywhere(job);
-  let reserved = false;
-  const allowed = (r: FreeCapacity): boolean => {
-    if (zone !== null && r.machine.zone !== zone) return false;
-    if (shadowAt === 0 || fitsBesideReservation(job, r)) return true;
-    if (now + runMs(job) + imageFetchMs(job, r) <= shadowAt) return true;
-    reserved = true;
-    return false;
+  const isSuspect = failsEverywhere(job);
+  const search: MachineSearch = {
+    job,
+    now,
+    shadowTime,
+    zone: chooseZone(job, capacities),
+    candidates: isService(job)
+      ? serviceCandidates(context, job, capacities)
+      : arrayCandidates(job, capacities),
+    current: undefined,
+    isBlockedByReservation: false,
   };
-  const usableNow = (r: FreeCapacity) =>
-    fitsFreeCapacity(job, r) && satisfiesZoneConstraints(job, r.machine) && allowed(r);
-  const order = candidates(state, job, capacities, now);
-  // A service's replicas go to one machine after the other, an array's tasks fill each.
-  const spread = isService(job);
-  let capacity: FreeCapacity | null = null;
-  while (job.pendingTasks > 0 && placed.length < most) {
-    if (suspect && job.attemptsByTask.size > 0)
-      return { placed, blockedBy: 'its tasks fail on every machine' };
-    if (tasksWithinQuota(state, job) < 1) return { placed, blockedBy: TEAM_LIMIT };
-    if (spread) capacity = null;
-    while (!capacity || !usableNow(capacity)) {
-      const next: IteratorResult<FreeCapacity> = order.next();
-      if (next.done)
-        return { placed, blockedBy: reserved ? 'room reserved for the head' : NO_MACHINE };
-      capacity = next.value;
-    }
-    const outlasts = shadowAt === 0 || now + runMs(job) + imageFetchMs(job, capacity) > shadowAt;
-    const placement = place(state, job, capacity, now);
+  while (job.pendingTasks > 0 && placed.length < maxTasks) {
+    const refusal = whyNoneMayStart(state, job, isSuspect);
+    if (refusal !== null) return { placed, blockedBy: refusal };
+    const capacity = nextMachine(search);
+    if (!capacity) return { placed, blockedBy: whyNoMachine(search) };
+    const outlastsShadowTime = !endsByShadowTime(search, capacity);
+    const placement = placeTask(context, job, capacity);
     if (!placement) return { placed, blockedBy: 'no attempt number left' };
-    if (outlasts) reserveShadowCapacity(job, capacity);
+    if (outlastsShadowTime) reserveShadowCapacity(job, capacity);
     placed.push(placement);
   }
   return { placed, blockedBy: '' };
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -1,157 +1,198 @@
-/** The two exceptions to running tasks to their end: for an urgent head, and for replicas of critical services. */
+/**
+ * Preemption: the two exceptions to running tasks to their end, which the paper's scheduler always
+ * does. One is for an urgent queue head, the other for replicas of critical services.
+ */
 
 import { occupiesMachine } from '../lifecycle/attempts.js';
-import type { Job, Placement } from '../model/entities.js';
+import type { Job, Machine, Placement } from '../model/entities.js';
 import { isService, PRIORITY_LEVEL } from '../model/job.js';
 import type { Instant } from '../model/time.js';
 import {
   type FreeCapacity,
   fitsResources,
   isFeasible,
+  type Resources,
   resourcesWithout,
   satisfiesZoneConstraints,
 } from './capacity.js';
+import { type AttemptOfJob, requestStop } from './stop-requests.js';
+
+/** A task that has run for less is not preempted for a head: a start stopped so soon is wasted. */
+const MIN_RUN_BEFORE_PREEMPTION_MS = 31_000;
+
+const writesCheckpoints = (job: Job): boolean => job.spec.checkpointIntervalS > 0;
+
+const isStopping = (placement: Placement): boolean =>
+  placement.stopRequest !== null && occupiesMachine(placement.phase);
 
-/** Shorter runs are not cut: a start that is stopped so soon is of no use. */
-const LEAST_RUN_MS = 31_000;
-/** Tasks that may be stopped for a head of this level: of lower priority, and no more is lost than the saving takes. */
-const mayStop = (placement: Placement, level: number, now: Instant): boolean =>
+/** Of lower priority, and it loses no more than the time of a checkpoint write. */
+const isPreemptibleForHead = (
+  placement: Placement,
+  level: number,
+  now: Instant,
+): placement is AttemptOfJob =>
   placement.job !== null &&
   placement.stopRequest === null &&
   placement.phase === 'running' &&
   placement.startedAt !== null &&
-  now - placement.startedAt >= LEAST_RUN_MS &&
+  now - placement.startedAt >= MIN_RUN_BEFORE_PREEMPTION_MS &&
   PRIORITY_LEVEL[placement.job.spec.priority] < level &&
-  placement.job.spec.checkpointIntervalS > 0;
+  writesCheckpoints(placement.job);
+
+/** The attempts that the head may preempt there; null where attempts are being stopped already. */
+const preemptibleOn = (machine: Machine, level: number, now: Instant): AttemptOfJob[] | null => {
+  const preemptible: AttemptOfJob[] = [];
+  for (const placement of machine.placements.values()) {
+    if (isStopping(placement)) return null;
+    if (isPreemptibleForHead(placement, level, now)) preemptible.push(placement);
+  }
+  return preemptible;
+};
+
+/** Takes as many tasks of the job from the resources as fit, up to the limit; returns how many. */
+const takeTasksThatFit = (job: Job, free: Resources, limit: number): number => {
+  const { cpus, gpus, memoryGb } = job.spec;
+  let tasks = 0;
+  while (tasks < limit && fitsResources(job, free)) {
+    free.cpus -= cpus;
+    free.gpus -= gpus;
+    free.memoryGb -= memoryGb;
+    tasks += 1;
+  }
+  return tasks;
+};
+
+/**
+ * Stops attempts of one machine, in their order, until the missing tasks fit; returns how many do.
+ * An attempt is stopped only once a task of the head fits in its place.
+ */
+const preemptOnMachine = (
+  head: Job,
+  missingTasks: number,
+  capacity: FreeCapacity,
+  preemptible: readonly AttemptOfJob[],
+): number => {
+  const free = resourcesWithout(capacity, []);
+  let left = missingTasks;
+  let pending: AttemptOfJob[] = [];
+  for (const attempt of preemptible) {
+    if (left <= 0) break;
+    free.cpus += attempt.entry.cpus;
+    free.gpus += attempt.entry.gpus;
+    free.memoryGb += attempt.entry.memoryGb;
+    pending.push(attempt);
+    if (!fitsResources(head, free)) continue;
+    for (const victim of pending) requestStop(victim);
+    pending = [];
+    left -= takeTasksThatFit(head, free, left);
+  }
+  return missingTasks - left;
+};
 
 /**
- * The one exception to running tasks to their end: small tasks take up every processor that comes free, so that on a
- * full fleet an urgent head with larger ones waits for long. It stops tasks of lower priority that save their
- * progress, as many as it takes, and its reservation keeps the room for it.
+ * Preempts for an urgent head. Small tasks take up every processor that comes free, so that on a full
+ * fleet a head with larger tasks would wait for long. It stops tasks of lower priority that write
+ * checkpoints, as many as it takes; its reservation then holds the capacity for it.
  */
 export const preemptForHead = (
-  job: Job,
-  missing: number,
+  head: Job,
+  missingTasks: number,
   capacities: readonly FreeCapacity[],
   now: Instant,
 ): void => {
-  const level = PRIORITY_LEVEL[job.spec.priority];
-  const { cpus, gpus, memoryGb } = job.spec;
-  let left = missing;
-  const open: { capacity: FreeCapacity; victims: Placement[] }[] = [];
+  const level = PRIORITY_LEVEL[head.spec.priority];
+  let left = missingTasks;
+  const options: { capacity: FreeCapacity; preemptible: AttemptOfJob[] }[] = [];
   for (const capacity of capacities) {
-    if (!isFeasible(job, capacity.machine) || !satisfiesZoneConstraints(job, capacity.machine))
-      continue;
-    const victims: Placement[] = [];
-    let stopping = false;
-    for (const placement of capacity.machine.placements.values()) {
-      if (placement.stopRequest && occupiesMachine(placement.phase)) stopping = true;
-      else if (mayStop(placement, level, now)) victims.push(placement);
-    }
-    // Room that is already being made counts first.
-    if (stopping) {
-      const soon = resourcesWithout(
-        capacity,
-        [...capacity.machine.placements.values()].filter(
-          (placement) => placement.stopRequest && occupiesMachine(placement.phase),
-        ),
-      );
-      while (left > 0 && fitsResources(job, soon)) {
-        soon.cpus -= cpus;
-        soon.gpus -= gpus;
-        soon.memoryGb -= memoryGb;
-        left -= 1;
-      }
-    } else if (victims.length > 0) open.push({ capacity, victims });
+    const { machine } = capacity;
+    if (!isFeasible(head, machine) || !satisfiesZoneConstraints(head, machine)) continue;
+    const preemptible = preemptibleOn(machine, level, now);
+    if (preemptible === null) {
+      // Capacity that is being freed already counts first, or each round would stop more.
+      const stopping = [...machine.placements.values()].filter(isStopping);
+      left -= takeTasksThatFit(head, resourcesWithout(capacity, stopping), left);
+    } else if (preemptible.length > 0) options.push({ capacity, preemptible });
   }
-  for (const { capacity, victims } of open) {
+  for (const { capacity, preemptible } of options) {
     if (left <= 0) return;
-    const soon = resourcesWithout(capacity, []);
-    let stopped: Placement[] = [];
-    for (const placement of victims) {
-      if (left <= 0) break;
-      soon.cpus += placement.entry.cpus;
-      soon.gpus += placement.entry.gpus;
-      soon.memoryGb += placement.entry.memoryGb;
-      stopped.push(placement);
-      if (!fitsResources(job, soon)) continue;
-      // Only once a task of the head fits is anything stopped for it.
-      for (const victim of stopped)
-        victim.stopRequest = { graceS: (victim.job?.spec.checkpointWriteS ?? 0) + 5, sentAt: null };
-      stopped = [];
-      while (left > 0 && fitsResources(job, soon)) {
-        soon.cpus -= cpus;
-        soon.gpus -= gpus;
-        soon.memoryGb -= memoryGb;
-        left -= 1;
-      }
-    }
+    left -= preemptOnMachine(head, left, capacity, preemptible);
+  }
+};
+
+/** The run time, in milliseconds, that is lost when an attempt is stopped. */
+const lostRunMs = ({ job, startedAt }: AttemptOfJob, now: Instant): number => {
+  if (startedAt === null) return 0;
+  const checkpointMs = writesCheckpoints(job)
+    ? job.spec.checkpointWriteS * 1000
+    : Number.POSITIVE_INFINITY;
+  return Math.min(now - startedAt, checkpointMs);
+};
+
+/** Attempts of one machine in whose place a replica fits, and the run time lost with them. */
+interface PreemptionOption {
+  readonly victims: readonly AttemptOfJob[];
+  readonly lossMs: number;
+}
+
+/** The attempts on a machine that lose least and in whose place a replica fits, or null. */
+const cheapestOption = (
+  service: Job,
+  capacity: FreeCapacity,
+  attempts: readonly Placement[],
+  now: Instant,
+): PreemptionOption | null => {
+  const level = PRIORITY_LEVEL[service.spec.priority];
+  const preemptible = attempts
+    .filter(
+      (placement): placement is AttemptOfJob =>
+        placement.job !== null &&
+        !placement.stopRequest &&
+        !isService(placement.job) &&
+        PRIORITY_LEVEL[placement.job.spec.priority] < level,
+    )
+    .map((attempt) => ({ attempt, lossMs: lostRunMs(attempt, now) }))
+    .sort((a, b) => a.lossMs - b.lossMs);
+  const victims: AttemptOfJob[] = [];
+  let lossMs = 0;
+  for (const candidate of preemptible) {
+    victims.push(candidate.attempt);
+    lossMs += candidate.lossMs;
+    if (fitsResources(service, resourcesWithout(capacity, victims))) return { victims, lossMs };
   }
+  return null;
 };
 
-/** Replicas that find no room stop what loses least, as little as it takes for one replica after the other. */
+/**
+ * Preempts for replicas of a critical service that fit nowhere: stops what loses least run time, as
+ * little as it takes for one replica after the other, and never a service.
+ */
 export const preemptForReplicas = (
-  job: Job,
-  missing: number,
+  service: Job,
+  missingReplicas: number,
   capacities: readonly FreeCapacity[],
   now: Instant,
 ): void => {
-  const level = PRIORITY_LEVEL[job.spec.priority];
-  let left = missing;
-  const options: { victims: Placement[]; loss: number }[] = [];
+  let left = missingReplicas;
+  const options: PreemptionOption[] = [];
   for (const capacity of capacities) {
-    if (!isFeasible(job, capacity.machine) || !satisfiesZoneConstraints(job, capacity.machine))
-      continue;
-    const all = [...capacity.machine.placements.values()].filter((placement) =>
+    const { machine } = capacity;
+    if (!isFeasible(service, machine) || !satisfiesZoneConstraints(service, machine)) continue;
+    const attempts = [...machine.placements.values()].filter((placement) =>
       occupiesMachine(placement.phase),
     );
-    // Room that is already being made counts first.
-    const stopping = all.filter((placement) => placement.stopRequest);
-    if (stopping.length > 0 && fitsResources(job, resourcesWithout(capacity, stopping))) {
+    const stopping = attempts.filter(isStopping);
+    // Capacity that is being freed already counts first, or each round would stop more.
+    if (stopping.length > 0 && fitsResources(service, resourcesWithout(capacity, stopping))) {
       left -= 1;
       continue;
     }
-    const lower = all
-      .filter(
-        (placement) =>
-          placement.job &&
-          !placement.stopRequest &&
-          !isService(placement.job) &&
-          PRIORITY_LEVEL[placement.job.spec.priority] < level,
-      )
-      .map((placement) => ({ p: placement, loss: lossMs(placement, now) }))
-      .sort((a, b) => a.loss - b.loss);
-    const victims: Placement[] = [];
-    let loss = 0;
-    for (const { p, loss: one } of lower) {
-      victims.push(p);
-      loss += one;
-      if (!fitsResources(job, resourcesWithout(capacity, victims))) continue;
-      options.push({ victims, loss });
-      break;
-    }
+    const option = cheapestOption(service, capacity, attempts, now);
+    if (option) options.push(option);
   }
-  options.sort((a, b) => a.loss - b.loss);
+  options.sort((a, b) => a.lossMs - b.lossMs);
   for (const { victims } of options) {
     if (left <= 0) return;
     left -= 1;
-    for (const placement of victims) {
-      const saves = (placement.job?.spec.checkpointIntervalS ?? 0) > 0;
-      placement.stopRequest = {
-        graceS: saves ? (placement.job?.spec.checkpointWriteS ?? 0) + 5 : 0,
-        sentAt: null,
-      };
-    }
+    for (const victim of victims) requestStop(victim);
   }
 };
-
-/** The run time that is lost when an attempt is stopped. */
-const lossMs = (placement: Placement, now: Instant): number => {
-  if (placement.startedAt === null) return 0;
-  const ran = now - placement.startedAt;
-  const save =
-    (placement.job?.spec.checkpointIntervalS ?? 0) > 0
-      ? (placement.job?.spec.checkpointWriteS ?? 0) * 1000
-      : Number.POSITIVE_INFINITY;
-  return Math.min(ran, save);
-};
--- /dev/null
+++ b/src/core/scheduling/replica-eviction.ts
@@ -0,0 +1,63 @@
+/** Moving replicas away from machines that are being vacated. */
+
+import type { CoreState } from '../core-state.js';
+import { failsEverywhere } from '../lifecycle/job-tasks.js';
+import type { Instant } from '../model/time.js';
+import {
+  type FreeCapacity,
+  fitsFreeCapacity,
+  isFeasible,
+  reserveShadowCapacity,
+  satisfiesZoneConstraints,
+  takeFreeCapacity,
+} from './capacity.js';
+import { isBeingVacated, isReplica } from './services.js';
+import { type AttemptOfJob, requestStop } from './stop-requests.js';
+
+/**
+ * A reclaim notice leaves no choice, and an eviction that was requested goes on; all others need the
+ * extensions' consent.
+ */
+const mayEvict = ({ extensions }: CoreState, replica: AttemptOfJob): boolean =>
+  replica.machine.reclaimAt !== null ||
+  replica.stopRequest !== null ||
+  !extensions ||
+  extensions.mayEvictReplica(replica);
+
+/** Replicas on machines that are being vacated, of services that may be placed now. */
+export const replicasToEvict = (state: CoreState, now: Instant): AttemptOfJob[] => {
+  const replicas: AttemptOfJob[] = [];
+  for (const machine of state.machines.values()) {
+    if (!isBeingVacated(machine)) continue;
+    for (const placement of machine.placements.values()) {
+      if (!isReplica(placement)) continue;
+      if (now < placement.job.retryAt || failsEverywhere(placement.job)) continue;
+      if (mayEvict(state, placement)) replicas.push(placement);
+    }
+  }
+  return replicas;
+};
+
+/**
+ * Evicts each replica for which capacity can be reserved elsewhere. The reservation is made in this
+ * round and in each until the replica is proven gone: then it starts, ahead of the queue or by rank.
+ */
+export const evictReplicas = (
+  replicas: readonly AttemptOfJob[],
+  capacities: readonly FreeCapacity[],
+): void => {
+  for (const replica of replicas) {
+    const { job } = replica;
+    const { zone } = replica.machine;
+    const target = capacities.find(
+      (capacity) =>
+        fitsFreeCapacity(job, capacity) &&
+        isFeasible(job, capacity.machine) &&
+        (capacity.machine.zone === zone || satisfiesZoneConstraints(job, capacity.machine)),
+    );
+    if (!target) continue;
+    takeFreeCapacity(job, target);
+    reserveShadowCapacity(job, target);
+    requestStop(replica);
+  }
+};
--- /dev/null
+++ b/src/core/scheduling/replica-spreading.ts
@@ -0,0 +1,114 @@
+/**
+ * In which order machines get a service's replicas: where they start soonest, and spread, so that
+ * the loss of one machine takes few of them.
+ */
+
+import type { CoreState } from '../core-state.js';
+import type { Job, Machine } from '../model/entities.js';
+import type { ImageName } from '../model/ids.js';
+import type { Instant } from '../model/time.js';
+import { estimateFetchMs, type FreeCapacity, type SchedulingContext } from './capacity.js';
+
+/** Machines on which replicas start within the same step of this length count as equally soon. */
+const START_DELAY_STEP_MS = 3000;
+/** The share of a service's replicas that a machine gets at most while others have capacity. */
+const MAX_SHARE_PER_MACHINE = 1 / 3;
+
+/** A machine that may get replicas of a service. */
+interface SpreadCandidate {
+  readonly capacity: FreeCapacity;
+  /** Until a replica would run there, in whole seconds. */
+  readonly startDelayS: number;
+  /** Replicas of the service on the machine, counted up as it is chosen. */
+  replicas: number;
+}
+
+/** A start goes out with the reply to the machine's next heartbeat. */
+const untilNextReplyMs = (state: CoreState, machine: Machine, now: Instant): number =>
+  machine.pendingReply
+    ? 0
+    : Math.max(0, machine.lastHeartbeatAt + state.config.heartbeatIntervalMs - now);
+
+/** What the machine fetches before a replica runs: images under way share its fetch rate. */
+const gbToFetchFirst = (job: Job, machine: Machine): number => {
+  const present = new Set<ImageName>();
+  const fetching = new Map<ImageName, number>();
+  for (const placement of machine.placements.values()) {
+    if (!placement.job) continue;
+    const { image, imageGb } = placement.job.spec;
+    if (placement.phase === 'running' || placement.phase === 'checkpointing') present.add(image);
+    else if (placement.phase !== 'ended' && placement.phase !== 'unconfirmed')
+      fetching.set(image, imageGb);
+  }
+  const { image, imageGb } = job.spec;
+  if (!machine.images.has(image)) fetching.set(image, imageGb);
+  if (!fetching.has(image) || present.has(image)) return 0;
+  let gb = 0;
+  for (const [name, size] of fetching) if (!present.has(name)) gb += size;
+  return gb;
+};
+
+/** Milliseconds until a replica would run on the machine. */
+const estimateStartDelayMs = (
+  { state, now }: SchedulingContext,
+  job: Job,
+  { machine, type }: FreeCapacity,
+): number =>
+  untilNextReplyMs(state, machine, now) + estimateFetchMs(gbToFetchFirst(job, machine), type);
+
+const countReplicasByMachine = (job: Job): Map<Machine, number> => {
+  const replicas = new Map<Machine, number>();
+  for (const attempts of job.attemptsByTask.values()) {
+    for (const { machine } of attempts) replicas.set(machine, (replicas.get(machine) ?? 0) + 1);
+  }
+  return replicas;
+};
+
+/** One machine after the other, until each has this many replicas. */
+function* takeTurns(
+  candidates: readonly SpreadCandidate[],
+  maxReplicas: number,
+): Generator<FreeCapacity> {
+  for (let most = 1; most <= maxReplicas; most += 1) {
+    for (const candidate of candidates) {
+      if (candidate.replicas >= most) continue;
+      candidate.replicas += 1;
+      yield candidate.capacity;
+    }
+  }
+}
+
+/**
+ * The machines for a service's replicas, one for each replica: by steps of the start delay, within a
+ * step one machine after the other; machines on which one ended of late come last.
+ */
+export function* spreadReplicas(
+  context: SchedulingContext,
+  job: Job,
+  capacities: readonly FreeCapacity[],
+): Generator<FreeCapacity> {
+  const replicasByMachine = countReplicasByMachine(job);
+  const byDelayStep = new Map<number, SpreadCandidate[]>();
+  const failed: SpreadCandidate[] = [];
+  for (const capacity of capacities) {
+    const startDelayMs = estimateStartDelayMs(context, job, capacity);
+    const candidate = {
+      capacity,
+      startDelayS: Math.floor(startDelayMs / 1000),
+      replicas: replicasByMachine.get(capacity.machine) ?? 0,
+    };
+    const step = Math.floor(startDelayMs / START_DELAY_STEP_MS);
+    const equallySoon = byDelayStep.get(step);
+    if (job.failedMachines.has(capacity.machine.id)) failed.push(candidate);
+    else if (equallySoon) equallySoon.push(candidate);
+    else byDelayStep.set(step, [candidate]);
+  }
+  const steps = [...byDelayStep].sort(([a], [b]) => a - b).map(([, candidates]) => candidates);
+  for (const candidates of steps)
+    candidates.sort((a, b) => a.startDelayS - b.startDelayS || a.replicas - b.replicas);
+  const { tasks } = job.spec;
+  for (const maxReplicas of [Math.ceil(tasks * MAX_SHARE_PER_MACHINE), tasks]) {
+    for (const candidates of steps) yield* takeTurns(candidates, maxReplicas);
+  }
+  yield* takeTurns(failed, tasks);
+}
--- a/src/core/scheduling/reservation.ts
+++ b/src/core/scheduling/reservation.ts
@@ -1,4 +1,4 @@
-/** The head's reservation: what it misses is set aside up to the shadow time. */
+/** The queue head's reservation: the capacity it misses is set aside up to the shadow time. */
 
 import { occupiesMachine } from '../lifecycle/attempts.js';
 import type { Job, Placement } from '../model/entities.js';
@@ -10,51 +10,85 @@
   reserveShadowCapacity,
   satisfiesZoneConstraints,
 } from './capacity.js';
-import { estimatedEnd } from './estimates.js';
+import { estimateEnd } from './estimates.js';
 
-/** Lets the running attempts end in the order of their estimates until the head's missing tasks fit. */
-export const reserveForHead = (
-  job: Job,
-  missing: number,
+/** When an attempt should leave its machine by its estimate. */
+interface ExpectedEnd {
+  readonly endsAt: number;
+  readonly capacity: FreeCapacity;
+  readonly placement: Placement;
+}
+
+/** Starts the account of the shadow time from what is free now. */
+const resetShadowCapacities = (capacities: readonly FreeCapacity[]): void => {
+  for (const capacity of capacities) {
+    capacity.shadowCpus = capacity.cpus;
+    capacity.shadowGpus = capacity.gpus;
+    capacity.shadowMemoryGb = capacity.memoryGb;
+  }
+};
+
+/** The expected ends by the second, so that only those seconds need be sorted that matter. */
+const expectedEndsBySecond = (
   capacities: readonly FreeCapacity[],
   now: Instant,
-): number => {
-  const allowed = new Set(
-    capacities.filter(
-      (r) => isFeasible(job, r.machine) && satisfiesZoneConstraints(job, r.machine),
-    ),
-  );
-  // By the second, so that only those seconds are put in order that matter.
-  const seconds = new Map<number, { at: number; capacity: FreeCapacity; p: Placement }[]>();
+): Map<number, ExpectedEnd[]> => {
+  const endsBySecond = new Map<number, ExpectedEnd[]>();
   for (const capacity of capacities) {
     for (const placement of capacity.machine.placements.values()) {
       if (!occupiesMachine(placement.phase)) continue;
-      const at = estimatedEnd(placement, now);
-      if (at === Number.POSITIVE_INFINITY) continue;
-      const second = Math.floor(at / 1000);
-      const ends = seconds.get(second);
-      if (ends) ends.push({ at, capacity, p: placement });
-      else seconds.set(second, [{ at, capacity, p: placement }]);
+      const endsAt = estimateEnd(placement, now);
+      if (endsAt === Number.POSITIVE_INFINITY) continue;
+      const second = Math.floor(endsAt / 1000);
+      const ends = endsBySecond.get(second);
+      if (ends) ends.push({ endsAt, capacity, placement });
+      else endsBySecond.set(second, [{ endsAt, capacity, placement }]);
     }
   }
-  let left = missing;
-  let shadow = 0;
-  for (const second of [...seconds.keys()].sort((a, b) => a - b)) {
-    const ends = seconds
-      .get(second)!
-      .sort((a, b) => a.at - b.at || a.p.entry.attempt - b.p.entry.attempt);
-    for (const end of ends) {
-      if (left <= 0) return shadow;
-      end.capacity.shadowCpus += end.p.entry.cpus;
-      end.capacity.shadowGpus += end.p.entry.gpus;
-      end.capacity.shadowMemoryGb += end.p.entry.memoryGb;
-      if (!allowed.has(end.capacity)) continue;
-      while (left > 0 && fitsBesideReservation(job, end.capacity)) {
-        reserveShadowCapacity(job, end.capacity);
+  return endsBySecond;
+};
+
+const compareEnds = (a: ExpectedEnd, b: ExpectedEnd): number =>
+  a.endsAt - b.endsAt || a.placement.entry.attempt - b.placement.entry.attempt;
+
+const releaseShadowCapacity = ({ capacity, placement }: ExpectedEnd): void => {
+  capacity.shadowCpus += placement.entry.cpus;
+  capacity.shadowGpus += placement.entry.gpus;
+  capacity.shadowMemoryGb += placement.entry.memoryGb;
+};
+
+/**
+ * Reserves capacity for the head's missing tasks, letting the running attempts end in the order of
+ * their estimates until all fit. Returns the shadow time, when the last of them does, or null where
+ * none ever fits.
+ */
+export const reserveForHead = (
+  head: Job,
+  missingTasks: number,
+  capacities: readonly FreeCapacity[],
+  now: Instant,
+): Instant | null => {
+  resetShadowCapacities(capacities);
+  const feasible = new Set(
+    capacities.filter(
+      ({ machine }) => isFeasible(head, machine) && satisfiesZoneConstraints(head, machine),
+    ),
+  );
+  const endsBySecond = expectedEndsBySecond(capacities, now);
+  let left = missingTasks;
+  let shadowTime: Instant | null = null;
+  for (const second of [...endsBySecond.keys()].sort((a, b) => a - b)) {
+    const ends = endsBySecond.get(second) ?? [];
+    for (const end of ends.sort(compareEnds)) {
+      if (left <= 0) return shadowTime;
+      releaseShadowCapacity(end);
+      if (!feasible.has(end.capacity)) continue;
+      while (left > 0 && fitsBesideReservation(head, end.capacity)) {
+        reserveShadowCapacity(head, end.capacity);
         left -= 1;
-        shadow = end.at;
+        shadowTime = end.endsAt as Instant;
       }
     }
   }
-  return shadow;
+  return shadowTime;
 };
--- a/src/core/scheduling/scoring.ts
+++ b/src/core/scheduling/scoring.ts
@@ -1,6 +1,10 @@
 /**
- * The weighted score of a waiting job: aging, deadline, scarcity and shortness
- * (Capannini et al., "Backfilling Strategies for Scheduling Streams of Jobs on Computational Farms").
+ * The score of a waiting job: the weighted sum of aging, deadline, scarcity and shortness, and of the
+ * job's own priority, which is our addition.
+ *
+ * The formulas are those of Capannini et al., "Backfilling Strategies for Scheduling Streams of Jobs
+ * on Computational Farms" (scheduler BF UNMOD, heuristics Aging, Deadline, Licenses and Wait
+ * Minimization); where ours differ, the function says so.
  */
 
 import type { MachineTypeName } from '../model/ids.js';
@@ -9,6 +13,9 @@
 import type { Policy } from '../model/policy.js';
 import type { Instant } from '../model/time.js';
 
+const MS_PER_HOUR = 3_600_000;
+
+/** What the scores need to know of a job that waits. */
 export interface WaitingJob {
   readonly spec: JobSpec;
   readonly submittedAt: Instant;
@@ -16,23 +23,43 @@
   readonly pendingTasks: number;
 }
 
+/** A job's weighted scores. Users see these names in the answer of `explain`. */
 export interface JobScores {
   readonly aging: number;
   readonly deadline: number;
   readonly scarcity: number;
   readonly shortness: number;
+  /** The score of the job's own priority. */
   readonly level: number;
   readonly total: number;
 }
 
-export interface Scarcity {
-  /** Requests over total for each GPU type, the kind that stands for a licence. */
-  readonly ratio: ReadonlyMap<MachineTypeName, number>;
-  /** How many kinds are ample, at least 1. */
-  readonly ample: number;
+/** How scarce the GPU types are, which stand for the licences of the paper. */
+export interface GpuScarcity {
+  /** Requested over present GPUs of each type: ρ(l) of the paper. */
+  readonly requestRatios: ReadonlyMap<MachineTypeName, number>;
+  /** How many types have enough for all requests, at least 1: d of the paper. */
+  readonly ampleTypes: number;
+}
+
+/** What a ranking is computed from, beside the waiting jobs. */
+export interface RankingInput {
+  readonly types: ReadonlyMap<MachineTypeName, MachineType>;
+  /** GPUs that the fleet has now, by machine type. */
+  readonly fleetGpus: ReadonlyMap<MachineTypeName, number>;
+  readonly now: Instant;
+  readonly policy: Policy;
+}
+
+/** What one ranking computes once for all jobs. */
+export interface ScoringContext extends RankingInput {
+  readonly scarcity: GpuScarcity;
+  /** The shortest estimate in the queue, in seconds. */
+  readonly shortestEstimateS: number;
 }
 
-const gpuKinds = (
+/** The machine types on whose GPUs a task of the job could run. */
+const gpuTypesFor = (
   spec: JobSpec,
   types: ReadonlyMap<MachineTypeName, MachineType>,
 ): MachineTypeName[] => {
@@ -41,97 +68,127 @@
   return names.filter((name) => (types.get(name)?.gpus ?? 0) >= spec.gpus);
 };
 
-/** `total` holds the GPUs of each type that the fleet has now. */
+/** ρ(l) = requests(l) / total(l) for each GPU type that is requested, and how many have ρ ≤ 1. */
 export const measureScarcity = (
   waiting: Iterable<WaitingJob>,
-  types: ReadonlyMap<MachineTypeName, MachineType>,
-  total: ReadonlyMap<MachineTypeName, number>,
-): Scarcity => {
+  { types, fleetGpus }: Pick<RankingInput, 'types' | 'fleetGpus'>,
+): GpuScarcity => {
   const requests = new Map<MachineTypeName, number>();
   for (const job of waiting) {
-    for (const kind of gpuKinds(job.spec, types)) {
-      requests.set(kind, (requests.get(kind) ?? 0) + job.spec.gpus * job.pendingTasks);
+    for (const type of gpuTypesFor(job.spec, types)) {
+      requests.set(type, (requests.get(type) ?? 0) + job.spec.gpus * job.pendingTasks);
     }
   }
-  const ratio = new Map<MachineTypeName, number>();
-  let ample = 0;
-  for (const [kind, asked] of requests) {
-    const value = asked / Math.max(total.get(kind) ?? 0, 1);
-    ratio.set(kind, value);
-    if (value <= 1) ample += 1;
+  const requestRatios = new Map<MachineTypeName, number>();
+  let ampleTypes = 0;
+  for (const [type, requested] of requests) {
+    const ratio = requested / Math.max(fleetGpus.get(type) ?? 0, 1);
+    requestRatios.set(type, ratio);
+    if (ratio <= 1) ampleTypes += 1;
   }
-  return { ratio, ample: Math.max(ample, 1) };
+  return { requestRatios, ampleTypes: Math.max(ampleTypes, 1) };
 };
 
+/**
+ * Aging: age factor · (now − submission), which keeps jobs from starving. Our age factor is in points
+ * for each hour of waiting.
+ */
+export const agingScore = (
+  { submittedAt }: Pick<WaitingJob, 'submittedAt'>,
+  now: Instant,
+  policy: Policy,
+): number => (policy.ageFactor * (now - submittedAt)) / MS_PER_HOUR;
+
+/**
+ * Deadline, without its weight. With te the estimated end, over = k · estimate and the threshold
+ * ts = deadline − over: min for te < ts; min + (max − min) / over · (te − ts) up to the deadline; 0
+ * after it. Ours: a job without a deadline, and a service, which has no end, get 0.
+ */
 export const deadlineScore = (
-  spec: JobSpec,
-  submittedAt: Instant,
+  job: Pick<WaitingJob, 'spec' | 'submittedAt'>,
   now: Instant,
   policy: Policy,
 ): number => {
-  if (spec.deadlineS === null || spec.shape === 'service') return 0;
-  const estimate = spec.estimateS * 1000;
+  const { spec, submittedAt } = job;
+  if (spec.deadlineS === null || isService(job)) return 0;
+  const { deadlineScoreMin, deadlineScoreMax, deadlineEstimateFactor } = policy;
+  const estimateMs = spec.estimateS * 1000;
   const deadline = submittedAt + spec.deadlineS * 1000;
-  const over = policy.deadlineEstimateFactor * estimate;
-  const threshold = deadline - over;
-  const end = now + estimate;
-  if (end > deadline) return 0;
-  if (end < threshold || over <= 0) return policy.deadlineScoreMin;
-  return (
-    policy.deadlineScoreMin +
-    ((policy.deadlineScoreMax - policy.deadlineScoreMin) / over) * (end - threshold)
-  );
+  const overestimateMs = deadlineEstimateFactor * estimateMs;
+  const threshold = deadline - overestimateMs;
+  const estimatedEnd = now + estimateMs;
+  if (estimatedEnd > deadline) return 0;
+  if (estimatedEnd < threshold || overestimateMs <= 0) return deadlineScoreMin;
+  const growth = (deadlineScoreMax - deadlineScoreMin) / overestimateMs;
+  return deadlineScoreMin + growth * (estimatedEnd - threshold);
 };
 
 /**
- * An array's estimate, for shortness: what its waiting tasks take one after the other. A service has no end: it is never the
- * shortest, and gets nothing for shortness.
+ * Scarcity, without its weight: the paper's Licenses heuristic, Σ ρ(l) over the ample types that the
+ * job may use + d · Σ ρ(l) over the scarce ones (ρ > 1), d the number of ample types. Ours: GPU
+ * types stand for licences.
+ */
+export const scarcityScore = (
+  spec: JobSpec,
+  { types, scarcity }: Pick<ScoringContext, 'types' | 'scarcity'>,
+): number => {
+  let sum = 0;
+  for (const type of gpuTypesFor(spec, types)) {
+    const ratio = scarcity.requestRatios.get(type) ?? 0;
+    sum += ratio > 1 ? scarcity.ampleTypes * ratio : ratio;
+  }
+  return sum;
+};
+
+/**
+ * A job's estimate for shortness, in seconds. Ours, since the paper has no arrays: what the waiting
+ * tasks take one after the other. A service has no end, so that it is never the shortest.
  */
 export const jobEstimateS = (job: WaitingJob): number =>
   isService(job) ? Number.POSITIVE_INFINITY : job.spec.estimateS * job.pendingTasks;
 
-export const scoreJob = (
-  job: WaitingJob,
-  shortestS: number,
-  scarcity: Scarcity,
-  types: ReadonlyMap<MachineTypeName, MachineType>,
-  now: Instant,
-  policy: Policy,
-): JobScores => {
-  const aging = (policy.ageFactor * (now - job.submittedAt)) / 3_600_000;
-  const deadline = policy.deadlineWeight * deadlineScore(job.spec, job.submittedAt, now, policy);
-  let rare = 0;
-  for (const kind of gpuKinds(job.spec, types)) {
-    const value = scarcity.ratio.get(kind) ?? 0;
-    rare += value > 1 ? scarcity.ample * value : value;
-  }
-  const scarce = policy.scarcityWeight * rare;
-  const work = jobEstimateS(job);
-  const share = work === Number.POSITIVE_INFINITY ? 0 : work > 0 ? shortestS / work : 1;
-  const shortness = policy.shortnessWeight * share;
-  const level = policy.priorityWeight * PRIORITY_LEVEL[job.spec.priority];
-  const total = aging + deadline + scarce + shortness + level;
-  return { aging, deadline, scarcity: scarce, shortness, level, total };
+/**
+ * Shortness, without its weight: the paper's Wait Minimization heuristic, the shortest estimate in
+ * the queue over the job's own; its priority boost value is our weight. A service gets 0.
+ */
+export const shortnessScore = (job: WaitingJob, shortestEstimateS: number): number => {
+  const estimateS = jobEstimateS(job);
+  if (estimateS === Number.POSITIVE_INFINITY) return 0;
+  return estimateS > 0 ? shortestEstimateS / estimateS : 1;
+};
+
+/** Priority, ours: points for each level, because the four scores know nothing of urgency. */
+export const priorityScore = (spec: JobSpec, policy: Policy): number =>
+  policy.priorityWeight * PRIORITY_LEVEL[spec.priority];
+
+/** The weighted scores of one job, and their sum P(J). */
+export const scoreJob = (job: WaitingJob, context: ScoringContext): JobScores => {
+  const { now, policy } = context;
+  const aging = agingScore(job, now, policy);
+  const deadline = policy.deadlineWeight * deadlineScore(job, now, policy);
+  const scarcity = policy.scarcityWeight * scarcityScore(job.spec, context);
+  const shortness = policy.shortnessWeight * shortnessScore(job, context.shortestEstimateS);
+  const level = priorityScore(job.spec, policy);
+  const total = aging + deadline + scarcity + shortness + level;
+  return { aging, deadline, scarcity, shortness, level, total };
 };
 
+/** A waiting job with the scores that gave it its rank. */
 export interface RankedJob<T extends WaitingJob> {
   readonly job: T;
   readonly scores: JobScores;
 }
 
-/** Highest score first; the earlier submission, then the id, decide ties. */
+/** Ranks jobs, the highest score first; the earlier submission, then the id, decide ties. */
 export const rankJobs = <T extends WaitingJob>(
   waiting: readonly T[],
-  types: ReadonlyMap<MachineTypeName, MachineType>,
-  total: ReadonlyMap<MachineTypeName, number>,
-  now: Instant,
-  policy: Policy,
+  input: RankingInput,
 ): RankedJob<T>[] => {
-  const scarcity = measureScarcity(waiting, types, total);
-  let shortest = Number.POSITIVE_INFINITY;
-  for (const job of waiting) shortest = Math.min(shortest, jobEstimateS(job));
+  let shortestEstimateS = Number.POSITIVE_INFINITY;
+  for (const job of waiting) shortestEstimateS = Math.min(shortestEstimateS, jobEstimateS(job));
+  const context = { ...input, scarcity: measureScarcity(waiting, input), shortestEstimateS };
   return waiting
-    .map((job) => ({ job, scores: scoreJob(job, shortest, scarcity, types, now, policy) }))
+    .map((job) => ({ job, scores: scoreJob(job, context) }))
     .sort(
       (a, b) =>
         b.scores.total - a.scores.total ||
--- a/test/backfill.test.ts
+++ b/test/backfill.test.ts
@@ -371,7 +371,7 @@
 describe('the deadline score', () => {
   const spec = job('job-1', { estimateS: 10, deadlineS: 100 });
   const at = (s: number) =>
-    deadlineScore(spec, 0 as Instant, (s * 1000) as Instant, DEFAULT_POLICY);
+    deadlineScore({ spec, submittedAt: 0 as Instant }, (s * 1000) as Instant, DEFAULT_POLICY);
   it('is the least before the threshold, grows to the most at the deadline, and is nothing after', () => {
     expect([at(0), at(69), at(70), at(80), at(90), at(91)]).toEqual([1, 1, 1, 5.5, 10, 0]);
   });
