--- a/src/core/scheduling/backfill.ts
+++ b/src/core/scheduling/backfill.ts
@@ -1,7 +1,8 @@
 /**
- * One scheduling round: flexible backfilling, the paper's BF UNMOD (see scoring.ts). The head of the
- * queue keeps its rank until it has started, and reserves the capacity it misses up to the shadow
- * time; the others start by score where they leave that capacity alone or end before the shadow time.
+ * One scheduling round: flexible backfilling, the paper's BF UNMOD (see scoring.ts). The head of
+ * the queue keeps its rank until it has started, and reserves the capacity it misses up to the
+ * shadow time; the others start by score where they leave that capacity alone or end before the
+ * shadow time.
  *
  * The phases stand in the order of `runSchedulingRound`; each takes from the free capacity what the
  * earlier ones have left.
@@ -15,10 +16,10 @@
 import {
   type FreeCapacity,
   filterUsable,
-  freeCapacities,
+  findSmallestRequirement,
+  measureFreeCapacities,
   type SchedulingContext,
   type SmallestRequirement,
-  smallestRequirementOf,
   tasksWithinQuota,
 } from './capacity.js';
 import {
@@ -31,19 +32,21 @@
 } from './placement.js';
 import { preemptForHead, preemptForReplicas } from './preemption.js';
 import { isFirstTaskOverdue, rankWaitingJobs } from './ranking.js';
-import { evictReplicas, replicasToEvict } from './replica-eviction.js';
+import { evictReplicas, findReplicasToEvict } from './replica-eviction.js';
 import { reserveForHead } from './reservation.js';
 import type { RankedJob } from './scoring.js';
 import { reserveMachinesForServices } from './service-reservation.js';
 import { hasQueuePrecedence } from './services.js';
 
 /**
- * A job of which nothing has been on a machine for so long is starving. It stays under the 90 s after
- * which operators count waiting beside free capacity as a fault.
+ * A job of which nothing has been on a machine for so long is starving. It stays under the 90 s
+ * after which operators count waiting beside free capacity as a fault.
  */
 const STARVING_AFTER_MS = 75_000;
 
-/** After this many times the wait for a first task, the job gets it even ahead of the queue head. */
+/**
+ * After this many times the wait for a first task, the job gets it even ahead of the queue head.
+ */
 const FIRST_TASK_BEFORE_HEAD_FACTOR = 1.5;
 
 /** What a round has placed, and the waiting jobs by rank. */
@@ -114,8 +117,8 @@
 
 /**
  * Places the first task of each job but the head that has waited this long and of which nothing has
- * begun. Shortness ranks large arrays last, and a deadline that has passed counts for nothing: under
- * lasting overload such a job would never begin.
+ * begun. Shortness ranks large arrays last, and a deadline that has passed counts for nothing:
+ * under lasting overload such a job would never begin.
  */
 const placeOverdueFirstTasks = (context: RoundContext, minWaitS: number): void => {
   const { state, now, ranked, queueHead, smallest } = context;
@@ -152,7 +155,7 @@
 const hasPlainRequirements = ({ spec, failedMachines }: Job): boolean =>
   !spec.singleZone && !spec.spreadZones && failedMachines.size === 0;
 
-const reasonWithoutMachine = (state: CoreState, job: Job): string =>
+const explainUnplaced = (state: CoreState, job: Job): string =>
   tasksWithinQuota(state, job) < 1 ? TEAM_LIMIT : NO_MACHINE;
 
 /** Places the other jobs by rank, around the head's reservation. */
@@ -165,7 +168,7 @@
     if (job === queueHead || hasQueuePrecedence(job)) continue;
     const isPlain = hasPlainRequirements(job);
     if (context.usable.length === 0 || (isPlain && unplaceable.has(job.requirementsKey))) {
-      job.waitingReason = reasonWithoutMachine(state, job);
+      job.waitingReason = explainUnplaced(state, job);
       continue;
     }
     const { placed, blockedBy } = placeInRound(context, job, context.usable, limits);
@@ -176,8 +179,9 @@
 };
 
 /**
- * Places one task of each starving job in what the ranking has left free, also where that is reserved
- * for the head or for services: no job is to wait for long beside capacity that it could have.
+ * Places one task of each starving job in what the ranking has left free, also where that is
+ * reserved for the head or for services: no job is to wait for long beside capacity that it could
+ * have.
  */
 const placeStarvingJobs = (context: RoundContext): void => {
   const { now, ranked, capacities, smallest } = context;
@@ -194,7 +198,7 @@
 /** Runs one round: places waiting tasks, names the queue head and sets the shadow time. */
 export const runSchedulingRound = (state: CoreState, now: Instant): Round => {
   const ranked = rankWaitingJobs(state, now);
-  const leaving = replicasToEvict(state, now);
+  const leaving = findReplicasToEvict(state, now);
   const placed: Placement[] = [];
   state.shadowTime = null;
   if (ranked.length === 0 && leaving.length === 0) {
@@ -204,8 +208,8 @@
   reserveMachinesForServices(state, now);
   const queueHead = chooseQueueHead(state, ranked);
   state.queueHead = queueHead?.spec.id ?? null;
-  const capacities = freeCapacities(state, now);
-  const smallest = smallestRequirementOf(ranked);
+  const capacities = measureFreeCapacities(state, now);
+  const smallest = findSmallestRequirement(ranked);
   const context = {
     state,
     now,
@@ -233,8 +237,8 @@
 
 /**
  * Places critical services alone, on machines that have answered the new leader, before its wait is
- * over: a missing replica is missed at once, the ledger tells what may run where, and the wait is for
- * the order among arrays only.
+ * over: a missing replica is missed at once, the ledger tells what may run where, and the wait is
+ * for the order among arrays only.
  */
 export const placeWaitingReplicas = (state: CoreState, now: Instant): Round => {
   const placed: Placement[] = [];
@@ -244,7 +248,7 @@
       hasQueuePrecedence(job) && job.pendingTasks > 0 && job.terminalState === 'none';
   if (!isReplicaWaiting) return { placed, ranked: [] };
   const ranked = rankWaitingJobs(state, now).filter(({ job }) => hasQueuePrecedence(job));
-  const capacities = freeCapacities(state, now);
+  const capacities = measureFreeCapacities(state, now);
   for (const { job } of ranked)
     placed.push(...placeJob({ state, now }, job, capacities, NO_LIMITS).placed);
   return { placed, ranked };
--- a/src/core/scheduling/capacity.ts
+++ b/src/core/scheduling/capacity.ts
@@ -43,7 +43,7 @@
   b.type.gpus - a.type.gpus || b.type.cpus - a.type.cpus || b.type.memoryGb - a.type.memoryGb;
 
 /** The free capacity of the machines that take work, the most powerful first. */
-export const freeCapacities = (state: CoreState, now: Instant): FreeCapacity[] => {
+export const measureFreeCapacities = (state: CoreState, now: Instant): FreeCapacity[] => {
   const capacities: FreeCapacity[] = [];
   for (const machine of state.machines.values()) {
     const type = state.types.get(machine.type);
@@ -133,7 +133,7 @@
   (gb / Math.max(type.fetchGbPerS, MIN_FETCH_GB_PER_S)) * 1000;
 
 /** How long the machine fetches the job's image before a task starts, in milliseconds. */
-export const imageFetchMs = (job: Job, capacity: FreeCapacity): number =>
+export const estimateImageFetchMs = (job: Job, capacity: FreeCapacity): number =>
   capacity.machine.images.has(job.spec.image)
     ? 0
     : estimateFetchMs(job.spec.imageGb, capacity.type);
@@ -146,7 +146,7 @@
 }
 
 /** The smallest requirement of all waiting jobs, resource by resource. */
-export const smallestRequirementOf = (ranked: readonly RankedJob<Job>[]): SmallestRequirement => {
+export const findSmallestRequirement = (ranked: readonly RankedJob<Job>[]): SmallestRequirement => {
   let cpus = Number.POSITIVE_INFINITY;
   let gpus = Number.POSITIVE_INFINITY;
   let memoryGb = Number.POSITIVE_INFINITY;
@@ -179,7 +179,7 @@
 }
 
 /** What a machine has free once these attempts have left it. */
-export const resourcesWithout = (
+export const measureResourcesWithout = (
   capacity: FreeCapacity,
   leaving: readonly Placement[],
 ): Resources => {
--- a/src/core/scheduling/estimates.ts
+++ b/src/core/scheduling/estimates.ts
@@ -3,7 +3,9 @@
 import { isService } from '../model/job.js';
 import type { Instant } from '../model/time.js';
 
-/** An attempt that is being stopped leaves its machine this long after its checkpoint is written. */
+/**
+ * An attempt that is being stopped leaves its machine this long after its checkpoint is written.
+ */
 const STOP_OVERHEAD_MS = 500;
 /** An attempt that outlasts its estimate is taken to last this share of the estimate longer. */
 const OVERRUN_SHARE = 1 / 4;
@@ -11,7 +13,7 @@
 const MIN_REMAINING_MS = 1000;
 
 /** How long a task of the job should run, in milliseconds: without end for a replica. */
-export const estimatedRunMs = (job: Job): number =>
+export const estimateRunMs = (job: Job): number =>
   isService(job) ? Number.POSITIVE_INFINITY : job.spec.estimateS * 1000;
 
 /**
@@ -24,7 +26,7 @@
     const checkpointS = Math.min(stopRequest.graceS, job?.spec.checkpointWriteS ?? 0);
     return now + checkpointS * 1000 + STOP_OVERHEAD_MS;
   }
-  const estimateMs = job ? estimatedRunMs(job) : 0;
+  const estimateMs = job ? estimateRunMs(job) : 0;
   const end = (placement.startedAt ?? placement.placedAt) + estimateMs;
   return Math.max(end, now + Math.max(MIN_REMAINING_MS, estimateMs * OVERRUN_SHARE));
 };
--- a/src/core/scheduling/placement.ts
+++ b/src/core/scheduling/placement.ts
@@ -1,4 +1,6 @@
-/** Placing the waiting tasks of one job: on which machines, in which order, and within which bounds. */
+/**
+ * Placing the waiting tasks of one job: on which machines, in which order, and within which bounds.
+ */
 
 import type { CoreState } from '../core-state.js';
 import { ATTEMPTS_PER_REVISION, addPlacement, hasAttemptLeft } from '../lifecycle/attempts.js';
@@ -11,10 +13,10 @@
 import {
   compareByPower,
   EPSILON,
+  estimateImageFetchMs,
   type FreeCapacity,
   fitsBesideReservation,
   fitsFreeCapacity,
-  imageFetchMs,
   isFeasible,
   reserveShadowCapacity,
   type SchedulingContext,
@@ -22,7 +24,7 @@
   takeFreeCapacity,
   tasksWithinQuota,
 } from './capacity.js';
-import { estimatedRunMs } from './estimates.js';
+import { estimateRunMs } from './estimates.js';
 import { spreadReplicas } from './replica-spreading.js';
 
 /** Why a job waits, as users read it: its team's quota allows no more tasks. */
@@ -47,12 +49,12 @@
 }
 
 /**
- * The machines for an array's tasks, best first: the most powerful, and among equals those that have
- * the image, since a task starts sooner there. While one job is placed, free capacity only shrinks,
- * so that a machine that was passed over is never looked at again: the cost of a round follows the
- * machines, and not machines times tasks.
+ * The machines for an array's tasks, best first: the most powerful, and among equals those that
+ * have the image, since a task starts sooner there. While one job is placed, free capacity only
+ * shrinks, so that a machine that was passed over is never looked at again: the cost of a round
+ * follows the machines, and not machines times tasks.
  */
-function* arrayCandidates(
+function* listArrayCandidates(
   job: Job,
   capacities: readonly FreeCapacity[],
 ): Generator<FreeCapacity, undefined> {
@@ -75,7 +77,7 @@
 }
 
 /** The machines for a service's replicas: one for each, see `spreadReplicas`. */
-function* serviceCandidates(
+function* listReplicaCandidates(
   context: SchedulingContext,
   job: Job,
   capacities: readonly FreeCapacity[],
@@ -120,11 +122,14 @@
   isBlockedByReservation: boolean;
 }
 
-/** Whether a task that is placed now ends before the shadow time, the fetch of its image included. */
+/**
+ * Whether a task that is placed now ends before the shadow time, the fetch of its image included.
+ */
 const endsByShadowTime = (search: MachineSearch, capacity: FreeCapacity): boolean => {
   const { job, now, shadowTime } = search;
   return (
-    shadowTime !== null && now + estimatedRunMs(job) + imageFetchMs(job, capacity) <= shadowTime
+    shadowTime !== null &&
+    now + estimateRunMs(job) + estimateImageFetchMs(job, capacity) <= shadowTime
   );
 };
 
@@ -141,7 +146,7 @@
 };
 
 /** The machine for the next task, or undefined where none is left. */
-const nextMachine = (search: MachineSearch): FreeCapacity | undefined => {
+const takeNextMachine = (search: MachineSearch): FreeCapacity | undefined => {
   // A service's replicas go to one machine after the other, an array's tasks fill each.
   let capacity = isService(search.job) ? undefined : search.current;
   while (!capacity || !isUsable(search, capacity)) {
@@ -190,13 +195,13 @@
 };
 
 /** Why no further task may start, whatever machines have free; null where one may. */
-const whyNoneMayStart = (state: CoreState, job: Job, isSuspect: boolean): string | null => {
+const explainRefusal = (state: CoreState, job: Job, isSuspect: boolean): string | null => {
   // A job that fails everywhere is tried one task at a time.
   if (isSuspect && job.attemptsByTask.size > 0) return 'its tasks fail on every machine';
   return tasksWithinQuota(state, job) < 1 ? TEAM_LIMIT : null;
 };
 
-const whyNoMachine = ({ isBlockedByReservation }: MachineSearch): string =>
+const explainNoMachine = ({ isBlockedByReservation }: MachineSearch): string =>
   isBlockedByReservation ? 'room reserved for the head' : NO_MACHINE;
 
 /** Places as many of the job's waiting tasks as the limits, its team's quota and machines allow. */
@@ -215,16 +220,16 @@
     shadowTime,
     zone: chooseZone(job, capacities),
     candidates: isService(job)
-      ? serviceCandidates(context, job, capacities)
-      : arrayCandidates(job, capacities),
+      ? listReplicaCandidates(context, job, capacities)
+      : listArrayCandidates(job, capacities),
     current: undefined,
     isBlockedByReservation: false,
   };
   while (job.pendingTasks > 0 && placed.length < maxTasks) {
-    const refusal = whyNoneMayStart(state, job, isSuspect);
+    const refusal = explainRefusal(state, job, isSuspect);
     if (refusal !== null) return { placed, blockedBy: refusal };
-    const capacity = nextMachine(search);
-    if (!capacity) return { placed, blockedBy: whyNoMachine(search) };
+    const capacity = takeNextMachine(search);
+    if (!capacity) return { placed, blockedBy: explainNoMachine(search) };
     const outlastsShadowTime = !endsByShadowTime(search, capacity);
     const placement = placeTask(context, job, capacity);
     if (!placement) return { placed, blockedBy: 'no attempt number left' };
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -11,8 +11,8 @@
   type FreeCapacity,
   fitsResources,
   isFeasible,
+  measureResourcesWithout,
   type Resources,
-  resourcesWithout,
   satisfiesZoneConstraints,
 } from './capacity.js';
 import { type AttemptOfJob, requestStop } from './stop-requests.js';
@@ -40,7 +40,11 @@
   writesCheckpoints(placement.job);
 
 /** The attempts that the head may preempt there; null where attempts are being stopped already. */
-const preemptibleOn = (machine: Machine, level: number, now: Instant): AttemptOfJob[] | null => {
+const findPreemptibleForHead = (
+  machine: Machine,
+  level: number,
+  now: Instant,
+): AttemptOfJob[] | null => {
   const preemptible: AttemptOfJob[] = [];
   for (const placement of machine.placements.values()) {
     if (isStopping(placement)) return null;
@@ -72,7 +76,7 @@
   capacity: FreeCapacity,
   preemptible: readonly AttemptOfJob[],
 ): number => {
-  const free = resourcesWithout(capacity, []);
+  const free = measureResourcesWithout(capacity, []);
   let left = missingTasks;
   let pending: AttemptOfJob[] = [];
   for (const attempt of preemptible) {
@@ -90,9 +94,9 @@
 };
 
 /**
- * Preempts for an urgent head. Small tasks take up every processor that comes free, so that on a full
- * fleet a head with larger tasks would wait for long. It stops tasks of lower priority that write
- * checkpoints, as many as it takes; its reservation then holds the capacity for it.
+ * Preempts for an urgent head. Small tasks take up every processor that comes free, so that on a
+ * full fleet a head with larger tasks would wait for long. It stops tasks of lower priority that
+ * write checkpoints, as many as it takes; its reservation then holds the capacity for it.
  */
 export const preemptForHead = (
   head: Job,
@@ -106,11 +110,11 @@
   for (const capacity of capacities) {
     const { machine } = capacity;
     if (!isFeasible(head, machine) || !satisfiesZoneConstraints(head, machine)) continue;
-    const preemptible = preemptibleOn(machine, level, now);
+    const preemptible = findPreemptibleForHead(machine, level, now);
     if (preemptible === null) {
       // Capacity that is being freed already counts first, or each round would stop more.
       const stopping = [...machine.placements.values()].filter(isStopping);
-      left -= takeTasksThatFit(head, resourcesWithout(capacity, stopping), left);
+      left -= takeTasksThatFit(head, measureResourcesWithout(capacity, stopping), left);
     } else if (preemptible.length > 0) options.push({ capacity, preemptible });
   }
   for (const { capacity, preemptible } of options) {
@@ -120,7 +124,7 @@
 };
 
 /** The run time, in milliseconds, that is lost when an attempt is stopped. */
-const lostRunMs = ({ job, startedAt }: AttemptOfJob, now: Instant): number => {
+const estimateLostRunMs = ({ job, startedAt }: AttemptOfJob, now: Instant): number => {
   if (startedAt === null) return 0;
   const checkpointMs = writesCheckpoints(job)
     ? job.spec.checkpointWriteS * 1000
@@ -135,7 +139,7 @@
 }
 
 /** The attempts on a machine that lose least and in whose place a replica fits, or null. */
-const cheapestOption = (
+const findCheapestOption = (
   service: Job,
   capacity: FreeCapacity,
   attempts: readonly Placement[],
@@ -150,14 +154,15 @@
         !isService(placement.job) &&
         PRIORITY_LEVEL[placement.job.spec.priority] < level,
     )
-    .map((attempt) => ({ attempt, lossMs: lostRunMs(attempt, now) }))
+    .map((attempt) => ({ attempt, lossMs: estimateLostRunMs(attempt, now) }))
     .sort((a, b) => a.lossMs - b.lossMs);
   const victims: AttemptOfJob[] = [];
   let lossMs = 0;
   for (const candidate of preemptible) {
     victims.push(candidate.attempt);
     lossMs += candidate.lossMs;
-    if (fitsResources(service, resourcesWithout(capacity, victims))) return { victims, lossMs };
+    if (fitsResources(service, measureResourcesWithout(capacity, victims)))
+      return { victims, lossMs };
   }
   return null;
 };
@@ -182,11 +187,14 @@
     );
     const stopping = attempts.filter(isStopping);
     // Capacity that is being freed already counts first, or each round would stop more.
-    if (stopping.length > 0 && fitsResources(service, resourcesWithout(capacity, stopping))) {
+    if (
+      stopping.length > 0 &&
+      fitsResources(service, measureResourcesWithout(capacity, stopping))
+    ) {
       left -= 1;
       continue;
     }
-    const option = cheapestOption(service, capacity, attempts, now);
+    const option = findCheapestOption(service, capacity, attempts, now);
     if (option) options.push(option);
   }
   options.sort((a, b) => a.lossMs - b.lossMs);
--- a/src/core/scheduling/ranking.ts
+++ b/src/core/scheduling/ranking.ts
@@ -9,8 +9,8 @@
 import { type RankedJob, rankJobs } from './scoring.js';
 
 /**
- * How long a job avoids a machine that failed one of its tasks. It bounds the wait of a job for which
- * that machine, which may be sound again, is the only feasible one.
+ * How long a job avoids a machine that failed one of its tasks. It bounds the wait of a job for
+ * which that machine, which may be sound again, is the only feasible one.
  */
 const FAILED_MACHINE_AVOIDANCE_MS = 60_000;
 
--- a/src/core/scheduling/replica-eviction.ts
+++ b/src/core/scheduling/replica-eviction.ts
@@ -15,8 +15,8 @@
 import { type AttemptOfJob, requestStop } from './stop-requests.js';
 
 /**
- * A reclaim notice leaves no choice, and an eviction that was requested goes on; all others need the
- * extensions' consent.
+ * A reclaim notice leaves no choice, and an eviction that was requested goes on; all others need
+ * the extensions' consent.
  */
 const mayEvict = ({ extensions }: CoreState, replica: AttemptOfJob): boolean =>
   replica.machine.reclaimAt !== null ||
@@ -25,7 +25,7 @@
   extensions.mayEvictReplica(replica);
 
 /** Replicas on machines that are being vacated, of services that may be placed now. */
-export const replicasToEvict = (state: CoreState, now: Instant): AttemptOfJob[] => {
+export const findReplicasToEvict = (state: CoreState, now: Instant): AttemptOfJob[] => {
   const replicas: AttemptOfJob[] = [];
   for (const machine of state.machines.values()) {
     if (!isBeingVacated(machine)) continue;
@@ -40,7 +40,8 @@
 
 /**
  * Evicts each replica for which capacity can be reserved elsewhere. The reservation is made in this
- * round and in each until the replica is proven gone: then it starts, ahead of the queue or by rank.
+ * round and in each until the replica is proven gone: then it starts, ahead of the queue or by
+ * rank.
  */
 export const evictReplicas = (
   replicas: readonly AttemptOfJob[],
--- a/src/core/scheduling/replica-spreading.ts
+++ b/src/core/scheduling/replica-spreading.ts
@@ -24,13 +24,13 @@
 }
 
 /** A start goes out with the reply to the machine's next heartbeat. */
-const untilNextReplyMs = (state: CoreState, machine: Machine, now: Instant): number =>
+const estimateReplyDelayMs = (state: CoreState, machine: Machine, now: Instant): number =>
   machine.pendingReply
     ? 0
     : Math.max(0, machine.lastHeartbeatAt + state.config.heartbeatIntervalMs - now);
 
 /** What the machine fetches before a replica runs: images under way share its fetch rate. */
-const gbToFetchFirst = (job: Job, machine: Machine): number => {
+const countGbToFetch = (job: Job, machine: Machine): number => {
   const present = new Set<ImageName>();
   const fetching = new Map<ImageName, number>();
   for (const placement of machine.placements.values()) {
@@ -54,7 +54,7 @@
   job: Job,
   { machine, type }: FreeCapacity,
 ): number =>
-  untilNextReplyMs(state, machine, now) + estimateFetchMs(gbToFetchFirst(job, machine), type);
+  estimateReplyDelayMs(state, machine, now) + estimateFetchMs(countGbToFetch(job, machine), type);
 
 const countReplicasByMachine = (job: Job): Map<Machine, number> => {
   const replicas = new Map<Machine, number>();
@@ -79,8 +79,8 @@
 }
 
 /**
- * The machines for a service's replicas, one for each replica: by steps of the start delay, within a
- * step one machine after the other; machines on which one ended of late come last.
+ * The machines for a service's replicas, one for each replica: by steps of the start delay, within
+ * a step one machine after the other; machines on which one ended of late come last.
  */
 export function* spreadReplicas(
   context: SchedulingContext,
--- a/src/core/scheduling/reservation.ts
+++ b/src/core/scheduling/reservation.ts
@@ -29,7 +29,7 @@
 };
 
 /** The expected ends by the second, so that only those seconds need be sorted that matter. */
-const expectedEndsBySecond = (
+const collectExpectedEnds = (
   capacities: readonly FreeCapacity[],
   now: Instant,
 ): Map<number, ExpectedEnd[]> => {
@@ -74,7 +74,7 @@
       ({ machine }) => isFeasible(head, machine) && satisfiesZoneConstraints(head, machine),
     ),
   );
-  const endsBySecond = expectedEndsBySecond(capacities, now);
+  const endsBySecond = collectExpectedEnds(capacities, now);
   let left = missingTasks;
   let shadowTime: Instant | null = null;
   for (const second of [...endsBySecond.keys()].sort((a, b) => a - b)) {
--- a/src/core/scheduling/scoring.ts
+++ b/src/core/scheduling/scoring.ts
@@ -1,9 +1,9 @@
 /**
- * The score of a waiting job: the weighted sum of aging, deadline, scarcity and shortness, and of the
- * job's own priority, which is our addition.
+ * The score of a waiting job: the weighted sum of aging, deadline, scarcity and shortness, and of
+ * the job's own priority, which is our addition.
  *
- * The formulas are those of Capannini et al., "Backfilling Strategies for Scheduling Streams of Jobs
- * on Computational Farms" (scheduler BF UNMOD, heuristics Aging, Deadline, Licenses and Wait
+ * The formulas are those of Capannini et al., "Backfilling Strategies for Scheduling Streams of
+ * Jobs on Computational Farms" (scheduler BF UNMOD, heuristics Aging, Deadline, Licenses and Wait
  * Minimization); where ours differ, the function says so.
  */
 
@@ -59,7 +59,7 @@
 }
 
 /** The machine types on whose GPUs a task of the job could run. */
-const gpuTypesFor = (
+const findGpuTypes = (
   spec: JobSpec,
   types: ReadonlyMap<MachineTypeName, MachineType>,
 ): MachineTypeName[] => {
@@ -75,7 +75,7 @@
 ): GpuScarcity => {
   const requests = new Map<MachineTypeName, number>();
   for (const job of waiting) {
-    for (const type of gpuTypesFor(job.spec, types)) {
+    for (const type of findGpuTypes(job.spec, types)) {
       requests.set(type, (requests.get(type) ?? 0) + job.spec.gpus * job.pendingTasks);
     }
   }
@@ -90,10 +90,10 @@
 };
 
 /**
- * Aging: age factor · (now − submission), which keeps jobs from starving. Our age factor is in points
- * for each hour of waiting.
+ * Aging: age factor · (now − submission), which keeps jobs from starving. Our age factor is in
+ * points for each hour of waiting.
  */
-export const agingScore = (
+export const scoreAging = (
   { submittedAt }: Pick<WaitingJob, 'submittedAt'>,
   now: Instant,
   policy: Policy,
@@ -104,7 +104,7 @@
  * ts = deadline − over: min for te < ts; min + (max − min) / over · (te − ts) up to the deadline; 0
  * after it. Ours: a job without a deadline, and a service, which has no end, get 0.
  */
-export const deadlineScore = (
+export const scoreDeadline = (
   job: Pick<WaitingJob, 'spec' | 'submittedAt'>,
   now: Instant,
   policy: Policy,
@@ -124,16 +124,16 @@
 };
 
 /**
- * Scarcity, without its weight: the paper's Licenses heuristic, Σ ρ(l) over the ample types that the
- * job may use + d · Σ ρ(l) over the scarce ones (ρ > 1), d the number of ample types. Ours: GPU
+ * Scarcity, without its weight: the paper's Licenses heuristic, Σ ρ(l) over the ample types that
+ * the job may use + d · Σ ρ(l) over the scarce ones (ρ > 1), d the number of ample types. Ours: GPU
  * types stand for licences.
  */
-export const scarcityScore = (
+export const scoreScarcity = (
   spec: JobSpec,
   { types, scarcity }: Pick<ScoringContext, 'types' | 'scarcity'>,
 ): number => {
   let sum = 0;
-  for (const type of gpuTypesFor(spec, types)) {
+  for (const type of findGpuTypes(spec, types)) {
     const ratio = scarcity.requestRatios.get(type) ?? 0;
     sum += ratio > 1 ? scarcity.ampleTypes * ratio : ratio;
   }
@@ -144,31 +144,31 @@
  * A job's estimate for shortness, in seconds. Ours, since the paper has no arrays: what the waiting
  * tasks take one after the other. A service has no end, so that it is never the shortest.
  */
-export const jobEstimateS = (job: WaitingJob): number =>
+export const estimateJobS = (job: WaitingJob): number =>
   isService(job) ? Number.POSITIVE_INFINITY : job.spec.estimateS * job.pendingTasks;
 
 /**
  * Shortness, without its weight: the paper's Wait Minimization heuristic, the shortest estimate in
  * the queue over the job's own; its priority boost value is our weight. A service gets 0.
  */
-export const shortnessScore = (job: WaitingJob, shortestEstimateS: number): number => {
-  const estimateS = jobEstimateS(job);
+export const scoreShortness = (job: WaitingJob, shortestEstimateS: number): number => {
+  const estimateS = estimateJobS(job);
   if (estimateS === Number.POSITIVE_INFINITY) return 0;
   return estimateS > 0 ? shortestEstimateS / estimateS : 1;
 };
 
 /** Priority, ours: points for each level, because the four scores know nothing of urgency. */
-export const priorityScore = (spec: JobSpec, policy: Policy): number =>
+export const scorePriority = (spec: JobSpec, policy: Policy): number =>
   policy.priorityWeight * PRIORITY_LEVEL[spec.priority];
 
 /** The weighted scores of one job, and their sum P(J). */
 export const scoreJob = (job: WaitingJob, context: ScoringContext): JobScores => {
   const { now, policy } = context;
-  const aging = agingScore(job, now, policy);
-  const deadline = policy.deadlineWeight * deadlineScore(job, now, policy);
-  const scarcity = policy.scarcityWeight * scarcityScore(job.spec, context);
-  const shortness = policy.shortnessWeight * shortnessScore(job, context.shortestEstimateS);
-  const level = priorityScore(job.spec, policy);
+  const aging = scoreAging(job, now, policy);
+  const deadline = policy.deadlineWeight * scoreDeadline(job, now, policy);
+  const scarcity = policy.scarcityWeight * scoreScarcity(job.spec, context);
+  const shortness = policy.shortnessWeight * scoreShortness(job, context.shortestEstimateS);
+  const level = scorePriority(job.spec, policy);
   const total = aging + deadline + scarcity + shortness + level;
   return { aging, deadline, scarcity, shortness, level, total };
 };
@@ -185,7 +185,7 @@
   input: RankingInput,
 ): RankedJob<T>[] => {
   let shortestEstimateS = Number.POSITIVE_INFINITY;
-  for (const job of waiting) shortestEstimateS = Math.min(shortestEstimateS, jobEstimateS(job));
+  for (const job of waiting) shortestEstimateS = Math.min(shortestEstimateS, estimateJobS(job));
   const context = { ...input, scarcity: measureScarcity(waiting, input), shortestEstimateS };
   return waiting
     .map((job) => ({ job, scores: scoreJob(job, context) }))
--- a/src/core/scheduling/service-reservation.ts
+++ b/src/core/scheduling/service-reservation.ts
@@ -70,7 +70,7 @@
   !machine.isUnreachable &&
   machine.lostAt === null;
 
-const reservationRankOf = (machine: Machine, wasReserved: boolean): number => {
+const rankReservation = (machine: Machine, wasReserved: boolean): number => {
   for (const placement of machine.placements.values())
     if (isReplica(placement)) return RESERVATION_RANK.hasReplicas;
   return wasReserved ? RESERVATION_RANK.wasReserved : RESERVATION_RANK.other;
@@ -87,7 +87,7 @@
     const wasReserved = machine.isReservedForServices;
     machine.isReservedForServices = false;
     if (neededCpus <= 0 || !type || !isReservable(machine)) continue;
-    const rank = reservationRankOf(machine, wasReserved);
+    const rank = rankReservation(machine, wasReserved);
     const candidate = { machine, cpus: type.cpus, rank };
     const inZone = byZone.get(machine.zone);
     if (inZone) inZone.push(candidate);
--- a/src/core/scheduling/services.ts
+++ b/src/core/scheduling/services.ts
@@ -1,7 +1,8 @@
 /**
  * What sets services apart in scheduling. A replica has no end that could be estimated, and
- * backfilling lives on estimated ends, so that services have rules of their own: see docs/design.md,
- * "Services", and the modules service-reservation, replica-spreading and replica-eviction.
+ * backfilling lives on estimated ends, so that services have rules of their own: see
+ * docs/design.md, "Services", and the modules service-reservation, replica-spreading and
+ * replica-eviction.
  */
 
 import { occupiesMachine } from '../lifecycle/attempts.js';
--- a/test/backfill.test.ts
+++ b/test/backfill.test.ts
@@ -15,7 +15,7 @@
 import { isService, PRIORITY_LEVEL } from '../src/core/model/job.js';
 import type { Instant } from '../src/core/model/time.js';
 import { runSchedulingRound } from '../src/core/scheduling/backfill.js';
-import { deadlineScore } from '../src/core/scheduling/scoring.js';
+import { scoreDeadline } from '../src/core/scheduling/scoring.js';
 import { core, job, team, type } from './model/build.js';
 import { type PlainWorld, plainRound } from './model/plain-backfill.js';
 
@@ -51,12 +51,12 @@
   imageGb: fc.constantFrom(0, 0, 1.5, 3),
 });
 const drawnMachine = fc.record({
-  type: fc.constantFrom(...TYPES.map((t) => t.name as string)),
+  type: fc.constantFrom(...TYPES.map((machineType) => machineType.name as string)),
   zone: fc.constantFrom('a', 'b'),
   spot: fc.boolean(),
-  kept: fc.boolean(),
-  heardAgoMs: fc.constantFrom(0, 700, 2100),
-  waits: fc.boolean(),
+  isReservedForServices: fc.boolean(),
+  heartbeatAgeMs: fc.constantFrom(0, 700, 2100),
+  hasPendingReply: fc.boolean(),
 });
 const drawnWorld = fc.record({
   jobs: fc.array(drawnJob, { minLength: 1, maxLength: 8 }),
@@ -74,21 +74,21 @@
 
 /** The same world for the real round and for the plain one. */
 const worldOf = (drawn: DrawnWorld, blue = 24, green = 10) => {
-  const limits = { blue: { cpus: blue, gpus: 4 }, green: { cpus: green, gpus: 1 } };
+  const quotas = { blue: { cpus: blue, gpus: 4 }, green: { cpus: green, gpus: 1 } };
   const teams = [team('blue', blue, 4), team('green', green, 1)];
   const state = core({ teams: new Map(teams.map((t) => [t.name, t])) });
-  for (const t of TYPES) state.types.set(t.name, t);
+  for (const machineType of TYPES) state.types.set(machineType.name, machineType);
   const world: PlainWorld = {
     now: NOW,
     ...DEFAULT_POLICY,
     jobs: [],
-    kinds: [{ type: 'gpu', gpus: 2 }],
+    gpuTypes: [{ type: 'gpu', gpus: 2 }],
     machines: [],
     runs: [],
-    limits,
-    head: drawn.head === null ? null : `job-${drawn.head}`,
+    quotas,
+    queueHead: drawn.head === null ? null : `job-${drawn.head}`,
   };
-  state.queueHead = world.head as never;
+  state.queueHead = world.queueHead as never;
   drawn.jobs.forEach(({ age, idle, ...rest }, i) => {
     const submittedAt = NOW - age * 1000;
     const idleSince = NOW - Math.min(age, idle) * 1000;
@@ -100,41 +100,60 @@
       ...rest,
     });
     const spec = job(`job-${i}`, { ...rest, image: `img-${i}` });
-    const waits = createJob(spec, submittedAt as Instant);
-    waits.idleSince = idleSince as Instant;
-    state.jobs.set(spec.id, waits);
+    const waitingJob = createJob(spec, submittedAt as Instant);
+    waitingJob.idleSince = idleSince as Instant;
+    state.jobs.set(spec.id, waitingJob);
   });
-  drawn.machines.forEach((m, i) => {
-    const t = TYPES.find((x) => x.name === m.type)!;
+  drawn.machines.forEach((attributes, i) => {
+    const machineType = TYPES.find(({ name }) => name === attributes.type)!;
     const id = `n-${i}`;
-    const checkInMs = m.waits ? 0 : Math.max(0, state.config.heartbeatIntervalMs - m.heardAgoMs);
-    const { cpus, gpus, memoryGb, fetchGbPerS } = t;
-    world.machines.push({ id, ...m, cpus, gpus, memoryGb, fetchGbPerS, checkInMs });
-    const at = {
+    const nextHeartbeatMs = attributes.hasPendingReply
+      ? 0
+      : Math.max(0, state.config.heartbeatIntervalMs - attributes.heartbeatAgeMs);
+    const { cpus, gpus, memoryGb, fetchGbPerS } = machineType;
+    world.machines.push({
+      id,
+      ...attributes,
+      cpus,
+      gpus,
+      memoryGb,
+      fetchGbPerS,
+      nextHeartbeatMs,
+    });
+    const location = {
       endpoint: '',
-      type: m.type as MachineTypeName,
-      zone: m.zone as ZoneName,
-      spot: m.spot,
+      type: attributes.type as MachineTypeName,
+      zone: attributes.zone as ZoneName,
+      spot: attributes.spot,
     };
-    const made = createMachine(id as MachineId, at, 0 as Instant, NOW as Instant);
-    made.isReady = true;
-    made.hasReported = true;
-    made.isReservedForServices = m.kept;
-    made.lastHeartbeatAt = (NOW - m.heardAgoMs) as Instant;
-    if (m.waits) made.pendingReply = { ticket: 1 as ReplyTicket, since: NOW as Instant };
-    state.machines.set(made.id, made);
+    const machine = createMachine(id as MachineId, location, 0 as Instant, NOW as Instant);
+    machine.isReady = true;
+    machine.hasReported = true;
+    machine.isReservedForServices = attributes.isReservedForServices;
+    machine.lastHeartbeatAt = (NOW - attributes.heartbeatAgeMs) as Instant;
+    if (attributes.hasPendingReply)
+      machine.pendingReply = { ticket: 1 as ReplyTicket, since: NOW as Instant };
+    state.machines.set(machine.id, machine);
   });
-  drawn.running.forEach((r, i) => {
-    const j = [...state.jobs.values()][r.job % state.jobs.size]!;
-    const m = [...state.machines.values()][r.machine % state.machines.size]!;
-    const index = takePendingTask(j);
+  drawn.running.forEach((run, i) => {
+    const job = [...state.jobs.values()][run.job % state.jobs.size]!;
+    const machine = [...state.machines.values()][run.machine % state.machines.size]!;
+    const index = takePendingTask(job);
     if (index === null) return;
-    const startedAt = (NOW - r.startedAgo * 1000) as Instant;
-    const { id, team: owner, cpus, gpus, memoryGb, estimateS } = j.spec;
-    const p: Placement = {
-      entry: { job: id, index, attempt: (i + 1) as AttemptId, team: owner, cpus, gpus, memoryGb },
-      machine: m,
-      job: j,
+    const startedAt = (NOW - run.startedAgo * 1000) as Instant;
+    const { id, team: teamName, cpus, gpus, memoryGb, estimateS } = job.spec;
+    const placement: Placement = {
+      entry: {
+        job: id,
+        index,
+        attempt: (i + 1) as AttemptId,
+        team: teamName,
+        cpus,
+        gpus,
+        memoryGb,
+      },
+      machine,
+      job,
       placedAt: startedAt,
       phase: 'running',
       startedAt,
@@ -144,53 +163,60 @@
       requiredProgress: null,
       segment: null,
     };
-    addPlacement(state, p);
-    m.images.add(j.spec.image);
-    const by = Math.max(startedAt + estimateS * 1000, NOW + Math.max(1000, (estimateS * 1000) / 4));
-    const end = isService(j) ? Number.POSITIVE_INFINITY : by;
-    world.runs.push({ job: id, machine: m.id, ranMs: NOW - startedAt, end });
+    addPlacement(state, placement);
+    machine.images.add(job.spec.image);
+    const estimatedEnd = Math.max(
+      startedAt + estimateS * 1000,
+      NOW + Math.max(1000, (estimateS * 1000) / 4),
+    );
+    const end = isService(job) ? Number.POSITIVE_INFINITY : estimatedEnd;
+    world.runs.push({ job: id, machine: machine.id, ranMs: NOW - startedAt, end });
   });
   return { state, world };
 };
 
-describe('a round', () => {
-  it('starts what the plain model starts, on the same machines, around the same head', () => {
-    let starts = 0;
+describe('runSchedulingRound', () => {
+  it('places what the plain model places, on the same machines, around the same head', () => {
+    let placements = 0;
     let reservations = 0;
     let replicas = 0;
-    let stops = 0;
-    let kept = 0;
+    let preemptions = 0;
+    let reservedMachines = 0;
     fc.assert(
       fc.property(drawnWorld, (drawn) => {
         const { state, world } = worldOf(drawn);
         const plain = plainRound(world);
         const real = runSchedulingRound(state, NOW as Instant);
-        const placed = real.placed.map((p) => `${p.entry.job}@${p.machine.id}`);
-        expect(placed).toEqual(plain.starts);
-        expect(state.queueHead).toBe(plain.head);
-        const stopped = [...state.machines.values()].flatMap((m) =>
-          [...m.placements.values()]
-            .filter((p) => p.stopRequest)
-            .map((p) => `${p.entry.job}@${m.id}`),
+        const placed = real.placed.map(
+          (placement) => `${placement.entry.job}@${placement.machine.id}`,
+        );
+        expect(placed).toEqual(plain.placed);
+        expect(state.queueHead).toBe(plain.queueHead);
+        const preempted = [...state.machines.values()].flatMap((machine) =>
+          [...machine.placements.values()]
+            .filter((placement) => placement.stopRequest)
+            .map((placement) => `${placement.entry.job}@${machine.id}`),
         );
-        expect(stopped.sort()).toEqual(plain.stopped.sort());
-        stops += stopped.length;
-        replicas += real.placed.filter((p) => isService(p.job!)).length;
-        kept += [...state.machines.values()].filter((m) => m.isReservedForServices).length;
-        starts += placed.length;
+        expect(preempted.sort()).toEqual(plain.preempted.sort());
+        preemptions += preempted.length;
+        replicas += real.placed.filter((placement) => isService(placement.job!)).length;
+        reservedMachines += [...state.machines.values()].filter(
+          (machine) => machine.isReservedForServices,
+        ).length;
+        placements += placed.length;
         if (state.shadowTime !== null) reservations += 1;
       }),
       { seed: 20261, numRuns: 3000 },
     );
     // The comparison means something only where both have had something to decide.
-    expect(starts).toBeGreaterThan(1000);
+    expect(placements).toBeGreaterThan(1000);
     expect(reservations).toBeGreaterThan(100);
     expect(replicas).toBeGreaterThan(300);
-    expect(stops).toBeGreaterThan(50);
-    expect(kept).toBeGreaterThan(300);
+    expect(preemptions).toBeGreaterThan(50);
+    expect(reservedMachines).toBeGreaterThan(300);
   });
 
-  /** A fleet that is mostly busy, with more waiting than fits; what a round looks at is counted. */
+  /** A mostly busy fleet with more waiting than fits; `visits` counts what a round looks at. */
   const fleet = (
     machines: number,
     jobs: number,
@@ -198,7 +224,7 @@
     running: number,
     services = false,
   ) => {
-    const kinds = ['small', 'big', 'big'];
+    const machineTypes = ['small', 'big', 'big'];
     const drawn: DrawnWorld = {
       jobs: Array.from({ length: jobs }, (_, i) => ({
         age: (i * 37) % 300,
@@ -220,12 +246,12 @@
         imageGb: ([0, 1.5, 3] as const)[i % 3]!,
       })),
       machines: Array.from({ length: machines }, (_, i) => ({
-        type: kinds[i % 3]!,
+        type: machineTypes[i % 3]!,
         zone: i % 2 ? 'a' : 'b',
         spot: i % 9 !== 0,
-        kept: false,
-        heardAgoMs: 0,
-        waits: i % 2 === 0,
+        isReservedForServices: false,
+        heartbeatAgeMs: 0,
+        hasPendingReply: i % 2 === 0,
       })),
       running: Array.from({ length: running }, (_, i) => ({
         job: i,
@@ -235,28 +261,30 @@
       head: 0,
     };
     const { state, world } = worldOf(drawn, machines * 5, machines * 4);
-    let looked = 0;
-    for (const m of state.machines.values()) {
-      const { images, placements } = m;
+    let visits = 0;
+    for (const machine of state.machines.values()) {
+      const { images, placements } = machine;
       const has = images.has.bind(images);
       images.has = (image) => {
-        looked += 1;
+        visits += 1;
         return has(image);
       };
       const values = placements.values.bind(placements);
       placements.values = () => {
-        looked += placements.size;
+        visits += placements.size;
         return values();
       };
     }
-    return { state, world, looked: () => looked };
+    return { state, world, visits: () => visits };
   };
 
   it('decides as the plain model on a fleet of 990 machines', () => {
     const { state, world } = fleet(990, 6, 40, 60);
     const plain = plainRound(world);
     const real = runSchedulingRound(state, NOW as Instant);
-    expect(real.placed.map((p) => `${p.entry.job}@${p.machine.id}`)).toEqual(plain.starts);
+    expect(
+      real.placed.map((placement) => `${placement.entry.job}@${placement.machine.id}`),
+    ).toEqual(plain.placed);
     expect(real.placed.length).toBeGreaterThan(50);
   });
 
@@ -271,19 +299,19 @@
       );
       expect(Math.min(...placed)).toBeGreaterThan(1000);
       for (const { state } of [once, twice]) expect(state.shadowTime).not.toBeNull();
-      expect(twice.looked()).toBeLessThan(2.6 * once.looked());
+      expect(twice.visits()).toBeLessThan(2.6 * once.visits());
       // Far from every waiting task with every machine.
-      expect(once.looked()).toBeLessThan(60 * 990);
+      expect(once.visits()).toBeLessThan(60 * 990);
     },
   );
 
-  it('keeps the head at the top until it has started, whatever arrives', () => {
+  it('keeps the queue head until it has started, whatever arrives', () => {
     const state = core();
     state.types.set('c8' as MachineTypeName, type('c8'));
     const at = { endpoint: '', type: 'c8' as MachineTypeName, zone: 'a' as ZoneName, spot: false };
-    const m = createMachine('n-1' as MachineId, at, 0 as Instant, 0 as Instant);
-    m.isReady = true;
-    state.machines.set(m.id, m);
+    const machine = createMachine('n-1' as MachineId, at, 0 as Instant, 0 as Instant);
+    machine.isReady = true;
+    state.machines.set(machine.id, machine);
     const add = (id: string, change: object) => {
       const spec = job(id, change);
       state.jobs.set(spec.id, createJob(spec, 0 as Instant));
@@ -293,69 +321,72 @@
     add('job-2', { cpus: 4, estimateS: 20 });
     runSchedulingRound(state, 0 as Instant);
     expect(state.queueHead).toBe('job-2');
-    // Shorter, so it scores higher; still it may neither take the head's rank nor outlast its reservation.
+    // Shorter, so it scores higher; still it may neither take the head's rank nor outlast its
+    // reservation.
     add('job-3', { cpus: 1, estimateS: 1 });
     add('job-4', { cpus: 1, estimateS: 400, tasks: 4 });
     const round = runSchedulingRound(state, 0 as Instant);
     expect(state.queueHead).toBe('job-2');
     expect(state.shadowTime).toBe(50_000);
-    const placed = round.placed.map((p) => p.entry.job);
+    const placed = round.placed.map((placement) => placement.entry.job);
     expect(placed.filter((id) => id === 'job-3')).toHaveLength(1);
     expect(placed.filter((id) => id === 'job-4')).toHaveLength(1);
   });
 
-  it('stops lower tasks that save, no more than an urgent head needs, and keeps their room for it', () => {
+  it('preempts lower-priority tasks that write checkpoints, no more than an urgent head needs', () => {
     const at = { endpoint: '', type: 'c8' as MachineTypeName, zone: 'a' as ZoneName, spot: false };
-    const play = (victim: object, urgent: object, startedAt = 0, policy = {}) => {
+    const preemptedBy = (victim: object, urgent: object, startedAt = 0, policy = {}) => {
       const state = core({}, policy);
       state.types.set('c8' as MachineTypeName, type('c8'));
-      const m = createMachine('n-1' as MachineId, at, 0 as Instant, 0 as Instant);
-      m.isReady = true;
-      m.lastHeartbeatAt = 64_000 as Instant;
-      state.machines.set(m.id, m);
-      const sweep = job('job-1', {
+      const machine = createMachine('n-1' as MachineId, at, 0 as Instant, 0 as Instant);
+      machine.isReady = true;
+      machine.lastHeartbeatAt = 64_000 as Instant;
+      state.machines.set(machine.id, machine);
+      const array = job('job-1', {
         priority: 'best_effort',
         tasks: 4,
         cpus: 2,
         estimateS: 500,
         ...victim,
       });
-      state.jobs.set(sweep.id, createJob(sweep, 0 as Instant));
-      for (const p of runSchedulingRound(state, 0 as Instant).placed) {
-        p.phase = 'running';
-        p.startedAt = startedAt as Instant;
+      state.jobs.set(array.id, createJob(array, 0 as Instant));
+      for (const placement of runSchedulingRound(state, 0 as Instant).placed) {
+        placement.phase = 'running';
+        placement.startedAt = startedAt as Instant;
       }
       const head = job('job-2', { priority: 'urgent', cpus: 3, ...urgent });
       state.jobs.set(head.id, createJob(head, 50_000 as Instant));
-      // Small enough for every hole, it must not take the room that is made for the head.
+      // Small enough for every gap, it must not take the capacity that is freed for the head.
       const small = job('job-3', { priority: 'standard', tasks: 20, estimateS: 100 });
       state.jobs.set(small.id, createJob(small, 50_000 as Instant));
       const round = runSchedulingRound(state, 60_000 as Instant);
       expect(round.placed).toEqual([]);
-      const stopped = () => [...m.placements.values()].filter((p) => p.stopRequest);
+      const stopped = () =>
+        [...machine.placements.values()].filter((placement) => placement.stopRequest);
       const first = stopped().length;
       runSchedulingRound(state, 60_100 as Instant);
       expect(stopped().length).toBe(first);
       return { state, stopped: stopped() };
     };
-    const saving = { checkpointIntervalS: 10, checkpointWriteS: 3 };
-    const { state, stopped } = play(saving, {});
+    const checkpointing = { checkpointIntervalS: 10, checkpointWriteS: 3 };
+    const { state, stopped } = preemptedBy(checkpointing, {});
     expect(stopped).toHaveLength(2);
     expect(stopped[0]?.stopRequest?.graceS).toBeGreaterThan(3);
-    for (const p of stopped) releasePlacement(state, p, 64_000 as Instant);
+    for (const placement of stopped) releasePlacement(state, placement, 64_000 as Instant);
     const placed = runSchedulingRound(state, 64_000 as Instant).placed.map(
-      (p) => p.entry.job as string,
+      (placement) => placement.entry.job as string,
     );
     expect(placed.filter((id) => id === 'job-2')).toHaveLength(1);
-    // Not: tasks that lose their work, of equal priority, hardly begun; nor for a head of lower priority, or if told not to.
-    expect(play({ checkpointIntervalS: 0 }, {}).stopped).toEqual([]);
-    expect(play({ ...saving, priority: 'urgent' }, {}).stopped).toEqual([]);
-    expect(play(saving, {}, 40_000).stopped).toEqual([]);
-    expect(play(saving, { priority: 'standard', estimateS: 1 }).stopped).toEqual([]);
-    expect(play(saving, {}, 0, { preemptionMinPriority: 4 }).stopped).toEqual([]);
+    // Not: tasks that lose their work, of equal priority, hardly begun; nor for a head of lower
+    // priority, nor where the policy forbids it.
+    expect(preemptedBy({ checkpointIntervalS: 0 }, {}).stopped).toEqual([]);
+    expect(preemptedBy({ ...checkpointing, priority: 'urgent' }, {}).stopped).toEqual([]);
+    expect(preemptedBy(checkpointing, {}, 40_000).stopped).toEqual([]);
+    expect(preemptedBy(checkpointing, { priority: 'standard', estimateS: 1 }).stopped).toEqual([]);
+    expect(preemptedBy(checkpointing, {}, 0, { preemptionMinPriority: 4 }).stopped).toEqual([]);
   });
 
-  it('never lets a job that fails everywhere reserve', () => {
+  it('never lets a job that fails everywhere head the queue', () => {
     const state = core();
     const spec = job('job-1', { cpus: 4 });
     const failing = createJob(spec, 0 as Instant);
@@ -368,11 +399,11 @@
   });
 });
 
-describe('the deadline score', () => {
+describe('scoreDeadline', () => {
   const spec = job('job-1', { estimateS: 10, deadlineS: 100 });
   const at = (s: number) =>
-    deadlineScore({ spec, submittedAt: 0 as Instant }, (s * 1000) as Instant, DEFAULT_POLICY);
-  it('is the least before the threshold, grows to the most at the deadline, and is nothing after', () => {
+    scoreDeadline({ spec, submittedAt: 0 as Instant }, (s * 1000) as Instant, DEFAULT_POLICY);
+  it('is the minimum before the threshold, grows to the maximum at the deadline, and is 0 after', () => {
     expect([at(0), at(69), at(70), at(80), at(90), at(91)]).toEqual([1, 1, 1, 5.5, 10, 0]);
   });
 });
--- a/test/model/overloaded-day.ts
+++ b/test/model/overloaded-day.ts
@@ -1,4 +1,7 @@
-/** A day on which more is asked than can be done: steady arrivals, a fixed fleet, workers that do as they are told. */
+/**
+ * A day on which more is asked than can be done: steady arrivals, a fixed fleet, workers that do as
+ * they are told.
+ */
 
 import { applyCommands } from '../../src/core/apply-commands.js';
 import type { CoreState } from '../../src/core/core-state.js';
@@ -15,7 +18,7 @@
 const MACHINES = 10;
 
 interface Running {
-  readonly order: WorkerCommand;
+  readonly command: WorkerCommand;
   readonly endsAt: number;
 }
 
@@ -51,18 +54,18 @@
       estimateS: large ? 40 : 20,
       deadlineS: large ? 150 : 60,
     });
-    const told: DayJob = { spec, submittedAt: now, begunAt: null, doneAt: null };
-    this.jobs.push(told);
-    this.byId.set(spec.id, told);
+    const dayJob: DayJob = { spec, submittedAt: now, begunAt: null, doneAt: null };
+    this.jobs.push(dayJob);
+    this.byId.set(spec.id, dayJob);
     this.send(now, { kind: 'job', spec, submittedAt: now as Instant });
   }
 
   private send(now: number, ...commands: Parameters<typeof applyCommands>[1][number][]) {
     const effects = applyCommands(this.state, commands, now as Instant, 'lead');
-    for (const e of [...effects]) {
-      if (e.kind === 'store-batch')
-        effects.push(...this.send(now, { kind: 'batch-stored', batch: e.batch }));
-      if (e.kind === 'job-ended') this.byId.get(e.job)!.doneAt = now;
+    for (const effect of [...effects]) {
+      if (effect.kind === 'store-batch')
+        effects.push(...this.send(now, { kind: 'batch-stored', batch: effect.batch }));
+      if (effect.kind === 'job-ended') this.byId.get(effect.job)!.doneAt = now;
     }
     return effects;
   }
@@ -73,39 +76,41 @@
     for (let now = 4000; now < DAY_MS; now += STEP_MS) {
       if (now < ARRIVALS_MS && now % 5000 === 0) this.arrive(now);
       seq += 1;
-      for (const [i, held] of this.running.entries()) {
-        const told = held.map(({ order, endsAt }) => {
-          const over = endsAt <= now;
+      for (const [i, running] of this.running.entries()) {
+        const statuses = running.map(({ command, endsAt }) => {
+          const hasEnded = endsAt <= now;
           return task(
-            order.job,
-            order.index,
-            order.attempt,
-            over ? 'ended' : 'running',
-            over ? 'done' : null,
+            command.job,
+            command.index,
+            command.attempt,
+            hasEnded ? 'ended' : 'running',
+            hasEnded ? 'done' : null,
           );
         });
         const ticket = (seq * 100 + i) as ReplyTicket;
         const effects = this.send(now, {
           kind: 'heartbeat',
-          heartbeat: report(`n-${i}`, seq, 7, told),
+          heartbeat: report(`n-${i}`, seq, 7, statuses),
           ticket,
         });
-        const answer = effects.find((e) => e.kind === 'reply-to-heartbeat' && e.ticket === ticket);
-        for (const order of (answer?.kind === 'reply-to-heartbeat' && answer.commands) || [])
-          this.obey(i, order, now);
+        const answer = effects.find(
+          (effect) => effect.kind === 'reply-to-heartbeat' && effect.ticket === ticket,
+        );
+        for (const command of (answer?.kind === 'reply-to-heartbeat' && answer.commands) || [])
+          this.obey(i, command, now);
       }
       this.send(now, { kind: 'tick' });
     }
   }
 
-  private obey(machine: number, order: WorkerCommand, now: number): void {
-    const held = this.running[machine]!;
-    if (order.op === 'start') {
-      const told = this.byId.get(order.job)!;
-      told.begunAt ??= now;
-      held.push({ order, endsAt: now + told.spec.estimateS * 1000 });
+  private obey(machine: number, command: WorkerCommand, now: number): void {
+    const running = this.running[machine]!;
+    if (command.op === 'start') {
+      const dayJob = this.byId.get(command.job)!;
+      dayJob.begunAt ??= now;
+      running.push({ command, endsAt: now + dayJob.spec.estimateS * 1000 });
     } else {
-      this.running[machine] = held.filter((r) => r.order.attempt !== order.attempt);
+      this.running[machine] = running.filter((r) => r.command.attempt !== command.attempt);
     }
   }
 }
--- a/test/model/plain-backfill.ts
+++ b/test/model/plain-backfill.ts
@@ -1,6 +1,7 @@
 /**
- * The design written down as plainly as can be, to compare the real round with: whole lists are scanned
- * again for every task, nothing is kept between tasks, and no order is relied on but the stated one.
+ * The design written down as plainly as can be, to compare the real round with: whole lists are
+ * scanned again for every task, nothing is cached between tasks, and no order is relied on but the
+ * stated one.
  */
 export interface PlainJob {
   id: string;
@@ -8,7 +9,7 @@
   submittedAt: number;
   /** Since when it has had nothing on a machine. */
   idleSince: number;
-  /** 3 for critical down to 0 for best effort. */
+  /** The priority: 3 for critical down to 0 for best effort. */
   level: number;
   team: string;
   tasks: number;
@@ -33,10 +34,10 @@
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** Kept for services up to now. */
-  kept: boolean;
-  /** Milliseconds until its next check-in, by which starts go out. */
-  checkInMs: number;
+  /** Reserved for services up to now. */
+  isReservedForServices: boolean;
+  /** Milliseconds until its next heartbeat, whose reply carries starts. */
+  nextHeartbeatMs: number;
   fetchGbPerS: number;
 }
 
@@ -61,331 +62,392 @@
   firstTaskAfterS: number;
   jobs: PlainJob[];
   /** Machine types with GPUs, in the fleet or not. */
-  kinds: { type: string; gpus: number }[];
+  gpuTypes: { type: string; gpus: number }[];
   machines: PlainMachine[];
   runs: PlainRun[];
-  limits: Record<string, { cpus: number; gpus: number }>;
-  head: string | null;
+  quotas: Record<string, { cpus: number; gpus: number }>;
+  queueHead: string | null;
 }
 
-const near = 1e-6;
+const EPSILON = 1e-6;
 
 export const plainScore = (
   world: PlainWorld,
   job: PlainJob,
   waiting: PlainJob[],
-  left: (j: PlainJob) => number,
+  pendingTasks: (other: PlainJob) => number,
 ): number => {
-  const age = ((world.now - job.submittedAt) / 3_600_000) * world.ageFactor;
+  const aging = ((world.now - job.submittedAt) / 3_600_000) * world.ageFactor;
   let deadline = 0;
   if (job.deadlineS !== null && job.shape === 'array') {
-    const due = job.submittedAt + job.deadlineS * 1000;
-    const over = world.deadlineEstimateFactor * job.estimateS * 1000;
+    const deadlineAt = job.submittedAt + job.deadlineS * 1000;
+    const overestimateMs = world.deadlineEstimateFactor * job.estimateS * 1000;
     const end = world.now + job.estimateS * 1000;
-    if (end > due) deadline = 0;
-    else if (end < due - over || over <= 0) deadline = world.deadlineScoreMin;
+    if (end > deadlineAt) deadline = 0;
+    else if (end < deadlineAt - overestimateMs || overestimateMs <= 0)
+      deadline = world.deadlineScoreMin;
     else
       deadline =
         world.deadlineScoreMin +
-        ((world.deadlineScoreMax - world.deadlineScoreMin) / over) * (end - (due - over));
+        ((world.deadlineScoreMax - world.deadlineScoreMin) / overestimateMs) *
+          (end - (deadlineAt - overestimateMs));
   }
-  const kinds = world.kinds.map((k) => k.type);
-  const gpusOf = (kind: string) => world.kinds.find((k) => k.type === kind)?.gpus ?? 0;
-  const asks = (j: PlainJob, kind: string) =>
-    j.gpus > 0 &&
-    gpusOf(kind) >= j.gpus &&
-    (j.machineTypes === null || j.machineTypes.includes(kind));
-  const ratio = (kind: string) => {
-    const wanted = waiting
-      .filter((j) => asks(j, kind))
-      .reduce((sum, j) => sum + j.gpus * left(j), 0);
-    const total = world.machines.filter((m) => m.type === kind).reduce((sum, m) => sum + m.gpus, 0);
-    return wanted / Math.max(total, 1);
+  const gpuTypes = world.gpuTypes.map((k) => k.type);
+  const gpusPerMachine = (type: string) => world.gpuTypes.find((k) => k.type === type)?.gpus ?? 0;
+  const requests = (other: PlainJob, type: string) =>
+    other.gpus > 0 &&
+    gpusPerMachine(type) >= other.gpus &&
+    (other.machineTypes === null || other.machineTypes.includes(type));
+  const ratio = (type: string) => {
+    const requested = waiting
+      .filter((other) => requests(other, type))
+      .reduce((sum, other) => sum + other.gpus * pendingTasks(other), 0);
+    const total = world.machines
+      .filter((machine) => machine.type === type)
+      .reduce((sum, machine) => sum + machine.gpus, 0);
+    return requested / Math.max(total, 1);
   };
-  const ample = kinds.filter(
-    (kind) => waiting.some((j) => asks(j, kind)) && ratio(kind) <= 1,
+  const ample = gpuTypes.filter(
+    (type) => waiting.some((other) => requests(other, type)) && ratio(type) <= 1,
   ).length;
   let scarcity = 0;
-  for (const kind of kinds) {
-    if (asks(job, kind))
-      scarcity += ratio(kind) > 1 ? Math.max(ample, 1) * ratio(kind) : ratio(kind);
+  for (const type of gpuTypes) {
+    if (requests(job, type))
+      scarcity += ratio(type) > 1 ? Math.max(ample, 1) * ratio(type) : ratio(type);
   }
   // An array's estimate, for shortness, is that of its waiting tasks one after the other.
-  const work = (j: PlainJob) => j.estimateS * left(j);
-  const shortest = Math.min(...waiting.filter((j) => j.shape === 'array').map(work));
+  const estimateS = (other: PlainJob) => other.estimateS * pendingTasks(other);
+  const shortest = Math.min(...waiting.filter((other) => other.shape === 'array').map(estimateS));
   // A service never ends: it is never the shortest.
-  const share = job.shape === 'service' ? 0 : work(job) > 0 ? shortest / work(job) : 1;
-  const short = world.shortnessWeight * share;
-  return age + deadline + scarcity + short + world.priorityWeight * job.level;
+  const shortestOverOwn =
+    job.shape === 'service' ? 0 : estimateS(job) > 0 ? shortest / estimateS(job) : 1;
+  const shortness = world.shortnessWeight * shortestOverOwn;
+  return aging + deadline + scarcity + shortness + world.priorityWeight * job.level;
 };
 
-/** Starts of one round, as "job@machine", in order, and who heads the queue. */
+/** What one round places and preempts, as "job@machine", in order, and who heads the queue. */
 export const plainRound = (
   world: PlainWorld,
-): { starts: string[]; head: string | null; stopped: string[] } => {
-  const job = (id: string) => world.jobs.find((j) => j.id === id)!;
-  const runs = world.runs.map((r) => ({ ...r }));
-  const left = (j: PlainJob) => j.tasks - runs.filter((r) => r.job === j.id).length;
-  const waiting = world.jobs.filter((j) => left(j) > 0);
-  const scores = new Map(waiting.map((j) => [j.id, plainScore(world, j, waiting, left)]));
+): { placed: string[]; queueHead: string | null; preempted: string[] } => {
+  const jobOf = (id: string) => world.jobs.find((job) => job.id === id)!;
+  const runs = world.runs.map((run) => ({ ...run }));
+  const pendingTasks = (job: PlainJob) => job.tasks - runs.filter((r) => r.job === job.id).length;
+  const waiting = world.jobs.filter((job) => pendingTasks(job) > 0);
+  const scores = new Map(
+    waiting.map((job) => [job.id, plainScore(world, job, waiting, pendingTasks)]),
+  );
   waiting.sort(
     (a, b) =>
       scores.get(b.id)! - scores.get(a.id)! ||
       a.submittedAt - b.submittedAt ||
       (a.id < b.id ? -1 : 1),
   );
-  const arrays = waiting.filter((j) => j.shape === 'array');
-  const head = arrays.find((j) => j.id === world.head) ?? arrays[0];
-  const stopped: string[] = [];
-  if (waiting.length === 0) return { starts: [], head: null, stopped };
-  const goesFirst = (j: PlainJob) => j.shape === 'service' && j.level === 3;
+  const arrays = waiting.filter((job) => job.shape === 'array');
+  const queueHead = arrays.find((job) => job.id === world.queueHead) ?? arrays[0];
+  const preempted: string[] = [];
+  if (waiting.length === 0) return { placed: [], queueHead: null, preempted };
+  const hasQueuePrecedence = (job: PlainJob) => job.shape === 'service' && job.level === 3;
 
   const sum = (list: PlainRun[], what: 'cpus' | 'gpus' | 'memoryGb') =>
-    list.reduce((total, r) => total + job(r.job)[what], 0);
-  const on = (m: PlainMachine) => runs.filter((r) => r.machine === m.id);
+    list.reduce((total, run) => total + jobOf(run.job)[what], 0);
+  const runsOn = (machine: PlainMachine) => runs.filter((r) => r.machine === machine.id);
   const fits = (
-    j: PlainJob,
-    m: PlainMachine,
+    job: PlainJob,
+    machine: PlainMachine,
     taken: { cpus: number; gpus: number; memoryGb: number },
   ) =>
-    m.cpus - taken.cpus + near >= j.cpus &&
-    m.gpus - taken.gpus + near >= j.gpus &&
-    m.memoryGb - taken.memoryGb + near >= j.memoryGb;
-  const used = (m: PlainMachine) => ({
-    cpus: sum(on(m), 'cpus'),
-    gpus: sum(on(m), 'gpus'),
-    memoryGb: sum(on(m), 'memoryGb'),
+    machine.cpus - taken.cpus + EPSILON >= job.cpus &&
+    machine.gpus - taken.gpus + EPSILON >= job.gpus &&
+    machine.memoryGb - taken.memoryGb + EPSILON >= job.memoryGb;
+  const used = (machine: PlainMachine) => ({
+    cpus: sum(runsOn(machine), 'cpus'),
+    gpus: sum(runsOn(machine), 'gpus'),
+    memoryGb: sum(runsOn(machine), 'memoryGb'),
   });
-  const teamSlots = (j: PlainJob) => {
-    const mine = runs.filter((r) => job(r.job).team === j.team);
-    const limit = world.limits[j.team]!;
+  const tasksWithinQuota = (job: PlainJob) => {
+    const teamRuns = runs.filter((r) => jobOf(r.job).team === job.team);
+    const quota = world.quotas[job.team]!;
     const byCpu =
-      j.cpus > 0 ? Math.floor((limit.cpus - sum(mine, 'cpus') + near) / j.cpus) : Infinity;
+      job.cpus > 0
+        ? Math.floor((quota.cpus - sum(teamRuns, 'cpus') + EPSILON) / job.cpus)
+        : Infinity;
     const byGpu =
-      j.gpus > 0 ? Math.floor((limit.gpus - sum(mine, 'gpus') + near) / j.gpus) : Infinity;
+      job.gpus > 0
+        ? Math.floor((quota.gpus - sum(teamRuns, 'gpus') + EPSILON) / job.gpus)
+        : Infinity;
     return Math.max(0, Math.min(byCpu, byGpu));
   };
-  const zonesOf = (j: PlainJob) =>
+  const zonesOf = (job: PlainJob) =>
     runs
-      .filter((r) => r.job === j.id)
-      .map((r) => world.machines.find((m) => m.id === r.machine)!.zone);
+      .filter((r) => r.job === job.id)
+      .map((r) => world.machines.find((machine) => machine.id === r.machine)!.zone);
 
-  // Ordinary machines are kept for the services that may use no others: what these take and half as much again, and twice the
-  // largest; of each zone in turn, those with replicas first, then those kept before.
-  const dear = world.jobs.filter((j) => j.shape === 'service' && !j.allowsSpot);
-  const sizes = dear.map((j) => j.tasks * j.cpus);
-  let kept = new Set<PlainMachine>(world.machines.filter((m) => m.kept));
-  const ordinary = world.machines.filter((m) => !m.spot);
-  const has = (m: PlainMachine) => on(m).some((r) => job(r.job).shape === 'service');
-  const keep = () => {
-    const before = kept;
-    kept = new Set();
-    // Nothing is kept from an array that has long waited for its first task.
-    const inVain = arrays.some(
-      (j) => left(j) === j.tasks && world.now - j.submittedAt >= world.firstTaskAfterS * 1000,
+  // On-demand machines are reserved for the services that may use no others: what these take and
+  // half as much again, and twice the largest; of each zone in turn, those with replicas first,
+  // then those reserved before.
+  const onDemandServices = world.jobs.filter((job) => job.shape === 'service' && !job.allowsSpot);
+  const sizes = onDemandServices.map((job) => job.tasks * job.cpus);
+  let reservedForServices = new Set<PlainMachine>(
+    world.machines.filter((machine) => machine.isReservedForServices),
+  );
+  const onDemand = world.machines.filter((machine) => !machine.spot);
+  const hasReplica = (machine: PlainMachine) =>
+    runsOn(machine).some((r) => jobOf(r.job).shape === 'service');
+  const reserveMachines = () => {
+    const before = reservedForServices;
+    reservedForServices = new Set();
+    // Nothing is reserved against an array that has long waited for its first task.
+    const hasOverdueFirstTask = arrays.some(
+      (job) =>
+        pendingTasks(job) === job.tasks &&
+        world.now - job.submittedAt >= world.firstTaskAfterS * 1000,
     );
-    if (inVain) return;
-    let toKeep = 1.5 * sizes.reduce((a, b) => a + b, 0) + 2 * Math.max(0, ...sizes);
-    const rank = (m: PlainMachine) => (has(m) ? 2 : before.has(m) ? 1 : 0);
-    for (let turn = 0; turn < ordinary.length; turn += 1) {
-      for (const z of [...new Set(ordinary.map((m) => m.zone))]) {
-        const list = ordinary.filter((m) => m.zone === z);
+    if (hasOverdueFirstTask) return;
+    let cpusToReserve = 1.5 * sizes.reduce((a, b) => a + b, 0) + 2 * Math.max(0, ...sizes);
+    const rank = (machine: PlainMachine) => (hasReplica(machine) ? 2 : before.has(machine) ? 1 : 0);
+    for (let turn = 0; turn < onDemand.length; turn += 1) {
+      for (const z of [...new Set(onDemand.map((machine) => machine.zone))]) {
+        const list = onDemand.filter((machine) => machine.zone === z);
         list.sort((a, b) => rank(b) - rank(a) || (a.id < b.id ? -1 : 1));
-        const m = list[turn];
-        if (!m || toKeep <= 0) continue;
-        kept.add(m);
-        toKeep -= m.cpus;
+        const machine = list[turn];
+        if (!machine || cpusToReserve <= 0) continue;
+        reservedForServices.add(machine);
+        cpusToReserve -= machine.cpus;
       }
     }
   };
-  keep();
+  reserveMachines();
 
   let starving: PlainJob | null = null;
-  const suits = (j: PlainJob, m: PlainMachine) =>
-    (j.shape === 'service' || !j.allowsSpot || !kept.has(m) || j === starving) &&
-    (j.machineTypes === null || j.machineTypes.includes(m.type)) &&
-    (j.zone === null || j.zone === m.zone) &&
-    (j.allowsSpot || !m.spot) &&
-    (!j.singleZone || zonesOf(j).every((z) => z === m.zone)) &&
-    (!j.spreadZones || zonesOf(j).filter((z) => z === m.zone).length < Math.ceil(j.tasks / 2));
-  const strongest = [...world.machines].sort(
+  const isFeasible = (job: PlainJob, machine: PlainMachine) =>
+    (job.shape === 'service' ||
+      !job.allowsSpot ||
+      !reservedForServices.has(machine) ||
+      job === starving) &&
+    (job.machineTypes === null || job.machineTypes.includes(machine.type)) &&
+    (job.zone === null || job.zone === machine.zone) &&
+    (job.allowsSpot || !machine.spot) &&
+    (!job.singleZone || zonesOf(job).every((z) => z === machine.zone)) &&
+    (!job.spreadZones ||
+      zonesOf(job).filter((z) => z === machine.zone).length < Math.ceil(job.tasks / 2));
+  const byPower = [...world.machines].sort(
     (a, b) =>
       b.gpus - a.gpus || b.cpus - a.cpus || b.memoryGb - a.memoryGb || (a.id < b.id ? -1 : 1),
   );
 
-  const sameStrength = (a: PlainMachine, b: PlainMachine) =>
+  const hasEqualPower = (a: PlainMachine, b: PlainMachine) =>
     a.gpus === b.gpus && a.cpus === b.cpus && a.memoryGb === b.memoryGb;
 
-  const starts: string[] = [];
-  const killed: PlainRun[] = [];
-  let shadow = 0;
-  // What the head will have taken, and who will have ended, at the shadow time.
-  let reserved: PlainRun[] = [];
-  let ended: PlainRun[] = [];
-  const lasting: PlainRun[] = [];
-  /** Its own image, and those that the machine fetches for tasks that this round has just started there. */
-  const gbToFetch = (j: PlainJob, m: PlainMachine) => {
-    const fresh = runs.slice(world.runs.length).filter((r) => r.machine === m.id);
-    const old = world.runs.filter((r) => r.machine === m.id).map((r) => r.job);
-    if (old.includes(j.id)) return 0;
-    const names = new Set([...fresh.map((r) => r.job), j.id].filter((id) => !old.includes(id)));
-    return [...names].reduce((total, id) => total + job(id).imageGb, 0);
+  const placed: string[] = [];
+  const preemptedRuns: PlainRun[] = [];
+  let shadowTime = 0;
+  // What is reserved for the head, and who will have ended, at the shadow time.
+  let headReservation: PlainRun[] = [];
+  let endedRuns: PlainRun[] = [];
+  const outlastingShadowTime: PlainRun[] = [];
+  /**
+   * Its own image, and those that the machine fetches for tasks that this round has just started
+   * there.
+   */
+  const gbToFetch = (job: PlainJob, machine: PlainMachine) => {
+    const newRuns = runs.slice(world.runs.length).filter((r) => r.machine === machine.id);
+    const formerJobs = world.runs.filter((run) => run.machine === machine.id).map((run) => run.job);
+    if (formerJobs.includes(job.id)) return 0;
+    const names = new Set(
+      [...newRuns.map((r) => r.job), job.id].filter((id) => !formerJobs.includes(id)),
+    );
+    return [...names].reduce((total, id) => total + jobOf(id).imageGb, 0);
   };
-  const fill = (j: PlainJob, most = Infinity) => {
-    let begun = 0;
-    const count = (m: PlainMachine) =>
-      runs.filter((r) => r.job === j.id && r.machine === m.id).length;
+  const placeJob = (job: PlainJob, maxTasks = Infinity) => {
+    let placedTasks = 0;
+    const count = (machine: PlainMachine) =>
+      runs.filter((r) => r.job === job.id && r.machine === machine.id).length;
     // A replica would run there in so many seconds.
-    const startsIn = new Map(
-      world.machines.map((m) => [m.id, m.checkInMs + (gbToFetch(j, m) / m.fetchGbPerS) * 1000]),
+    const startDelayMs = new Map(
+      world.machines.map((machine) => [
+        machine.id,
+        machine.nextHeartbeatMs + (gbToFetch(job, machine) / machine.fetchGbPerS) * 1000,
+      ]),
     );
-    const third = Math.ceil(j.tasks / 3);
-    const full = (m: PlainMachine) => (count(m) >= third ? 1 : 0);
-    const tier = (m: PlainMachine) => Math.floor(startsIn.get(m.id)! / 3000);
-    const second = (m: PlainMachine) => Math.floor(startsIn.get(m.id)! / 1000);
-    const before = new Map(world.machines.map((m) => [m.id, count(m)]));
+    const maxShare = Math.ceil(job.tasks / 3);
+    const hasMaxShare = (machine: PlainMachine) => (count(machine) >= maxShare ? 1 : 0);
+    const delayStep = (machine: PlainMachine) => Math.floor(startDelayMs.get(machine.id)! / 3000);
+    const delayS = (machine: PlainMachine) => Math.floor(startDelayMs.get(machine.id)! / 1000);
+    const before = new Map(world.machines.map((machine) => [machine.id, count(machine)]));
     let zone: string | null = null;
-    if (j.singleZone && zonesOf(j).length === 0) {
+    if (job.singleZone && zonesOf(job).length === 0) {
       const slots = new Map<string, number>();
-      for (const m of strongest) {
-        if (!suits(j, m) || !fits(j, m, used(m))) continue;
-        const n = j.cpus > 0 ? Math.floor((m.cpus - used(m).cpus + near) / j.cpus) : 1;
-        slots.set(m.zone, (slots.get(m.zone) ?? 0) + n);
+      for (const machine of byPower) {
+        if (!isFeasible(job, machine) || !fits(job, machine, used(machine))) continue;
+        const n =
+          job.cpus > 0 ? Math.floor((machine.cpus - used(machine).cpus + EPSILON) / job.cpus) : 1;
+        slots.set(machine.zone, (slots.get(machine.zone) ?? 0) + n);
       }
       for (const [z, n] of slots) if (zone === null || n > slots.get(zone)!) zone = z;
     }
-    while (left(j) > 0 && teamSlots(j) >= 1 && begun < most) {
-      const end = j.shape === 'service' ? Infinity : world.now + j.estimateS * 1000;
-      const able = strongest.filter((x) => {
-        if (!suits(j, x) || (zone !== null && x.zone !== zone) || !fits(j, x, used(x)))
+    while (pendingTasks(job) > 0 && tasksWithinQuota(job) >= 1 && placedTasks < maxTasks) {
+      const end = job.shape === 'service' ? Infinity : world.now + job.estimateS * 1000;
+      const feasible = byPower.filter((other) => {
+        if (
+          !isFeasible(job, other) ||
+          (zone !== null && other.zone !== zone) ||
+          !fits(job, other, used(other))
+        )
           return false;
-        if (shadow === 0 || end <= shadow) return true;
+        if (shadowTime === 0 || end <= shadowTime) return true;
         const before = runs
           .slice(0, world.runs.length)
-          .filter((r) => r.machine === x.id && !ended.includes(r));
-        const then = [
+          .filter((r) => r.machine === other.id && !endedRuns.includes(r));
+        const atShadowTime = [
           ...before,
           ...runs
             .slice(world.runs.length)
-            .filter((r) => r.machine === x.id && (r.job === head?.id || lasting.includes(r))),
-          ...reserved.filter((r) => r.machine === x.id),
+            .filter(
+              (r) =>
+                r.machine === other.id &&
+                (r.job === queueHead?.id || outlastingShadowTime.includes(r)),
+            ),
+          ...headReservation.filter((r) => r.machine === other.id),
         ];
         // The head's own fresh starts may have ended by then, too.
-        const there = then.filter((r) => !ended.includes(r));
-        return fits(j, x, {
-          cpus: sum(there, 'cpus'),
-          gpus: sum(there, 'gpus'),
-          memoryGb: sum(there, 'memoryGb'),
+        const remaining = atShadowTime.filter((r) => !endedRuns.includes(r));
+        return fits(job, other, {
+          cpus: sum(remaining, 'cpus'),
+          gpus: sum(remaining, 'gpus'),
+          memoryGb: sum(remaining, 'memoryGb'),
         });
       });
-      // Replicas go where they run soonest, there to one machine after the other, and no third of them to one.
-      if (j.shape === 'service') {
-        able.sort(
+      // Replicas go where they run soonest, there to one machine after the other, and no third of
+      // them to one.
+      if (job.shape === 'service') {
+        feasible.sort(
           (a, b) =>
-            full(a) - full(b) ||
-            tier(a) - tier(b) ||
+            hasMaxShare(a) - hasMaxShare(b) ||
+            delayStep(a) - delayStep(b) ||
             count(a) - count(b) ||
-            second(a) - second(b) ||
+            delayS(a) - delayS(b) ||
             before.get(a.id)! - before.get(b.id)!,
         );
       }
-      const equals = able.filter((x) => sameStrength(x, able[0]!));
+      const equallyPowerful = feasible.filter((other) => hasEqualPower(other, feasible[0]!));
       // Among equals one where a task of the job has been, and so its image, comes first.
-      const cached = equals.find((x) => runs.some((r) => r.job === j.id && r.machine === x.id));
-      const m = j.shape === 'service' ? able[0] : (cached ?? equals[0]);
-      if (!m) return;
-      const run = { job: j.id, machine: m.id, ranMs: 0, end };
+      const cached = equallyPowerful.find((other) =>
+        runs.some((r) => r.job === job.id && r.machine === other.id),
+      );
+      const machine = job.shape === 'service' ? feasible[0] : (cached ?? equallyPowerful[0]);
+      if (!machine) return;
+      const run = { job: job.id, machine: machine.id, ranMs: 0, end };
       runs.push(run);
-      begun += 1;
-      starts.push(`${j.id}@${m.id}`);
+      placedTasks += 1;
+      placed.push(`${job.id}@${machine.id}`);
       // What started before the head counts at the shadow time, unless it has ended by then.
-      if (shadow > 0 ? end > shadow : j !== head) lasting.push(run);
+      if (shadowTime > 0 ? end > shadowTime : job !== queueHead) outlastingShadowTime.push(run);
     }
   };
 
-  const firstTasks = (waitedS: number) => {
-    for (const j of waiting) {
-      const waitedLong = world.now - j.submittedAt >= waitedS * 1000;
-      if (j !== head && !goesFirst(j) && waitedLong && left(j) === j.tasks) fill(j, 1);
+  const placeOverdueFirstTasks = (minWaitS: number) => {
+    for (const job of waiting) {
+      const isOverdue = world.now - job.submittedAt >= minWaitS * 1000;
+      if (
+        job !== queueHead &&
+        !hasQueuePrecedence(job) &&
+        isOverdue &&
+        pendingTasks(job) === job.tasks
+      )
+        placeJob(job, 1);
     }
   };
-  // Critical services go ahead of the queue; what they miss, they make: of lower work, what loses least.
-  for (const j of waiting.filter(goesFirst)) {
-    fill(j);
-    let want = Math.min(left(j), teamSlots(j));
+  // Critical services go ahead of the queue; what they miss, they preempt: of lower priority, what
+  // loses least.
+  for (const job of waiting.filter(hasQueuePrecedence)) {
+    placeJob(job);
+    let missingReplicas = Math.min(pendingTasks(job), tasksWithinQuota(job));
     const options: { victims: PlainRun[]; loss: number }[] = [];
-    for (const m of strongest) {
-      if (!suits(j, m)) continue;
-      const without = (gone: PlainRun[]) => {
-        const rest = on(m).filter((r) => !gone.includes(r));
+    for (const machine of byPower) {
+      if (!isFeasible(job, machine)) continue;
+      const without = (victims: PlainRun[]) => {
+        const rest = runsOn(machine).filter((r) => !victims.includes(r));
         return {
           cpus: sum(rest, 'cpus'),
           gpus: sum(rest, 'gpus'),
           memoryGb: sum(rest, 'memoryGb'),
         };
       };
-      const going = on(m).filter((r) => killed.includes(r));
-      if (going.length > 0 && fits(j, m, without(going))) {
-        want -= 1;
+      const stopping = runsOn(machine).filter((r) => preemptedRuns.includes(r));
+      if (stopping.length > 0 && fits(job, machine, without(stopping))) {
+        missingReplicas -= 1;
         continue;
       }
-      const lower = on(m)
-        .filter((r) => !killed.includes(r) && job(r.job).shape === 'array' && job(r.job).level < 3)
+      const lower = runsOn(machine)
+        .filter(
+          (r) =>
+            !preemptedRuns.includes(r) && jobOf(r.job).shape === 'array' && jobOf(r.job).level < 3,
+        )
         .sort((a, b) => a.ranMs - b.ranMs);
-      const least = lower.findIndex((_, i) => fits(j, m, without(lower.slice(0, i + 1))));
-      if (least < 0) continue;
-      const victims = lower.slice(0, least + 1);
+      const lastVictim = lower.findIndex((_, i) =>
+        fits(job, machine, without(lower.slice(0, i + 1))),
+      );
+      if (lastVictim < 0) continue;
+      const victims = lower.slice(0, lastVictim + 1);
       options.push({ victims, loss: victims.reduce((total, r) => total + r.ranMs, 0) });
     }
     options.sort((a, b) => a.loss - b.loss);
-    for (const { victims } of options.slice(0, Math.max(0, want))) {
-      for (const r of victims) {
-        killed.push(r);
-        r.end = world.now + 500;
-        stopped.push(`${r.job}@${r.machine}`);
+    for (const { victims } of options.slice(0, Math.max(0, missingReplicas))) {
+      for (const run of victims) {
+        preemptedRuns.push(run);
+        run.end = world.now + 500;
+        preempted.push(`${run.job}@${run.machine}`);
       }
     }
   }
-  keep();
-  firstTasks(world.firstTaskAfterS * 1.5);
-  if (head) fill(head);
-  let missing = head ? Math.min(left(head), teamSlots(head)) : 0;
-  if (head && missing > 0) {
+  reserveMachines();
+  placeOverdueFirstTasks(world.firstTaskAfterS * 1.5);
+  if (queueHead) placeJob(queueHead);
+  let missingTasks = queueHead ? Math.min(pendingTasks(queueHead), tasksWithinQuota(queueHead)) : 0;
+  if (queueHead && missingTasks > 0) {
     const ends = runs
       .map((r, at) => ({ r, at }))
       .filter(({ r }) => r.end < Infinity)
       .sort((a, b) => a.r.end - b.r.end || a.at - b.at);
     for (const { r } of ends) {
-      if (missing <= 0) break;
-      ended = [...ended, r];
-      const m = world.machines.find((x) => x.id === r.machine)!;
-      if (!suits(head, m)) continue;
+      if (missingTasks <= 0) break;
+      endedRuns = [...endedRuns, r];
+      const machine = world.machines.find((other) => other.id === r.machine)!;
+      if (!isFeasible(queueHead, machine)) continue;
       for (;;) {
-        const there = [
-          ...runs.filter((x) => x.machine === m.id && !ended.includes(x)),
-          ...reserved.filter((x) => x.machine === m.id),
+        const remaining = [
+          ...runs.filter((x) => x.machine === machine.id && !endedRuns.includes(x)),
+          ...headReservation.filter((run) => run.machine === machine.id),
         ];
         const taken = {
-          cpus: sum(there, 'cpus'),
-          gpus: sum(there, 'gpus'),
-          memoryGb: sum(there, 'memoryGb'),
+          cpus: sum(remaining, 'cpus'),
+          gpus: sum(remaining, 'gpus'),
+          memoryGb: sum(remaining, 'memoryGb'),
         };
-        if (missing <= 0 || !fits(head, m, taken)) break;
-        reserved = [...reserved, { job: head.id, machine: m.id, ranMs: 0, end: 0 }];
-        missing -= 1;
-        shadow = r.end;
+        if (missingTasks <= 0 || !fits(queueHead, machine, taken)) break;
+        headReservation = [
+          ...headReservation,
+          { job: queueHead.id, machine: machine.id, ranMs: 0, end: 0 },
+        ];
+        missingTasks -= 1;
+        shadowTime = r.end;
       }
     }
   }
-  firstTasks(world.firstTaskAfterS);
-  for (const j of waiting) if (j !== head && !goesFirst(j)) fill(j);
-  // After 75 s without anything on a machine nothing is reserved or kept from a job's next task.
-  shadow = 0;
-  for (const j of waiting) {
-    if (left(j) < j.tasks || world.now - j.idleSince < 75_000) continue;
-    starving = j;
-    fill(j, 1);
+  placeOverdueFirstTasks(world.firstTaskAfterS);
+  for (const job of waiting) if (job !== queueHead && !hasQueuePrecedence(job)) placeJob(job);
+  // After 75 s without anything on a machine a job is starving: nothing is reserved against its
+  // next task.
+  shadowTime = 0;
+  for (const job of waiting) {
+    if (pendingTasks(job) < job.tasks || world.now - job.idleSince < 75_000) continue;
+    starving = job;
+    placeJob(job, 1);
     starving = null;
   }
-  return { starts, head: head && left(head) > 0 ? head.id : null, stopped };
+  return {
+    placed,
+    queueHead: queueHead && pendingTasks(queueHead) > 0 ? queueHead.id : null,
+    preempted,
+  };
 };
