--- a/test/model/plain-backfill.ts
+++ b/test/model/plain-backfill.ts
@@ -3,6 +3,8 @@
  * scanned again for every task, nothing is cached between tasks, and no order is relied on but the
  * stated one.
  */
+
+/** A waiting job; amounts are those of one task. */
 export interface PlainJob {
   id: string;
   shape: 'array' | 'service';
@@ -26,6 +28,7 @@
   imageGb: number;
 }
 
+/** A machine that takes work. */
 export interface PlainMachine {
   id: string;
   type: string;
@@ -41,6 +44,7 @@
   fetchGbPerS: number;
 }
 
+/** An attempt on a machine. */
 export interface PlainRun {
   job: string;
   machine: string;
@@ -50,6 +54,7 @@
   end: number;
 }
 
+/** All that a round decides on. */
 export interface PlainWorld {
   now: number;
   deadlineEstimateFactor: number;
@@ -71,6 +76,7 @@
 
 const EPSILON = 1e-6;
 
+/** The score of a waiting job; `pendingTasks` tells how many tasks of a job wait. */
 export const plainScore = (
   world: PlainWorld,
   job: PlainJob,
