--- a/src/core/fleet/scale-out.ts
+++ b/src/core/fleet/scale-out.ts
@@ -11,8 +11,8 @@
 import type { MachineType } from '../model/machine.js';
 import type { Instant } from '../model/time.js';
 import { isFeasible, satisfiesZoneConstraints, tasksWithinQuota } from '../scheduling/capacity.js';
-import { NO_MACHINE } from '../scheduling/placement.js';
-import { onDemandCpusForServices } from '../scheduling/service-reservation.js';
+import { NO_MACHINE_REASON } from '../scheduling/placement.js';
+import { computeReservedOnDemandCpus } from '../scheduling/service-reservation.js';
 import { isReplica } from '../scheduling/services.js';
 import {
   addOnDemandSupply,
@@ -60,7 +60,7 @@
 /** On-demand machines first: demand as a whole would be met by cheaper ones. */
 const provisionForServices = (context: ScaleOutContext): void => {
   const { state, now, pools } = context;
-  const requiredCpus = onDemandCpusForServices(state, now);
+  const requiredCpus = computeReservedOnDemandCpus(state, now);
   if (requiredCpus <= 0) return;
   const services = [...state.jobs.values()].filter((job) => isService(job) && !job.spec.allowsSpot);
   const feasible = pools.filter(
@@ -94,7 +94,8 @@
 
 /** An array that has long waited though a machine reserved for services has capacity for it. */
 const isBlockedByReservation = (state: CoreState, job: Job, now: Instant): boolean => {
-  if (isService(job) || !job.spec.allowsSpot || job.waitingReason !== NO_MACHINE) return false;
+  if (isService(job) || !job.spec.allowsSpot || job.waitingReason !== NO_MACHINE_REASON)
+    return false;
   if (now - job.submittedAt < RESERVED_CAPACITY_WAIT_MS || tasksWithinQuota(state, job) < 1)
     return false;
   for (const machine of state.machines.values())
--- a/src/core/scheduling/backfill.ts
+++ b/src/core/scheduling/backfill.ts
@@ -24,11 +24,11 @@
 } from './capacity.js';
 import {
   NO_LIMITS,
-  NO_MACHINE,
+  NO_MACHINE_REASON,
   type PlacementLimits,
   type PlacementResult,
   placeJob,
-  TEAM_LIMIT,
+  TEAM_LIMIT_REASON,
 } from './placement.js';
 import { preemptForHead, preemptForReplicas } from './preemption.js';
 import { isFirstTaskOverdue, rankWaitingJobs } from './ranking.js';
@@ -156,7 +156,7 @@
   !spec.singleZone && !spec.spreadZones && failedMachines.size === 0;
 
 const explainUnplaced = (state: CoreState, job: Job): string =>
-  tasksWithinQuota(state, job) < 1 ? TEAM_LIMIT : NO_MACHINE;
+  tasksWithinQuota(state, job) < 1 ? TEAM_LIMIT_REASON : NO_MACHINE_REASON;
 
 /** Places the other jobs by rank, around the head's reservation. */
 const backfillOthers = (context: RoundContext): void => {
@@ -173,7 +173,7 @@
     }
     const { placed, blockedBy } = placeInRound(context, job, context.usable, limits);
     job.waitingReason = blockedBy;
-    if (isPlain && blockedBy === NO_MACHINE) unplaceable.add(job.requirementsKey);
+    if (isPlain && blockedBy === NO_MACHINE_REASON) unplaceable.add(job.requirementsKey);
     if (placed.length > 0) context.usable = filterUsable(context.usable, smallest);
   }
 };
--- a/src/core/scheduling/placement.ts
+++ b/src/core/scheduling/placement.ts
@@ -28,9 +28,9 @@
 import { spreadReplicas } from './replica-spreading.js';
 
 /** Why a job waits, as users read it: its team's quota allows no more tasks. */
-export const TEAM_LIMIT = 'team limit';
+export const TEAM_LIMIT_REASON = 'team limit';
 /** Why a job waits, as users read it: no feasible machine has the capacity. */
-export const NO_MACHINE = 'no machine with room';
+export const NO_MACHINE_REASON = 'no machine with room';
 
 /** What bounds the placement of a job in one phase of a round. */
 export interface PlacementLimits {
@@ -198,11 +198,11 @@
 const explainRefusal = (state: CoreState, job: Job, isSuspect: boolean): string | null => {
   // A job that fails everywhere is tried one task at a time.
   if (isSuspect && job.attemptsByTask.size > 0) return 'its tasks fail on every machine';
-  return tasksWithinQuota(state, job) < 1 ? TEAM_LIMIT : null;
+  return tasksWithinQuota(state, job) < 1 ? TEAM_LIMIT_REASON : null;
 };
 
 const explainNoMachine = ({ isBlockedByReservation }: MachineSearch): string =>
-  isBlockedByReservation ? 'room reserved for the head' : NO_MACHINE;
+  isBlockedByReservation ? 'room reserved for the head' : NO_MACHINE_REASON;
 
 /** Places as many of the job's waiting tasks as the limits, its team's quota and machines allow. */
 export const placeJob = (
--- a/src/core/scheduling/service-reservation.ts
+++ b/src/core/scheduling/service-reservation.ts
@@ -27,7 +27,7 @@
  * ones take, half as much again, and twice the largest seen of late; 0 once there were none for a
  * while. Records in the state when such a service was last seen, and the largest.
  */
-export const onDemandCpusForServices = (state: CoreState, now: Instant): number => {
+export const computeReservedOnDemandCpus = (state: CoreState, now: Instant): number => {
   let cpus = 0;
   for (const job of state.jobs.values()) {
     if (!needsOnDemand(job)) continue;
@@ -103,7 +103,7 @@
  */
 export const reserveMachinesForServices = (state: CoreState, now: Instant): void => {
   // An overdue job lifts the reservation: there may be no other machines left to provision for it.
-  let left = hasOverdueFirstTask(state, now) ? 0 : onDemandCpusForServices(state, now);
+  let left = hasOverdueFirstTask(state, now) ? 0 : computeReservedOnDemandCpus(state, now);
   const zones = [...releaseReservations(state, left).values()];
   for (const zone of zones)
     zone.sort((a, b) => b.rank - a.rank || (a.machine.id < b.machine.id ? -1 : 1));
