--- a/src/adapters/cloud/cloud-client.ts
+++ b/src/adapters/cloud/cloud-client.ts
@@ -1,113 +1,165 @@
-/** The cloud's interface: types, renting, deleting, listing; within its rate. */
-
-import type {
-  MachineId,
-  MachineTypeName,
-  ProvisionRequestId,
-  ZoneName,
-} from '../../core/model/ids.js';
-import type { ListedMachine, MachineType } from '../../core/model/machine.js';
+/** The cloud: machine types, provisioning, deletion and the list of machines, within its rate. */
+import type { MachineId } from '../../core/model/ids.js';
+import type { ListedMachine, MachineType, ProvisionRequest } from '../../core/model/machine.js';
 import type { Endpoint } from '../configuration/settings.js';
-import { HttpClient, NOT_JSON, type Reply } from '../outbound/http-client.js';
+import { HttpClient, type NoAnswer, type Reply } from '../outbound/http-client.js';
 import { RateLimiter } from '../outbound/rate-limiter.js';
-import { parseMachineIds, parseMachines, parseMachineTypes } from '../wire.js';
+import {
+  encodeDeletion,
+  encodePageQuery,
+  encodeProvisionRequest,
+  parseMachineIds,
+  parseMachinePage,
+  parseMachineTypes,
+} from '../wire/cloud.js';
 
-const REQUEST_MS = 6000;
-const QUEUE_MS = 3000;
-const PAGE = 500;
-/** Of the rate, how much lists may take; the rest is for rentals and returns. */
+const REQUEST_TIMEOUT_MS = 6000;
+const MAX_QUEUE_MS = 3000;
+const MAX_QUEUED = 20;
+const PAGE_SIZE = 500;
+const MAX_SOCKETS = 4;
+/** All controllers share the cloud's rate; only the leader uses it steadily. */
+const RATE_SHARE = 0.7;
+/** Of the rate, how much lists may take; the rest is for provisioning and deletion. */
 const LIST_SHARE = 0.4;
 
+/** Asked at the moment of sending: the right to a request may end while the request waits. */
+export type AuthorizationCheck = () => boolean;
+
+const RATE_LIMITED: NoAnswer = {
+  kind: 'none',
+  sent: false,
+  reason: 'rate-limited',
+  message: 'rate',
+};
+const NOT_AUTHORIZED: NoAnswer = {
+  kind: 'none',
+  sent: false,
+  reason: 'not-authorized',
+  message: 'no longer entitled',
+};
+
+/** Names an operation where its answer is none of the protocol's. */
+type Operation = 'list-machine-types' | 'list-machines' | 'provision';
+
+/** How a request for machines ended. */
+export type ProvisionResult =
+  | { readonly kind: 'provisioned'; readonly machines: MachineId[] }
+  /** Surely not carried out. */
+  | { readonly kind: 'refused' }
+  /** It may have been carried out, or may yet be. */
+  | { readonly kind: 'unknown' };
+
+const REFUSED: ProvisionResult = { kind: 'refused' };
+const UNKNOWN: ProvisionResult = { kind: 'unknown' };
+
+const always: AuthorizationCheck = () => true;
+
+/** A client of the cloud's interface. */
 export class CloudClient {
   private readonly http: HttpClient;
   private readonly limiter: RateLimiter;
-  /** The last call got no answer, or one of trouble. */
-  isAway = false;
+  /** The last request got no answer, or one that says the cloud is in trouble. */
+  isUnavailable = false;
   /** Requests that the last list took. */
-  private pages = 1;
+  private pagesOfLastList = 1;
 
+  /** `onUnexpectedAnswer` is told what was asked when the answer is none of the protocol's. */
   constructor(
-    at: Endpoint,
-    private readonly rps: number,
-    /** Told of answers that are none of the protocol's, by what was asked. */
-    private readonly onOdd: (asked: string) => void = () => {},
+    endpoint: Endpoint,
+    private readonly requestsPerSecond: number,
+    private readonly onUnexpectedAnswer: (operation: Operation) => void = () => {},
   ) {
-    this.http = new HttpClient(at, 4);
-    // The bench of limits is shared by all controllers; only the leader uses it steadily.
-    this.limiter = new RateLimiter(rps * 0.7, Math.max(1, rps * 0.7), 20);
+    this.http = new HttpClient(endpoint, MAX_SOCKETS);
+    const share = requestsPerSecond * RATE_SHARE;
+    this.limiter = new RateLimiter(share, Math.max(1, share), MAX_QUEUED);
   }
 
-  /** `entitled` is asked at the moment of sending: while a request waits, the right to make it may have ended. */
-  private async call(
+  private async send(
     method: string,
     path: string,
     body?: unknown,
-    entitled: () => boolean = () => true,
+    isAuthorized: AuthorizationCheck = always,
   ): Promise<Reply> {
-    if (!(await this.limiter.take(1, QUEUE_MS)))
-      return { kind: 'none', sent: false, reason: 'rate' };
-    if (!entitled()) return { kind: 'none', sent: false, reason: 'no longer entitled' };
-    const reply = await this.http.call(method, path, body, REQUEST_MS);
+    if (!(await this.limiter.acquire(1, MAX_QUEUE_MS))) return RATE_LIMITED;
+    if (!isAuthorized()) return NOT_AUTHORIZED;
+    const timeoutMs = REQUEST_TIMEOUT_MS;
+    const reply = await this.http.send({ method, path, body, timeoutMs });
     const error =
       reply.kind === 'answer' ? (reply.body as { error?: unknown } | null)?.error : undefined;
-    this.isAway = reply.kind === 'none' || error === 'trouble';
+    this.isUnavailable = reply.kind === 'none' || error === 'trouble';
     return reply;
   }
 
-  private read<T>(asked: string, reply: Reply, parse: (body: unknown) => T | null): T | null {
-    if (reply.kind === 'none' && reply.reason === NOT_JSON) this.onOdd(asked);
-    if (reply.kind === 'none' || reply.status !== 200) return null;
+  /** The answer's content; null when there is none, or none that can be read. */
+  private read<T>(
+    operation: Operation,
+    reply: Reply,
+    parse: (body: unknown) => T | null,
+  ): T | null {
+    if (reply.kind === 'none') {
+      if (reply.reason === 'not-json') this.onUnexpectedAnswer(operation);
+      return null;
+    }
+    if (reply.status !== 200) return null;
     const value = parse(reply.body);
-    if (value === null) this.onOdd(asked);
+    if (value === null) this.onUnexpectedAnswer(operation);
     return value;
   }
 
+  /** The machine types on offer, or null when the cloud does not tell them. */
   async listMachineTypes(): Promise<MachineType[] | null> {
-    const reply = await this.call('GET', '/machine_types');
-    return this.read('machine types', reply, parseMachineTypes);
+    const reply = await this.send('GET', '/machine_types');
+    return this.read('list-machine-types', reply, parseMachineTypes);
   }
 
+  /** Asks for new machines. A request that is repeated under its name yields the same ones. */
   async provision(
-    request: ProvisionRequestId,
-    type: MachineTypeName,
-    zone: ZoneName,
-    spot: boolean,
-    count: number,
-    entitled?: () => boolean,
-  ): Promise<MachineId[] | 'refused' | 'unknown'> {
-    const body = { Hire: request, Hull: type, Yard: zone, Loaners: spot, HowMany: count };
-    const reply = await this.call('POST', '/machines', body, entitled);
-    if (reply.kind === 'answer' && reply.status === 200)
-      return this.read('rental', reply, parseMachineIds) ?? 'unknown';
-    if (reply.kind === 'answer') return 'refused';
-    return reply.sent ? 'unknown' : 'refused';
+    request: ProvisionRequest,
+    isAuthorized?: AuthorizationCheck,
+  ): Promise<ProvisionResult> {
+    const reply = await this.send(
+      'POST',
+      '/machines',
+      encodeProvisionRequest(request),
+      isAuthorized,
+    );
+    if (reply.kind === 'none') return reply.sent ? UNKNOWN : REFUSED;
+    if (reply.status !== 200) return REFUSED;
+    const machines = this.read('provision', reply, parseMachineIds);
+    return machines ? { kind: 'provisioned', machines } : UNKNOWN;
   }
 
-  async deleteMachines(machines: readonly MachineId[], entitled?: () => boolean): Promise<boolean> {
-    const reply = await this.call('POST', '/machines/delete', { Berths: machines }, entitled);
+  /** Returns machines for good; false when it is not known to have been done. */
+  async deleteMachines(
+    machines: readonly MachineId[],
+    isAuthorized?: AuthorizationCheck,
+  ): Promise<boolean> {
+    const body = encodeDeletion(machines);
+    const reply = await this.send('POST', '/machines/delete', body, isAuthorized);
     return reply.kind === 'answer' && reply.status === 200;
   }
 
+  /** All machines, page by page, or null when a page is missing. */
   async listMachines(): Promise<ListedMachine[] | null> {
     const all: ListedMachine[] = [];
-    let pages = 0;
-    for (;;) {
-      const after = all.at(-1)?.id;
-      const since = after === undefined ? '' : `Since=${encodeURIComponent(after)}&`;
-      const reply = await this.call('GET', `/machines?${since}Limit=${PAGE}`);
-      const page = this.read('list', reply, parseMachines);
+    for (let pages = 1; ; pages += 1) {
+      const reply = await this.send(
+        'GET',
+        `/machines?${encodePageQuery(all.at(-1)?.id, PAGE_SIZE)}`,
+      );
+      const page = this.read('list-machines', reply, parseMachinePage);
       if (!page) return null;
       all.push(...page.machines);
-      pages += 1;
-      if (page.more && page.machines.length > 0) continue;
-      this.pages = pages;
+      if (page.hasMore && page.machines.length > 0) continue;
+      this.pagesOfLastList = pages;
       return all;
     }
   }
 
-  /** How long to wait between lists, so that those of a large fleet leave the rate to rentals and returns. */
+  /** How long to wait between lists, in ms, so that a large fleet's leave rate for the rest. */
   get listPauseMs(): number {
-    return (this.pages / (this.rps * LIST_SHARE)) * 1000;
+    return (this.pagesOfLastList / (this.requestsPerSecond * LIST_SHARE)) * 1000;
   }
 
   close(): void {
--- a/src/adapters/http/answers.ts
+++ b/src/adapters/http/answers.ts
@@ -5,7 +5,8 @@
 import type { OperatorAnswer } from '../../core/extensions/extension.js';
 import type { HeartbeatDecision } from '../../service/ports/heartbeat-service.js';
 import type { ListResult, LookupResult, SubmissionResult } from '../../service/ports/user-api.js';
-import { encodeJobView, encodeWorkerCommands } from '../wire.js';
+import { encodeJobView } from '../wire/jobs.js';
+import { encodeWorkerCommands } from '../wire/workers.js';
 
 /** What a request is answered. */
 export interface HttpAnswer {
--- a/src/adapters/http/job-routes.ts
+++ b/src/adapters/http/job-routes.ts
@@ -4,7 +4,7 @@
 import type { LookupResult, UserApi } from '../../service/ports/user-api.js';
 import type { Log } from '../logging/log.js';
 import { steadyNow } from '../runtime/clock.js';
-import { parseJob, parseJobId } from '../wire.js';
+import { parseJob, parseJobId } from '../wire/jobs.js';
 import {
   answerExplanation,
   answerList,
--- /dev/null
+++ b/src/adapters/key-value-store/store-codec.ts
@@ -0,0 +1,125 @@
+/** Requests to the key-value store and its answers: the wire's names. */
+import * as v from 'valibot';
+import type { Revision } from '../../core/model/ids.js';
+import type {
+  Change,
+  Changes,
+  LeaseId,
+  Mutation,
+  Precondition,
+  StoredItem,
+} from '../../service/ports/key-value-store.js';
+
+const revision = v.pipe(v.number(), v.integer(), v.minValue(0));
+
+const itemSchema = v.object({ Path: v.string(), Data: v.unknown(), Stamp: revision });
+
+const pageSchema = v.object({
+  Items: v.array(itemSchema),
+  More: v.nullish(v.boolean(), false),
+  Epoch: revision,
+});
+
+const commitSchema = v.object({ Epoch: revision });
+
+const leaseSchema = v.object({ Hold: v.pipe(v.number(), v.integer()) });
+
+const noSuchLeaseSchema = v.object({ error: v.literal('no such lease') });
+
+const changeSchema = v.union([
+  v.object({ Write: v.string(), Data: v.unknown(), Stamp: revision }),
+  v.object({ Delete: v.string(), Stamp: revision }),
+]);
+
+const changesSchema = v.object({
+  Epoch: revision,
+  News: v.nullish(v.array(changeSchema), []),
+});
+
+/** One page of the keys under a prefix. */
+export interface StoredPage {
+  readonly items: StoredItem[];
+  readonly hasMore: boolean;
+  readonly revision: Revision;
+}
+
+const decodeItem = (item: v.InferOutput<typeof itemSchema>): StoredItem => ({
+  key: item.Path,
+  value: item.Data,
+  revision: item.Stamp as Revision,
+});
+
+const decodeChange = (change: v.InferOutput<typeof changeSchema>): Change =>
+  'Write' in change
+    ? { key: change.Write, value: change.Data, revision: change.Stamp as Revision }
+    : { key: change.Delete, deleted: true, revision: change.Stamp as Revision };
+
+/** The item, or null when the answer is malformed. */
+export const parseItem = (body: unknown): StoredItem | null => {
+  const result = v.safeParse(itemSchema, body);
+  return result.success ? decodeItem(result.output) : null;
+};
+
+/** The page, or null when the answer is malformed. */
+export const parsePage = (body: unknown): StoredPage | null => {
+  const result = v.safeParse(pageSchema, body);
+  if (!result.success) return null;
+  const { Items, More, Epoch } = result.output;
+  return { items: Items.map(decodeItem), hasMore: More ?? false, revision: Epoch as Revision };
+};
+
+/** The revision of a transaction that was carried out, or null when the answer is malformed. */
+export const parseCommit = (body: unknown): Revision | null => {
+  const result = v.safeParse(commitSchema, body);
+  return result.success ? (result.output.Epoch as Revision) : null;
+};
+
+/** The lease that was granted, or null when the answer is malformed. */
+export const parseLease = (body: unknown): LeaseId | null => {
+  const result = v.safeParse(leaseSchema, body);
+  return result.success ? (result.output.Hold as LeaseId) : null;
+};
+
+/** Whether a transaction was turned down since a lease that it names has expired. */
+export const isNoSuchLease = (body: unknown): boolean => v.is(noSuchLeaseSchema, body);
+
+/** What a watch tells, or null when the answer is malformed. */
+export const parseChanges = (body: unknown): Changes | null => {
+  const result = v.safeParse(changesSchema, body);
+  if (!result.success) return null;
+  const { Epoch, News } = result.output;
+  return { revision: Epoch as Revision, changes: (News ?? []).map(decodeChange) };
+};
+
+const encodeMutation = (mutation: Mutation) => {
+  if ('del' in mutation) return { Delete: mutation.del };
+  const { put, value, lease } = mutation;
+  return { Write: put, Data: value, ...(lease === undefined ? {} : { Hold: lease }) };
+};
+
+/** The body of a transaction. */
+export const encodeTransaction = (
+  preconditions: readonly Precondition[],
+  mutations: readonly Mutation[],
+) => ({
+  Guards: preconditions.map(({ key, revision: stamp }) => ({ Path: key, Stamp: stamp })),
+  Apply: mutations.map(encodeMutation),
+});
+
+/** The body of a request for a lease. */
+export const encodeLeaseRequest = (lifeMs: number) => ({ LifeMs: lifeMs });
+
+/** Slashes stay as they are: keys are paths. */
+const encodeQuery = (parameters: Record<string, string | number | undefined>): string =>
+  Object.entries(parameters)
+    .filter(([, value]) => value !== undefined)
+    .map(([name, value]) => `${name}=${encodeURIComponent(String(value)).replace(/%2F/g, '/')}`)
+    .join('&');
+
+/** The path of the page of a prefix's keys that follows `after`; undefined: the first page. */
+export const pagePath = (prefix: string, after: string | undefined, limit: number): string =>
+  `/kv?${encodeQuery({ Under: prefix, Since: after, Limit: limit })}`;
+
+/** The path of a watch. */
+export const watchPath = (prefix: string, since: Revision, holdMs: number): string =>
+  `/follow?${encodeQuery({ Under: prefix, Since: since, HoldMs: holdMs })}`;
--- a/src/adapters/outbound/http-client.ts
+++ b/src/adapters/outbound/http-client.ts
@@ -1,103 +1,154 @@
-/** JSON over Node's own HTTP client, with keep-alive, a deadline for the whole exchange and bounded answers. */
-import { Agent, type ClientRequest, request } from 'node:http';
+/** JSON over Node's HTTP client: kept connections, a deadline per exchange, bounded answers. */
+import { Agent, type ClientRequest, type IncomingMessage, request as openRequest } from 'node:http';
 import type { Endpoint } from '../configuration/settings.js';
 
+/** A JSON request. An `undefined` body sends none; `timeoutMs` bounds connecting to last byte. */
+export interface HttpRequest {
+  readonly method: string;
+  readonly path: string;
+  readonly body?: unknown;
+  readonly timeoutMs: number;
+}
+
+/** Why there is no answer. */
+export type NoAnswerReason =
+  /** Held back by this node: its share of the other side's rate is used up. */
+  | 'rate-limited'
+  /** Held back by this node: the right to make the request ended while it waited. */
+  | 'not-authorized'
+  /** The address cannot be one, e.g. a port above 65535. */
+  | 'invalid-address'
+  | 'timeout'
+  | 'connection-error'
+  /** The connection closed within the answer. */
+  | 'truncated'
+  | 'too-large'
+  | 'not-json';
+
+/** The request got no answer that can be read. */
+export interface NoAnswer {
+  readonly kind: 'none';
+  /** The request may have been, or may yet be, carried out. */
+  readonly sent: boolean;
+  readonly reason: NoAnswerReason;
+  /** The reason in words, for people. */
+  readonly message: string;
+}
+
+/** How an exchange ended. The body is parsed JSON, or null when the answer has none. */
 export type Reply =
   | { readonly kind: 'answer'; readonly status: number; readonly body: unknown }
-  /** No answer. `sent`: the request may have been, or may yet be, carried out. */
-  | { readonly kind: 'none'; readonly sent: boolean; readonly reason: string };
+  | NoAnswer;
 
-export const NOT_JSON = 'answer is not JSON';
-export const TOO_LARGE = 'answer too large';
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 
-export const exchange = (
+const noAnswer = (sent: boolean, reason: NoAnswerReason, message: string): NoAnswer => ({
+  kind: 'none',
+  sent,
+  reason,
+  message,
+});
+
+const openClientRequest = (
   agent: Agent,
-  at: Endpoint,
-  method: string,
-  path: string,
-  body: unknown,
-  timeoutMs: number,
-): Promise<Reply> =>
+  { host, port }: Endpoint,
+  { method, path }: HttpRequest,
+  text: string | undefined,
+): ClientRequest => {
+  const headers: Record<string, string | number> =
+    text === undefined
+      ? {}
+      : { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) };
+  return openRequest({ host, port, method, path, headers, agent });
+};
+
+const parseAnswer = (status: number, text: string): Reply => {
+  try {
+    return { kind: 'answer', status, body: text === '' ? null : JSON.parse(text) };
+  } catch {
+    return noAnswer(true, 'not-json', 'answer is not JSON');
+  }
+};
+
+/** One request on its way: settles once, whichever of its events comes first. */
+class PendingExchange {
+  private settled = false;
+  private connected = false;
+  private readonly deadline: NodeJS.Timeout;
+
+  constructor(
+    private readonly request: ClientRequest,
+    timeoutMs: number,
+    private readonly resolve: (reply: Reply) => void,
+  ) {
+    this.deadline = setTimeout(() => this.fail('timeout', 'no answer in time'), timeoutMs);
+    request.on('socket', (socket) => {
+      if (socket.connecting) socket.once('connect', () => (this.connected = true));
+      else this.connected = true;
+    });
+    request.on('error', (error) => this.fail('connection-error', error.message));
+    request.on('response', (response) => this.readAnswer(response));
+  }
+
+  private settle(reply: Reply): void {
+    if (this.settled) return;
+    this.settled = true;
+    clearTimeout(this.deadline);
+    this.resolve(reply);
+  }
+
+  private fail(reason: NoAnswerReason, message: string): void {
+    this.settle(noAnswer(this.connected, reason, message));
+    this.request.destroy();
+  }
+
+  private readAnswer(response: IncomingMessage): void {
+    const chunks: Buffer[] = [];
+    let size = 0;
+    response.on('data', (chunk: Buffer) => {
+      size += chunk.length;
+      if (size > MAX_ANSWER_BYTES) this.fail('too-large', 'answer too large');
+      else chunks.push(chunk);
+    });
+    response.on('error', (error) => this.fail('connection-error', error.message));
+    response.on('close', () => this.fail('truncated', 'connection closed within the answer'));
+    response.on('end', () => {
+      const text = Buffer.concat(chunks).toString('utf8');
+      this.settle(parseAnswer(response.statusCode ?? 0, text));
+    });
+  }
+}
+
+/** Sends one request over the agent's connections. Never rejects: the reply says what failed. */
+export const exchange = (agent: Agent, endpoint: Endpoint, request: HttpRequest): Promise<Reply> =>
   new Promise((resolve) => {
-    const text = body === undefined ? undefined : JSON.stringify(body);
-    let settled = false;
-    let connected = false;
-    const finish = (reply: Reply) => {
-      if (settled) return;
-      settled = true;
-      clearTimeout(timer);
-      resolve(reply);
-    };
-    const headers: Record<string, string | number> =
-      text === undefined
-        ? {}
-        : { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) };
-    const options = {
-      host: at.host,
-      port: at.port,
-      method,
-      path,
-      headers,
-      agent,
-    };
-    let req: ClientRequest;
+    const text = request.body === undefined ? undefined : JSON.stringify(request.body);
+    let clientRequest: ClientRequest;
     try {
-      req = request(options);
+      clientRequest = openClientRequest(agent, endpoint, request, text);
     } catch (error) {
-      // An address that cannot be one, say a port above 65535: refused, not a reason to end.
-      resolve({ kind: 'none', sent: false, reason: (error as Error).message });
+      // An address that cannot be one is a request refused, no reason for the process to end.
+      resolve(noAnswer(false, 'invalid-address', (error as Error).message));
       return;
     }
-    const fail = (reason: string) => {
-      finish({ kind: 'none', sent: connected, reason });
-      req.destroy();
-    };
-    const timer = setTimeout(() => fail('no answer in time'), timeoutMs);
-    req.on('socket', (socket) => {
-      if (socket.connecting) socket.once('connect', () => (connected = true));
-      else connected = true;
-    });
-    req.on('error', (error) => fail(error.message));
-    req.on('response', (res) => {
-      const parts: Buffer[] = [];
-      let size = 0;
-      res.on('data', (part: Buffer) => {
-        size += part.length;
-        if (size > MAX_ANSWER_BYTES) fail(TOO_LARGE);
-        else parts.push(part);
-      });
-      res.on('error', (error) => fail(error.message));
-      res.on('close', () => fail('connection closed within the answer'));
-      res.on('end', () => {
-        const raw = Buffer.concat(parts).toString('utf8');
-        try {
-          finish({
-            kind: 'answer',
-            status: res.statusCode ?? 0,
-            body: raw === '' ? null : JSON.parse(raw),
-          });
-        } catch {
-          finish({ kind: 'none', sent: true, reason: NOT_JSON });
-        }
-      });
-    });
-    req.end(text);
+    new PendingExchange(clientRequest, request.timeoutMs, resolve);
+    clientRequest.end(text);
   });
 
+/** A client of one endpoint, over at most `maxSockets` kept connections. */
 export class HttpClient {
   private readonly agent: Agent;
 
   constructor(
-    private readonly at: Endpoint,
+    private readonly endpoint: Endpoint,
     maxSockets: number,
     idleMs = 15_000,
   ) {
     this.agent = new Agent({ keepAlive: true, maxSockets, maxFreeSockets: 4, timeout: idleMs });
   }
 
-  call(method: string, path: string, body: unknown, timeoutMs: number): Promise<Reply> {
-    return exchange(this.agent, this.at, method, path, body, timeoutMs);
+  send(request: HttpRequest): Promise<Reply> {
+    return exchange(this.agent, this.endpoint, request);
   }
 
   close(): void {
--- a/src/adapters/outbound/rate-limiter.ts
+++ b/src/adapters/outbound/rate-limiter.ts
@@ -1,51 +1,53 @@
-/** A token bucket whose waiting line is bounded, so that overload turns into a refusal and not into a heap. */
+/** A token bucket whose waiting line is bounded: overload becomes a refusal, not growing memory. */
 import { steadyNow } from '../runtime/clock.js';
 
+/** Grants tokens at a steady rate, and lets at most `maxWaiting` callers wait for theirs. */
 export class RateLimiter {
   private tokens: number;
-  private at: number;
+  private refilledAt: number;
   private waiting = 0;
 
   constructor(
-    private perSecond: number,
+    private ratePerSecond: number,
     private burst: number,
     private readonly maxWaiting = 200,
   ) {
     this.tokens = burst;
-    this.at = steadyNow();
+    this.refilledAt = steadyNow();
   }
 
-  /** From now on this many a second, with a burst of one second's worth. */
-  setRate(perSecond: number): void {
-    if (perSecond === this.perSecond) return;
-    this.perSecond = perSecond;
-    this.burst = perSecond;
+  /** From now on this many tokens a second, with a burst of one second's worth. */
+  setRate(ratePerSecond: number): void {
+    if (ratePerSecond === this.ratePerSecond) return;
+    this.ratePerSecond = ratePerSecond;
+    this.burst = ratePerSecond;
   }
 
-  /** Takes `n` tokens at once, going into debt, and tells how long to wait for them. */
-  private reserve(n: number): number {
+  /** Takes tokens at once, going into debt; returns how long to wait for them, in ms. */
+  private reserve(count: number): number {
     const now = steadyNow();
-    this.tokens = Math.min(this.burst, this.tokens + ((now - this.at) / 1000) * this.perSecond);
-    this.at = now;
-    this.tokens -= n;
-    return this.tokens >= 0 ? 0 : (-this.tokens / this.perSecond) * 1000;
+    const refill = ((now - this.refilledAt) / 1000) * this.ratePerSecond;
+    this.tokens = Math.min(this.burst, this.tokens + refill);
+    this.refilledAt = now;
+    this.tokens -= count;
+    return this.tokens >= 0 ? 0 : (-this.tokens / this.ratePerSecond) * 1000;
   }
 
-  /** Counts without waiting: for what must not be late. */
-  force(n: number): void {
-    this.reserve(n);
+  /** Takes tokens without waiting for them: for requests that must not be late. */
+  acquireImmediately(count: number): void {
+    this.reserve(count);
   }
 
-  /** False when the wait would be longer than `maxWaitMs` or the line is full. */
-  async take(n: number, maxWaitMs: number): Promise<boolean> {
-    const wait = this.reserve(n);
-    if (wait === 0) return true;
-    if (wait > maxWaitMs || this.waiting >= this.maxWaiting) {
-      this.tokens += n;
+  /** Waits for tokens; false, at once, if that took over `maxWaitMs` or the line is full. */
+  async acquire(count: number, maxWaitMs: number): Promise<boolean> {
+    const waitMs = this.reserve(count);
+    if (waitMs === 0) return true;
+    if (waitMs > maxWaitMs || this.waiting >= this.maxWaiting) {
+      this.tokens += count;
       return false;
     }
     this.waiting += 1;
-    await new Promise((resolve) => setTimeout(resolve, wait));
+    await new Promise((resolve) => setTimeout(resolve, waitMs));
     this.waiting -= 1;
     return true;
   }
--- /dev/null
+++ b/src/adapters/wire/workers.ts
@@ -0,0 +1,133 @@
+/**
+ * Heartbeats and commands of workers: the wire's names. Fields are read by literal names, since
+ * this runs for each heartbeat; `decodeHeartbeat`, `decodeTask` and `encodeWorkerCommands` are the
+ * table of them.
+ */
+import * as v from 'valibot';
+import type { EndCause, Heartbeat, TaskPhase, TaskStatus } from '../../core/model/heartbeat.js';
+import type {
+  AttemptId,
+  FencingToken,
+  JobId,
+  MachineId,
+  MachineTypeName,
+  TaskIndex,
+  ZoneName,
+} from '../../core/model/ids.js';
+import type { WorkerCommand } from '../../core/model/worker-command.js';
+import { count, keyLabel, label } from './schemas.js';
+
+/** Tasks of one heartbeat; one with more is malformed. */
+const MAX_TASKS = 20_000;
+
+const taskSchema = v.object({
+  Piece: v.pipe(v.string(), v.regex(/^job-\d{1,18}\/\d{1,9}$/)),
+  Try: count,
+  Status: v.string(),
+  Cause: v.nullish(v.string(), null),
+  Stored: v.nullish(v.boolean(), false),
+});
+
+const heartbeatSchema = v.object({
+  Berth: keyLabel,
+  Endpoint: label,
+  Hull: label,
+  Yard: label,
+  Loaners: v.nullish(v.boolean(), false),
+  Tenure: count,
+  Tick: count,
+  Baton: count,
+  RecallS: v.nullish(v.pipe(v.number(), v.finite()), null),
+  /** Each is checked by `decodeTask`, unless it equals one of the machine's last heartbeat. */
+  Pieces: v.nullish(v.pipe(v.array(v.unknown()), v.maxLength(MAX_TASKS)), []),
+});
+
+/** A heartbeat whose fields are checked, but for its tasks. */
+export type WireHeartbeat = v.InferOutput<typeof heartbeatSchema>;
+
+const PHASES: ReadonlyMap<string, TaskPhase> = new Map([
+  ['pulling', 'fetching'],
+  ['gathering', 'fetching'],
+  ['running', 'running'],
+  ['saving', 'checkpointing'],
+  ['ended', 'ended'],
+]);
+
+const CAUSES: ReadonlyMap<string | null, EndCause> = new Map([
+  ['done', 'done'],
+  ['halted', 'stopped'],
+  ['error', 'error'],
+  ['no_room', 'no_room'],
+  ['in_use', 'busy'],
+  ['unknown', 'unknown'],
+]);
+
+/** The body as a heartbeat with its tasks unchecked, or null when it is malformed. */
+export const parseWireHeartbeat = (body: unknown): WireHeartbeat | null => {
+  const result = v.safeParse(heartbeatSchema, body);
+  return result.success ? result.output : null;
+};
+
+/** The heartbeat in the core's terms, with tasks that were read from it. */
+export const decodeHeartbeat = (wire: WireHeartbeat, tasks: readonly TaskStatus[]): Heartbeat => ({
+  machine: wire.Berth as MachineId,
+  endpoint: wire.Endpoint,
+  type: wire.Hull as MachineTypeName,
+  zone: wire.Yard as ZoneName,
+  spot: wire.Loaners ?? false,
+  agentEpoch: wire.Tenure,
+  sequence: wire.Tick,
+  fencingToken: wire.Baton as FencingToken,
+  reclaimNoticeS: wire.RecallS ?? null,
+  tasks,
+});
+
+/** One task of a heartbeat in the core's terms, or null when it is malformed. */
+export const decodeTask = (raw: unknown): TaskStatus | null => {
+  const result = v.safeParse(taskSchema, raw);
+  if (!result.success) return null;
+  const { Piece, Try, Status, Cause, Stored } = result.output;
+  const slash = Piece.indexOf('/');
+  // A state that this version does not know is taken as running: the task may hold the machine.
+  const phase = PHASES.get(Status) ?? 'running';
+  return {
+    job: Piece.slice(0, slash) as JobId,
+    index: Number(Piece.slice(slash + 1)) as TaskIndex,
+    attempt: Try as AttemptId,
+    phase,
+    cause: phase === 'ended' ? (CAUSES.get(Cause) ?? 'other') : null,
+    checkpointSaved: Stored ?? false,
+  };
+};
+
+/**
+ * Whether a task reads the same as one that was decoded before: all that `decodeTask` looks at are
+ * plain values.
+ */
+export const isSameTask = (raw: unknown, decoded: Record<string, unknown>): boolean => {
+  if (typeof raw !== 'object' || raw === null) return false;
+  const task = raw as Record<string, unknown>;
+  return (
+    task.Piece === decoded.Piece &&
+    task.Try === decoded.Try &&
+    task.Status === decoded.Status &&
+    task.Cause === decoded.Cause &&
+    task.Stored === decoded.Stored
+  );
+};
+
+/** Commands as a worker reads them, in their order. */
+export const encodeWorkerCommands = (commands: readonly WorkerCommand[]) =>
+  commands.map((command) => ({
+    Verb: command.op,
+    Piece: `${command.job}/${command.index}`,
+    Try: command.attempt,
+    ...(command.op === 'kill' ? { WindDownS: command.graceS } : {}),
+  }));
+
+/** The body of a request that brings commands to a worker outside of its heartbeats. */
+export const encodeDirectCommands = (
+  fencingToken: FencingToken,
+  agentEpoch: number,
+  commands: readonly WorkerCommand[],
+) => ({ Baton: fencingToken, Tenure: agentEpoch, Orders: encodeWorkerCommands(commands) });
--- a/src/cli/ask.ts
+++ b/src/cli/ask.ts
@@ -9,9 +9,9 @@
 /** Prints the answer, whatever it is; any status but 200 is a failure. */
 const printAnswer = async (endpoint: string, path: string): Promise<void> => {
   const client = new HttpClient(parseEndpoint(endpoint), 1);
-  const reply = await client.call('GET', path, undefined, ANSWER_TIMEOUT_MS);
+  const reply = await client.send({ method: 'GET', path, timeoutMs: ANSWER_TIMEOUT_MS });
   client.close();
-  if (reply.kind === 'none') throw new NoAnswerError(endpoint, reply.reason);
+  if (reply.kind === 'none') throw new NoAnswerError(endpoint, reply.message);
   process.stdout.write(`${JSON.stringify(reply.body, null, 2)}\n`);
   if (reply.status !== 200) process.exitCode = EXIT_CODES.failed;
 };
--- a/src/cli/command-tools.ts
+++ b/src/cli/command-tools.ts
@@ -11,7 +11,7 @@
 export const commandTools: CommandTools = {
   ask: async (endpoint, method, path, body) => {
     const client = new HttpClient(parseEndpoint(endpoint), 1);
-    const reply = await client.call(method, path, body, ANSWER_TIMEOUT_MS);
+    const reply = await client.send({ method, path, body, timeoutMs: ANSWER_TIMEOUT_MS });
     client.close();
     return reply.kind === 'none' ? null : { status: reply.status, body: reply.body };
   },
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -2,7 +2,7 @@
 
 import { startApi } from '../adapters/http/api-server.js';
 import { createLog, type Log, Once } from '../adapters/logging/log.js';
-import { servePeers } from '../adapters/peers/peer-link.js';
+import { servePeers } from '../adapters/peers/peer-server.js';
 import { Jitter } from '../adapters/runtime/random.js';
 import { Controller } from '../service/controller.js';
 import { EXIT_CODES } from './command-failures.js';
--- a/src/service/batch-writer.ts
+++ b/src/service/batch-writer.ts
@@ -1,15 +1,12 @@
 /** Stores the leader's batches, one after the other, in transactions that the store takes. */
 
-import type {
-  KeyValueStoreClient,
-  Mutation,
-} from '../adapters/key-value-store/key-value-store-client.js';
 import type { Log } from '../adapters/logging/log.js';
 import type { Jitter } from '../adapters/runtime/random.js';
 import type { RecordWrite } from '../core/model/extension-record.js';
 import type { FencingToken, Revision, SegmentKey } from '../core/model/ids.js';
 import type { StoreOperation } from '../core/model/ledger-record.js';
 import { GuardedWriter } from './guarded-writer.js';
+import type { KeyValueStore, Mutation } from './ports/key-value-store.js';
 import { type SegmentWrite, splitSegment } from './segment-splitting.js';
 import {
   completionKey,
@@ -21,7 +18,7 @@
 
 /** What the batch writer works with. */
 export interface BatchWriterOptions {
-  readonly store: KeyValueStoreClient;
+  readonly store: KeyValueStore;
   readonly fencingToken: FencingToken;
   readonly log: Log;
   readonly jitter: Jitter;
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -1,7 +1,6 @@
 /** One controller: leads or follows, and answers users, operators, workers and its peers. */
 import type { Settings } from '../adapters/configuration/settings.js';
 import type { Log } from '../adapters/logging/log.js';
-import type { Question } from '../adapters/peers/peer-link.js';
 import type { Jitter } from '../adapters/runtime/random.js';
 import type {
   ExtensionModule,
@@ -24,6 +23,7 @@
 import { requestOperatorCall } from './peers/peer-requests.js';
 import type { ControllerApi } from './ports/controller-api.js';
 import type { HeartbeatDecision } from './ports/heartbeat-service.js';
+import type { PeerQuestion } from './ports/peer.js';
 
 /** What a controller is started with. */
 export interface ControllerOptions {
@@ -151,7 +151,7 @@
   }
 
   /** Answers another controller's question, in the form in which it goes over the link. */
-  handlePeerRequest(question: Question): Promise<unknown> {
+  handlePeerRequest(question: PeerQuestion): Promise<unknown> {
     return this.peerRequests.handle(question);
   }
 }
--- a/src/service/create-dependencies.ts
+++ b/src/service/create-dependencies.ts
@@ -1,12 +1,10 @@
 /** Opens what a controller needs from outside, and shares the outside's limits among it. */
 import { CloudClient } from '../adapters/cloud/cloud-client.js';
 import type { Settings } from '../adapters/configuration/settings.js';
-import {
-  KeyValueStoreClient,
-  type RateShares,
-} from '../adapters/key-value-store/key-value-store-client.js';
+import { KeyValueStoreClient } from '../adapters/key-value-store/key-value-store-client.js';
+import type { RateShares } from '../adapters/key-value-store/store-rates.js';
 import { type Log, Once } from '../adapters/logging/log.js';
-import { Peer } from '../adapters/peers/peer-link.js';
+import { PeerClient } from '../adapters/peers/peer-client.js';
 import { WorkerClient } from '../adapters/workers/worker-client.js';
 import type { Dependencies } from './dependencies.js';
 import { MIN_BATCH_WRITE_SHARE } from './write-share.js';
@@ -69,7 +67,7 @@
     batchStore: openStore(batches),
     cloud: new CloudClient(settings.cloud, settings.cloudLimits.rps, malformedAnswerFrom('cloud')),
     workers: new WorkerClient(Math.max(MIN_COMMAND_SOCKETS, commandSockets)),
-    peers: new Map(settings.peers.map((peer) => [peer.node, new Peer(peer.node, peer.at)])),
+    peers: new Map(settings.peers.map((peer) => [peer.node, new PeerClient(peer.node, peer.at)])),
     machineTypes: null,
   };
 };
--- a/src/service/effect-runner.ts
+++ b/src/service/effect-runner.ts
@@ -84,16 +84,9 @@
   private async provision(effect: EffectOf<'provision'>): Promise<void> {
     const { commandLoop, dependencies } = this.options;
     const { request, type, zone, spot, count } = effect;
-    const result = await dependencies.cloud.provision(
-      request,
-      type,
-      zone,
-      spot,
-      count,
-      this.mayChangeFleet,
-    );
-    const outcome = typeof result === 'string' ? result : 'ok';
-    const machines = typeof result === 'string' ? [] : result;
+    const result = await dependencies.cloud.provision(effect, this.mayChangeFleet);
+    const outcome = result.kind === 'provisioned' ? 'ok' : result.kind;
+    const machines = result.kind === 'provisioned' ? result.machines : [];
     dependencies.log.info(
       { requestId: request, machineType: type, zone, spot, count, outcome, machineIds: machines },
       'provision',
--- a/src/service/guarded-writer.ts
+++ b/src/service/guarded-writer.ts
@@ -1,13 +1,9 @@
 /** The leader's transactions, guarded by the leader key and the revisions of their own keys. */
 
-import type {
-  KeyValueStoreClient,
-  Mutation,
-  Precondition,
-} from '../adapters/key-value-store/key-value-store-client.js';
 import { sleep } from '../adapters/runtime/clock.js';
 import type { Jitter } from '../adapters/runtime/random.js';
 import type { FencingToken, Revision } from '../core/model/ids.js';
+import type { KeyValueStore, Mutation, Precondition } from './ports/key-value-store.js';
 import { COMPLETION_PREFIX, LEADER_KEY } from './stored-records.js';
 
 /** The revision of a key that is not there. */
@@ -26,7 +22,7 @@
 
 /** What the guarded writer works with. */
 export interface GuardedWriterOptions {
-  readonly store: KeyValueStoreClient;
+  readonly store: KeyValueStore;
   readonly fencingToken: FencingToken;
   readonly jitter: Jitter;
 }
@@ -39,7 +35,7 @@
   readonly keyRevisions = new Map<string, Revision>();
   /** Revision of the newest transaction that is known to be stored under this token. */
   lastRevision: Revision;
-  private readonly store: KeyValueStoreClient;
+  private readonly store: KeyValueStore;
   private readonly fencingToken: FencingToken;
   private readonly jitter: Jitter;
   private isStopped = false;
--- a/src/service/job-watch.ts
+++ b/src/service/job-watch.ts
@@ -1,10 +1,11 @@
 /** Follows the jobs that other controllers admit: changes under the jobs' prefix tell of them. */
-import type { Change, StoredItem } from '../adapters/key-value-store/key-value-store-client.js';
+
 import { sleep } from '../adapters/runtime/clock.js';
 import type { Revision } from '../core/model/ids.js';
 import type { CommandLoop } from './command-loop.js';
 import type { Dependencies } from './dependencies.js';
 import type { JobIntake } from './job-intake.js';
+import type { Change, StoredItem } from './ports/key-value-store.js';
 import { listPrefix } from './store-listing.js';
 import { JOB_PREFIX } from './stored-records.js';
 import type { TermContext } from './term-context.js';
--- a/src/service/jobs/job-query-service.ts
+++ b/src/service/jobs/job-query-service.ts
@@ -89,7 +89,7 @@
     const term = this.authoritativeTerm();
     if (!term) return null;
     const explanation = explainJob(term.commandLoop.core, id, steadyNow());
-    const cloud = this.dependencies.cloud.isAway ? 'away' : 'ok';
+    const cloud = this.dependencies.cloud.isUnavailable ? 'away' : 'ok';
     return explanation && { ...explanation, cloud, state: 'ok' };
   }
 
--- a/src/service/jobs/submission-service.ts
+++ b/src/service/jobs/submission-service.ts
@@ -1,15 +1,13 @@
 /** Submission of jobs: feasibility, and admission by a write to the key-value store. */
-import type {
-  Mutation,
-  Precondition,
-} from '../../adapters/key-value-store/key-value-store-client.js';
-import type { Peer } from '../../adapters/peers/peer-link.js';
+
 import { sleep } from '../../adapters/runtime/clock.js';
 import type { JobId, Revision } from '../../core/model/ids.js';
 import type { Dependencies } from '../dependencies.js';
 import type { LeaderTerm } from '../leader-term.js';
 import type { PeerMonitor } from '../peers/peer-monitor.js';
 import { requestAdmission } from '../peers/peer-requests.js';
+import type { Mutation, Precondition } from '../ports/key-value-store.js';
+import type { Peer } from '../ports/peer.js';
 import type { SubmissionRefusal, SubmissionRequest, SubmissionResult } from '../ports/user-api.js';
 import { completionKey, encodeJob, type JobRecord, jobKey } from '../stored-records.js';
 import type { JobQueryService } from './job-query-service.js';
--- a/src/service/leader-election.ts
+++ b/src/service/leader-election.ts
@@ -14,17 +14,13 @@
  *   written, and turns a write away that arrives later.
  */
 
-import type {
-  KeyValueStoreClient,
-  LeaseId,
-  Mutation,
-} from '../adapters/key-value-store/key-value-store-client.js';
 import type { Log } from '../adapters/logging/log.js';
 import { sleep, steadyNow } from '../adapters/runtime/clock.js';
 import type { Jitter } from '../adapters/runtime/random.js';
 import type { FencingToken, NodeId, Revision } from '../core/model/ids.js';
 import type { Instant } from '../core/model/time.js';
 import { LeaderLease } from './leader-lease.js';
+import type { KeyValueStore, LeaseId, Mutation } from './ports/key-value-store.js';
 import { decodeLeader, LEADER_KEY } from './stored-records.js';
 
 /** How long one watch of the leader key is held open, in milliseconds. */
@@ -55,7 +51,7 @@
 /** What an election needs. */
 export interface LeaderElectionOptions {
   readonly node: NodeId;
-  readonly store: KeyValueStoreClient;
+  readonly store: KeyValueStore;
   /** Length of the leader's lease, in milliseconds. */
   readonly leaseMs: number;
   readonly events: LeaderElectionEvents;
@@ -77,7 +73,7 @@
   /** The highest fencing token of any leader that this node has heard of. */
   highestKnownToken = 0 as FencingToken;
   private readonly node: NodeId;
-  private readonly store: KeyValueStoreClient;
+  private readonly store: KeyValueStore;
   private readonly leaseMs: number;
   private readonly events: LeaderElectionEvents;
   private readonly log: Log;
--- a/src/service/leader-lease.ts
+++ b/src/service/leader-lease.ts
@@ -2,13 +2,11 @@
  * The lease on which the leader key hangs, counted so that this node never takes it for alive when
  * the key-value store does not.
  */
-import type {
-  KeyValueStoreClient,
-  LeaseId,
-} from '../adapters/key-value-store/key-value-store-client.js';
+
 import { sleep, steadyNow } from '../adapters/runtime/clock.js';
 import type { Jitter } from '../adapters/runtime/random.js';
 import type { Instant } from '../core/model/time.js';
+import type { KeyValueStore, LeaseId } from './ports/key-value-store.js';
 
 /** Clocks of this node and the store may drift apart by this share of the lease. */
 const CLOCK_DRIFT = 0.001;
@@ -24,7 +22,7 @@
 
 /** What a lease needs. */
 export interface LeaderLeaseOptions {
-  readonly store: KeyValueStoreClient;
+  readonly store: KeyValueStore;
   readonly leaseMs: number;
   readonly jitter: Jitter;
   /** Once true, the lease is renewed no more. */
@@ -50,7 +48,7 @@
   /** Asks the store for a lease; null when it grants none now. */
   static async acquire(options: LeaderLeaseOptions): Promise<LeaderLease | null> {
     const sentAt = steadyNow();
-    const id = await options.store.grant(options.leaseMs);
+    const id = await options.store.grantLease(options.leaseMs);
     return typeof id === 'string' ? null : new LeaderLease(id, sentAt, options);
   }
 
@@ -93,12 +91,12 @@
 
   /** Gives the lease back to the store, which deletes what hangs on it. */
   async revoke(): Promise<void> {
-    await this.options.store.revoke(this.id);
+    await this.options.store.revokeLease(this.id);
   }
 
   private async renewOnce(): Promise<RenewalOutcome> {
     const sentAt = steadyNow();
-    const result = await this.options.store.renew(this.id);
+    const result = await this.options.store.renewLease(this.id);
     if (this.isOver) return 'ended';
     if (result === 'gone') {
       this.isOver = true;
--- a/src/service/peers/peer-request-handler.ts
+++ b/src/service/peers/peer-request-handler.ts
@@ -1,11 +1,12 @@
 /** Answers the questions of other controllers. None of them is passed on a second time. */
-import type { Question } from '../../adapters/peers/peer-link.js';
+
 import type { OperatorAnswer } from '../../core/extensions/extension.js';
-import type { JobId, TeamName } from '../../core/model/ids.js';
+import type { JobId } from '../../core/model/ids.js';
 import type { Dependencies } from '../dependencies.js';
 import type { JobService } from '../jobs/job-service.js';
 import { STORE_UNAVAILABLE } from '../jobs/job-views.js';
 import type { LeaderTerm } from '../leader-term.js';
+import type { PeerQuestion } from '../ports/peer.js';
 import type { JobView } from '../ports/user-api.js';
 import { decodeJob } from '../stored-records.js';
 import { encodeAdmission, encodeHealth, encodeLookup } from './peer-messages.js';
@@ -20,27 +21,26 @@
     private readonly currentTerm: () => LeaderTerm | null,
   ) {}
 
-  async handle(question: Question): Promise<unknown> {
-    const job = question.job as JobId | undefined;
+  async handle(question: PeerQuestion): Promise<unknown> {
     switch (question.ask) {
       case 'status':
-        return job ? this.jobs.queries.viewLocally(job) : null;
+        return question.job ? this.jobs.queries.viewLocally(question.job) : null;
       case 'abort':
-        return this.handleCancellation(job);
+        return this.handleCancellation(question.job);
       case 'explain':
-        return job ? this.jobs.queries.explainLocally(job) : null;
+        return question.job ? this.jobs.queries.explainLocally(question.job) : null;
       case 'list':
-        return question.team ? this.jobs.queries.listLocally(question.team as TeamName) : null;
+        return question.team ? this.jobs.queries.listLocally(question.team) : null;
       case 'operate':
         return this.handleOperatorCall(question);
       case 'health':
         return encodeHealth(this.peerMonitor.health());
       case 'look':
-        return job ? this.handleLookup(job) : null;
+        return question.job ? this.handleLookup(question.job) : null;
       case 'admit':
         return this.handleAdmission(question.record);
       default:
-        return question.ask satisfies never;
+        return question satisfies never;
     }
   }
 
@@ -49,7 +49,10 @@
     return encodeLookup(await this.jobs.cancellations.cancelAsLeader(job));
   }
 
-  private handleOperatorCall({ extension, call }: Question): Promise<OperatorAnswer | null> | null {
+  private handleOperatorCall({
+    extension,
+    call,
+  }: Extract<PeerQuestion, { ask: 'operate' }>): Promise<OperatorAnswer | null> | null {
     const term = this.currentTerm();
     if (!term || extension === undefined || call === undefined) return null;
     return term.handleOperatorCall(extension, call);
--- a/src/service/peers/peer-requests.ts
+++ b/src/service/peers/peer-requests.ts
@@ -1,7 +1,8 @@
 /** What a controller asks of another, one function for each question; null where none answers. */
-import type { Peer } from '../../adapters/peers/peer-link.js';
+
 import type { OperatorAnswer, OperatorCall } from '../../core/extensions/extension.js';
 import type { JobId, TeamName } from '../../core/model/ids.js';
+import type { Peer } from '../ports/peer.js';
 import type { JobView, LookupResult, SubmissionResult } from '../ports/user-api.js';
 import { encodeJob, type JobRecord } from '../stored-records.js';
 import {
--- a/src/service/state-recovery.ts
+++ b/src/service/state-recovery.ts
@@ -3,12 +3,13 @@
  * writes the ledger, and an earlier leader's writes are refused since the leader key has changed:
  * what is read here is complete. Jobs accepted meanwhile reach the leader by the job watch.
  */
-import type { StoredItem } from '../adapters/key-value-store/key-value-store-client.js';
+
 import type { Command } from '../core/model/command.js';
 import type { ExtensionRecord } from '../core/model/extension-record.js';
 import type { Revision, SegmentKey } from '../core/model/ids.js';
 import type { Dependencies } from './dependencies.js';
 import type { JobIntake } from './job-intake.js';
+import type { StoredItem } from './ports/key-value-store.js';
 import { listPrefix } from './store-listing.js';
 import {
   decodeSegment,
--- a/src/service/store-listing.ts
+++ b/src/service/store-listing.ts
@@ -1,8 +1,9 @@
 /** Lists a prefix of the key-value store for as long as it takes to be answered. */
-import type { StoredItem } from '../adapters/key-value-store/key-value-store-client.js';
+
 import { sleep } from '../adapters/runtime/clock.js';
 import type { Revision } from '../core/model/ids.js';
 import type { Dependencies } from './dependencies.js';
+import type { StoredItem } from './ports/key-value-store.js';
 import type { TermContext } from './term-context.js';
 
 const RETRY_MS = 200;
--- a/test/direct-orders.test.ts
+++ b/test/direct-commands.test.ts
@@ -8,11 +8,11 @@
 
 afterEach(cleanUp);
 
-describe('direct orders', () => {
-  it('to many machines at once, as when a large job is cancelled, do not cut one another off', async () => {
+describe('direct commands', () => {
+  it('reach many machines at once, as when a large job is cancelled', async () => {
     const count = 90;
     const waiting: (() => void)[] = [];
-    const told = JSON.stringify({
+    const heartbeat = JSON.stringify({
       Berth: 'n-1',
       Endpoint: '127.0.0.1:9',
       Hull: 'c8',
@@ -24,8 +24,10 @@
     const servers = await Promise.all(
       Array.from({ length: count }, async () => {
         const server = createHttpServer((_, res) => {
-          waiting.push(() => res.writeHead(200, { 'content-type': 'application/json' }).end(told));
-          // Nobody is answered before all have been asked.
+          waiting.push(() =>
+            res.writeHead(200, { 'content-type': 'application/json' }).end(heartbeat),
+          );
+          // Nobody is answered before all have received theirs.
           if (waiting.length === count) for (const answer of waiting) answer();
         });
         await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
@@ -43,20 +45,20 @@
         return client.sendCommands(`127.0.0.1:${port}`, 7 as FencingToken, 1, []);
       }),
     );
-    expect(answers.filter((report) => report?.machine === 'n-1')).toHaveLength(count);
+    expect(answers.filter((heartbeat) => heartbeat?.machine === 'n-1')).toHaveLength(count);
   });
 
-  it('take no more sockets than they may, and all are sent even so', async () => {
+  it('use no more sockets than allowed, and are all sent', async () => {
     let open = 0;
-    let most = 0;
-    let asked = 0;
+    let maxOpen = 0;
+    let received = 0;
     const server = createHttpServer((_, res) => {
-      asked += 1;
+      received += 1;
       setImmediate(() => res.writeHead(409).end('{}'));
     });
     server.on('connection', (socket) => {
       open += 1;
-      most = Math.max(most, open);
+      maxOpen = Math.max(maxOpen, open);
       socket.on('close', () => (open -= 1));
     });
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
@@ -66,11 +68,11 @@
     );
     const { port } = server.address() as AddressInfo;
     const client = new WorkerClient(5);
-    const orders = Array.from({ length: 40 }, () =>
+    const requests = Array.from({ length: 40 }, () =>
       client.sendCommands(`127.0.0.1:${port}`, 7 as FencingToken, 1, []),
     );
-    await Promise.all(orders);
-    expect(asked).toBe(40);
-    expect(most).toBeLessThanOrEqual(5);
+    await Promise.all(requests);
+    expect(received).toBe(40);
+    expect(maxOpen).toBeLessThanOrEqual(5);
   });
 });
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -1,16 +1,16 @@
 /** The election against a key-value store stand-in that answers late, on a fake clock. */
 import pino from 'pino';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
-import type {
-  KeyValueStoreClient,
-  LeaseId,
-  Mutation,
-  Precondition,
-} from '../src/adapters/key-value-store/key-value-store-client.js';
 import { steadyNow } from '../src/adapters/runtime/clock.js';
 import { Jitter } from '../src/adapters/runtime/random.js';
 import type { FencingToken, NodeId, Revision } from '../src/core/model/ids.js';
 import { LeaderElection } from '../src/service/leader-election.js';
+import type {
+  KeyValueStore,
+  LeaseId,
+  Mutation,
+  Precondition,
+} from '../src/service/ports/key-value-store.js';
 
 const LEASE_MS = 3000;
 
@@ -48,7 +48,7 @@
     for (const wake of this.watchers.splice(0)) wake();
   }
 
-  client(): KeyValueStoreClient {
+  client(): KeyValueStore {
     return {
       get: () =>
         this.carryOut(() =>
@@ -56,19 +56,19 @@
             ? { key: 'leader', value: this.key.value, revision: this.key.revision }
             : 'absent',
         ),
-      grant: (lifeMs: number) =>
+      grantLease: (lifeMs: number) =>
         this.carryOut(() => {
           const lease = this.nextLease++;
           this.leaseEnds.set(lease, steadyNow() + lifeMs);
           return lease;
         }),
-      renew: (lease: LeaseId) =>
+      renewLease: (lease: LeaseId) =>
         this.carryOut(() => {
           if (!this.leaseEnds.has(lease)) return 'gone';
           this.leaseEnds.set(lease, steadyNow() + LEASE_MS);
           return 'ok';
         }),
-      revoke: (lease: LeaseId) =>
+      revokeLease: (lease: LeaseId) =>
         this.carryOut(() => {
           this.leaseEnds.delete(lease);
           if (this.key?.lease === lease) this.writeLeaderKey(null);
@@ -93,7 +93,7 @@
           }
           return { revision: this.revision, changes: [] };
         }),
-    } as unknown as KeyValueStoreClient;
+    } as unknown as KeyValueStore;
   }
 }
 
--- a/test/isolated-leader.test.ts
+++ b/test/isolated-leader.test.ts
@@ -3,12 +3,8 @@
 import { CloudClient } from '../src/adapters/cloud/cloud-client.js';
 import { parseEndpoint } from '../src/adapters/configuration/settings.js';
 import type { Authority, Effect } from '../src/core/model/effect.js';
-import type {
-  MachineId,
-  MachineTypeName,
-  ProvisionRequestId,
-  ZoneName,
-} from '../src/core/model/ids.js';
+import type { MachineTypeName, ProvisionRequestId, ZoneName } from '../src/core/model/ids.js';
+import type { ProvisionRequest } from '../src/core/model/machine.js';
 import { Cloud, post } from './stand-ins/cloud.js';
 import {
   body,
@@ -139,18 +135,22 @@
     cleanups.push(() => cloud.close());
     const client = new CloudClient(parseEndpoint(await cloud.listen()), 100);
     cleanups.push(() => client.close());
-    const request = [
-      'r-1' as ProvisionRequestId,
-      'c8' as MachineTypeName,
-      'a' as ZoneName,
-    ] as const;
-    expect(await client.provision(...request, true, 2, () => false)).toBe('refused');
+    const request: ProvisionRequest = {
+      request: 'r-1' as ProvisionRequestId,
+      type: 'c8' as MachineTypeName,
+      zone: 'a' as ZoneName,
+      spot: true,
+      count: 2,
+    };
+    expect(await client.provision(request, () => false)).toEqual({ kind: 'refused' });
     expect(cloud.workers.size).toBe(0);
-    const provisioned = await client.provision(...request, true, 2, () => true);
+    const provisioned = await client.provision(request, () => true);
+    if (provisioned.kind !== 'provisioned') throw new Error(provisioned.kind);
+    const { machines } = provisioned;
     expect(cloud.workers.size).toBe(2);
-    expect(await client.deleteMachines(provisioned as MachineId[], () => false)).toBe(false);
+    expect(await client.deleteMachines(machines, () => false)).toBe(false);
     expect(cloud.workers.size).toBe(2);
-    expect(await client.deleteMachines(provisioned as MachineId[], () => true)).toBe(true);
+    expect(await client.deleteMachines(machines, () => true)).toBe(true);
     expect(cloud.workers.size).toBe(0);
   });
 });
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -23,16 +23,16 @@
 afterEach(cleanUp);
 
 describe('a fleet of 4,200 machines', () => {
-  it('is cached whole by the heartbeat parser: unchanged tasks are checked once', () => {
-    const reader = new HeartbeatParser();
-    const body = (name: string, tick: number) => ({
+  it('is cached whole by the heartbeat parser: unchanged tasks are decoded once', () => {
+    const parser = new HeartbeatParser();
+    const body = (name: string, sequence: number) => ({
       Berth: name,
       Endpoint: '127.0.0.1:9',
       Hull: 'c8',
       Yard: 'a',
       Loaners: false,
       Tenure: 1,
-      Tick: tick,
+      Tick: sequence,
       Baton: 1,
       RecallS: null,
       Pieces: [
@@ -40,14 +40,14 @@
         { Piece: 'job-2/1', Try: 2, Status: 'running' },
       ],
     });
-    for (let tick = 1; tick <= 20; tick += 1)
-      for (const name of names) reader.parse(body(name, tick));
-    expect(reader.checked).toBe(2 * FLEET);
-    expect(reader.remembered).toBe(FLEET);
+    for (let sequence = 1; sequence <= 20; sequence += 1)
+      for (const name of names) parser.parse(body(name, sequence));
+    expect(parser.decodedTasks).toBe(2 * FLEET);
+    expect(parser.rememberedMachines).toBe(FLEET);
   });
 
   it('leaves no machine in the cache of the heartbeat parser that no longer sends any', () => {
-    const reader = new HeartbeatParser();
+    const parser = new HeartbeatParser();
     const body = (name: string) => ({
       Berth: name,
       Endpoint: 'e',
@@ -57,9 +57,9 @@
       Tick: 1,
       Baton: 1,
     });
-    for (const name of names) reader.parse(body(name));
-    for (let i = 0; i < 12 * FLEET; i += 1) reader.parse(body(names[i % 100]!));
-    expect(reader.remembered).toBe(100);
+    for (const name of names) parser.parse(body(name));
+    for (let i = 0; i < 12 * FLEET; i += 1) parser.parse(body(names[i % 100]!));
+    expect(parser.rememberedMachines).toBe(100);
   });
 
   it('is scheduled with work linear in the machines, and heartbeats walk over none of them', () => {
--- a/test/pinned-http.test.ts
+++ b/test/pinned-http.test.ts
@@ -12,7 +12,8 @@
 import { DEFAULT_POLICY } from '../src/adapters/configuration/policy.js';
 import { parseSettings } from '../src/adapters/configuration/settings.js';
 import { startApi } from '../src/adapters/http/api-server.js';
-import { encodeFrame, FrameReader, servePeers } from '../src/adapters/peers/peer-link.js';
+import { encodeFrame, FrameDecoder } from '../src/adapters/peers/frames.js';
+import { servePeers } from '../src/adapters/peers/peer-server.js';
 import { Jitter } from '../src/adapters/runtime/random.js';
 import type { AttemptId, FencingToken, JobId, TaskIndex } from '../src/core/model/ids.js';
 import type { WorkerCommand } from '../src/core/model/worker-command.js';
@@ -86,10 +87,10 @@
   const sockets: Socket[] = [];
   const server = createServer((socket) => {
     sockets.push(socket);
-    const reader = new FrameReader();
+    const decoder = new FrameDecoder();
     socket.on('error', () => {});
     socket.on('data', (bytes: Buffer) => {
-      for (const message of reader.push(bytes)) {
+      for (const message of decoder.decode(bytes)) {
         const question = message as Question;
         if (question.ask !== 'health') {
           frames.push(encodeFrame({ ...question, n: 1 }).toString('base64'));
@@ -285,10 +286,10 @@
   const [host, port] = back.split(':');
   const socket = connect(Number(port), host);
   cleanups.push(() => socket.destroy());
-  const reader = new FrameReader();
+  const decoder = new FrameDecoder();
   const waiting = new Map<number, (is: unknown) => void>();
   socket.on('data', (bytes: Buffer) => {
-    for (const message of reader.push(bytes)) {
+    for (const message of decoder.decode(bytes)) {
       const { n, is } = v.parse(frozen.answer, message);
       waiting.get(n)?.(is);
     }
--- a/test/pinned-records.test.ts
+++ b/test/pinned-records.test.ts
@@ -16,7 +16,8 @@
   encodeMachineDrain,
   machineKey,
 } from '../packages/drain/src/core/records.js';
-import { parseJob, parseMachineTypes } from '../src/adapters/wire.js';
+import { parseMachineTypes } from '../src/adapters/wire/cloud.js';
+import { parseJob } from '../src/adapters/wire/jobs.js';
 import { segmentKey } from '../src/core/ledger/segments.js';
 import type { FencingToken, MachineTypeName, TeamName, ZoneName } from '../src/core/model/ids.js';
 import type { JobSpec } from '../src/core/model/job.js';
--- a/test/pinned-requests.test.ts
+++ b/test/pinned-requests.test.ts
@@ -4,11 +4,8 @@
  */
 import { afterEach, describe, expect, it } from 'vitest';
 import { CloudClient } from '../src/adapters/cloud/cloud-client.js';
-import {
-  KeyValueStoreClient,
-  type LeaseId,
-} from '../src/adapters/key-value-store/key-value-store-client.js';
-import { parseMachineTypes } from '../src/adapters/wire.js';
+import { KeyValueStoreClient } from '../src/adapters/key-value-store/key-value-store-client.js';
+import { parseMachineTypes } from '../src/adapters/wire/cloud.js';
 import { parseHeartbeat } from '../src/adapters/workers/heartbeat-parser.js';
 import { WorkerClient } from '../src/adapters/workers/worker-client.js';
 import type { EndCause, Heartbeat, TaskPhase, TaskStatus } from '../src/core/model/heartbeat.js';
@@ -25,6 +22,7 @@
 } from '../src/core/model/ids.js';
 import type { ListedMachine } from '../src/core/model/machine.js';
 import type { WorkerCommand } from '../src/core/model/worker-command.js';
+import type { LeaseId } from '../src/service/ports/key-value-store.js';
 import { pinsIn } from './fixtures/pins.js';
 import { cleanUp, cleanups, until } from './stand-ins/cluster.js';
 import { recordingServer } from './stand-ins/recording-server.js';
@@ -37,7 +35,7 @@
 const RATES = { rps: 1000, writeRps: 1000 };
 const LEASE = 7 as LeaseId;
 
-describe('the client of the state service', () => {
+describe('the client of the key-value store', () => {
   const clientOf = async (answer: Parameters<typeof recordingServer>[0]) => {
     const { sent, at } = await recordingServer(answer);
     const client = new KeyValueStoreClient(at, { ...RATES, lowered: RATES });
@@ -63,9 +61,9 @@
       ],
     );
     await client.compareAndSwap([], []);
-    await client.grant(3000);
-    await client.renew(LEASE);
-    await client.revoke(LEASE);
+    await client.grantLease(3000);
+    await client.renewLease(LEASE);
+    await client.revokeLease(LEASE);
     await client.watch('leader', 12 as Revision, 10_000);
     pins.check('state service', sent);
   });
@@ -120,9 +118,9 @@
     expect(await client.compareAndSwap([], [{ del: 'taken' }])).toBe('conflict');
     expect(await client.compareAndSwap([], [{ del: 'ended' }])).toBe('expired');
     expect(await client.compareAndSwap([], [{ del: 'large' }])).toBe('too-large');
-    expect(await client.grant(3000)).toBe(7);
-    expect(await client.renew(LEASE)).toBe('ok');
-    expect(await client.renew(8 as LeaseId)).toBe('gone');
+    expect(await client.grantLease(3000)).toBe(7);
+    expect(await client.renewLease(LEASE)).toBe('ok');
+    expect(await client.renewLease(8 as LeaseId)).toBe('gone');
     expect(await client.watch('old', revision(1), 10)).toBe('too-old');
     expect(await client.watch('leader', revision(1), 10)).toEqual({
       revision: 13,
@@ -156,14 +154,14 @@
     const client = new CloudClient(at, 100);
     cleanups.push(() => client.close());
     expect(await client.listMachineTypes()).toEqual(parseMachineTypes(inputs.of('types')));
-    const names = await client.provision(
-      'x-41-7' as ProvisionRequestId,
-      'c8' as MachineTypeName,
-      'a' as ZoneName,
-      true,
-      2,
-    );
-    expect(names).toEqual(['n-000001', 'n-000002']);
+    const provisioned = await client.provision({
+      request: 'x-41-7' as ProvisionRequestId,
+      type: 'c8' as MachineTypeName,
+      zone: 'a' as ZoneName,
+      spot: true,
+      count: 2,
+    });
+    expect(provisioned).toEqual({ kind: 'provisioned', machines: ['n-000001', 'n-000002'] });
     expect(await client.deleteMachines(['n-000001', 'n-000002'] as MachineId[])).toBe(true);
     const machine = (id: string, rest: Omit<ListedMachine, 'id'>): ListedMachine => ({
       id: id as MachineId,
@@ -180,8 +178,8 @@
   });
 });
 
-/** The pinned report, as it is read. */
-const reportRead = (): Heartbeat => {
+/** The pinned heartbeat, as it is decoded. */
+const decodedHeartbeat = (): Heartbeat => {
   const task = (
     n: number,
     phase: TaskPhase,
@@ -222,33 +220,33 @@
   };
 };
 
-describe('a report of a worker', () => {
+describe('a heartbeat of a worker', () => {
   it('is read from its pinned form', () => {
-    expect(parseHeartbeat(inputs.of('report'))).toEqual(reportRead());
+    expect(parseHeartbeat(inputs.of('report'))).toEqual(decodedHeartbeat());
   });
 });
 
-describe('direct orders', () => {
-  it('are sent in the pinned form, and the report in the answer is read', async () => {
+describe('direct commands', () => {
+  it('are sent in the pinned form, and the heartbeat in the answer is read', async () => {
     const { sent, at } = await recordingServer(() => [200, inputs.of('report')]);
     const task = {
       job: 'job-000412' as JobId,
       index: 8 as TaskIndex,
       attempt: 41000002 as AttemptId,
     };
-    const orders: WorkerCommand[] = [
+    const commands: WorkerCommand[] = [
       { op: 'start', ...task },
       { op: 'kill', ...task, graceS: 3 },
       { op: 'reap', ...task },
     ];
     const client = new WorkerClient(4);
-    const report = await client.sendCommands(
+    const heartbeat = await client.sendCommands(
       `${at.host}:${at.port}`,
       41 as FencingToken,
       3,
-      orders,
+      commands,
     );
-    expect(report).toEqual(reportRead());
+    expect(heartbeat).toEqual(decodedHeartbeat());
     pins.check('direct orders', sent);
   });
 });
--- a/test/service-jobs.test.ts
+++ b/test/service-jobs.test.ts
@@ -185,12 +185,12 @@
     // More than the machines that may have been rented before the cloud became odd can do in that time.
     cloud.taskMs = 500;
     await post(at, '/api/jobs', body('job-1', { Pieces: 300, Cpus: 8 }));
-    await until(() => told().some((l) => l.includes('rental')));
+    await until(() => told().some((l) => l.includes('provision')));
     cloud.odd = false;
     await until(async () => (await post(at, '/api/jobs/job-1/abort', {}))?.status === 200);
     await post(at, '/api/jobs', body('job-2', { Pieces: 1 }));
     await until(async () => (await status(at, 'job-2'))?.body.Status === 'done');
-    const rentals = told().filter((l) => l.includes('rental'));
-    expect(rentals).toHaveLength(1);
+    const provisions = told().filter((l) => l.includes('provision'));
+    expect(provisions).toHaveLength(1);
   });
 });
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -86,7 +86,7 @@
     }
     expect((await post(at, '/checkin', worker))?.status).not.toBe(400);
     const client = new HttpClient({ host: '127.0.0.1', port: 99_999 }, 1);
-    expect(await client.call('GET', '/', undefined, 1000)).toMatchObject({
+    expect(await client.send({ method: 'GET', path: '/', timeoutMs: 1000 })).toMatchObject({
       kind: 'none',
       sent: false,
     });
--- a/test/stand-ins/cluster.ts
+++ b/test/stand-ins/cluster.ts
@@ -5,7 +5,7 @@
 import { parseSettings } from '../../src/adapters/configuration/settings.js';
 import { startApi } from '../../src/adapters/http/api-server.js';
 import type { Log } from '../../src/adapters/logging/log.js';
-import { servePeers } from '../../src/adapters/peers/peer-link.js';
+import { servePeers } from '../../src/adapters/peers/peer-server.js';
 import { Jitter } from '../../src/adapters/runtime/random.js';
 import { Controller } from '../../src/service/controller.js';
 import { Cloud, post } from './cloud.js';
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -6,7 +6,7 @@
 import { readFileSync } from 'node:fs';
 import * as v from 'valibot';
 import { describe, expect, it } from 'vitest';
-import { encodeFrame, FrameReader } from '../src/adapters/peers/peer-link.js';
+import { encodeFrame, FrameDecoder } from '../src/adapters/peers/frames.js';
 import { applyCommands } from '../src/core/apply-commands.js';
 import { TASKS_PER_BLOCK } from '../src/core/lifecycle/job-tasks.js';
 import { viewJob } from '../src/core/lifecycle/job-view.js';
@@ -53,7 +53,7 @@
   frames: Record<'admit' | 'status' | 'view' | 'health', string>;
 };
 const frame = (name: keyof typeof old.frames): unknown =>
-  new FrameReader().push(Buffer.from(old.frames[name], 'base64'))[0];
+  new FrameDecoder().decode(Buffer.from(old.frames[name], 'base64'))[0];
 
 /** A new leader that recovers from what a leader of the production version stored. */
 const recover = (valueBytes: number) => {
@@ -237,12 +237,12 @@
       { n: 3, ask: 'health' },
     ];
     for (const question of asked) {
-      const [sent] = new FrameReader().push(encodeFrame(question));
+      const [sent] = new FrameDecoder().decode(encodeFrame(question));
       expect(v.is(oldQuestion, sent)).toBe(true);
     }
     // An operator's call to a package it does not know, and leaves unanswered: the asker says 503.
     const call = { route: 'list', subject: '', body: {} };
-    const [passedOn] = new FrameReader().push(
+    const [passedOn] = new FrameDecoder().decode(
       encodeFrame({ n: 4, ask: 'operate', extension: 'drain', call }),
     );
     expect(v.is(oldQuestion, passedOn)).toBe(false);
