--- a/src/adapters/key-value-store/key-value-store-client.ts
+++ b/src/adapters/key-value-store/key-value-store-client.ts
@@ -1,14 +1,18 @@
 /** The key-value store over HTTP, within this node's share of its limits. */
 import type { Revision } from '../../core/model/ids.js';
 import type {
-  Changes,
+  CompareAndSwapResult,
+  GetResult,
   KeyValueStore,
+  LeaseGrantResult,
   LeaseId,
+  LeaseRenewalResult,
+  ListResult,
   Mutation,
   Precondition,
   StoredItem,
-  StoredItems,
   StoreFailure,
+  WatchResult,
 } from '../../service/ports/key-value-store.js';
 import type { Endpoint } from '../configuration/settings.js';
 import type { Reply } from '../outbound/http-client.js';
@@ -40,6 +44,16 @@
 /** Names an operation where its answer is none of the protocol's. */
 type Operation = 'get' | 'list' | 'compare-and-swap' | 'grant-lease' | 'renew-lease' | 'watch';
 
+/** Outcomes that carry no data: made once, and shared by all requests. */
+const REFUSED = Object.freeze({ kind: 'refused' } as const);
+const UNKNOWN = Object.freeze({ kind: 'unknown' } as const);
+const ABSENT = Object.freeze({ kind: 'absent' } as const);
+const CONFLICT = Object.freeze({ kind: 'conflict' } as const);
+const TOO_LARGE = Object.freeze({ kind: 'too-large' } as const);
+const LEASE_EXPIRED = Object.freeze({ kind: 'lease-expired' } as const);
+const RENEWED = Object.freeze({ kind: 'renewed' } as const);
+const TOO_OLD = Object.freeze({ kind: 'too-old' } as const);
+
 /** A client of the key-value store. */
 export class KeyValueStoreClient implements KeyValueStore {
   private readonly rates: StoreRates;
@@ -72,22 +86,22 @@
   private failureOf(operation: Operation, reply: Reply): StoreFailure {
     if (reply.kind === 'none') {
       if (reply.reason === 'not-json') this.onUnexpectedAnswer(operation);
-      return reply.sent ? 'unknown' : 'refused';
+      return reply.sent ? UNKNOWN : REFUSED;
     }
-    if (reply.status >= 500 || reply.status === 429) return 'refused';
+    if (reply.status >= 500 || reply.status === 429) return REFUSED;
     this.onUnexpectedAnswer(operation);
-    return 'unknown';
+    return UNKNOWN;
   }
 
-  async get(key: string): Promise<StoredItem | 'absent' | StoreFailure> {
+  async get(key: string): Promise<GetResult> {
     const reply = await this.connection.send({
       method: 'GET',
       path: `/kv/${key}`,
       timeoutMs: READ_TIMEOUT_MS,
     });
-    if (hasStatus(reply, 404)) return 'absent';
+    if (hasStatus(reply, 404)) return ABSENT;
     const item = readContent(reply, parseItem);
-    return item ?? this.failureOf('get', reply);
+    return item ? { kind: 'found', item } : this.failureOf('get', reply);
   }
 
   /** One page of the keys under a prefix; `after` is the last key of the page before. */
@@ -105,15 +119,15 @@
   }
 
   /** The revision is that of the first page: a watch from there misses no change of the others. */
-  async listAll(prefix: string): Promise<StoredItems | StoreFailure> {
+  async listAll(prefix: string): Promise<ListResult> {
     const items: StoredItem[] = [];
     let revision: Revision | null = null;
     for (;;) {
       const page = await this.list(prefix, items.at(-1)?.key, PAGE_SIZE);
-      if (typeof page === 'string') return page;
+      if (page.kind !== 'page') return page;
       revision ??= page.revision;
       items.push(...page.items);
-      if (!page.hasMore || page.items.length === 0) return { items, revision };
+      if (!page.hasMore || page.items.length === 0) return { kind: 'listed', items, revision };
     }
   }
 
@@ -122,40 +136,43 @@
     mutations: readonly Mutation[],
     maxWaitMs = MAX_QUEUE_MS,
     timeoutMs = WRITE_TIMEOUT_MS,
-  ): Promise<{ revision: Revision } | 'conflict' | 'expired' | 'too-large' | StoreFailure> {
-    if (!(await this.rates.writes.acquire(mutations.length, maxWaitMs))) return 'refused';
+  ): Promise<CompareAndSwapResult> {
+    if (!(await this.rates.writes.acquire(mutations.length, maxWaitMs))) return REFUSED;
     const reply = await this.connection.send({
       method: 'POST',
       path: '/multi',
       body: encodeTransaction(preconditions, mutations),
       timeoutMs,
     });
-    if (hasStatus(reply, 409)) return 'conflict';
+    if (hasStatus(reply, 409)) return CONFLICT;
     // Only one reason for 400 has a name; by the others the store faults the request itself.
-    if (hasStatus(reply, 400)) return isNoSuchLease(reply.body) ? 'expired' : 'too-large';
+    if (hasStatus(reply, 400)) return isNoSuchLease(reply.body) ? LEASE_EXPIRED : TOO_LARGE;
     const revision = readContent(reply, parseCommit);
-    return revision === null ? this.failureOf('compare-and-swap', reply) : { revision };
+    if (revision === null) return this.failureOf('compare-and-swap', reply);
+    return { kind: 'committed', revision };
   }
 
-  async grantLease(lifeMs: number): Promise<LeaseId | StoreFailure> {
+  async grantLease(lifeMs: number): Promise<LeaseGrantResult> {
     const reply = await this.connection.sendUrgently({
       method: 'POST',
       path: '/holds',
       body: encodeLeaseRequest(lifeMs),
       timeoutMs: LEASE_TIMEOUT_MS,
     });
-    return readContent(reply, parseLease) ?? this.failureOf('grant-lease', reply);
+    const lease = readContent(reply, parseLease);
+    if (lease === null) return this.failureOf('grant-lease', reply);
+    return { kind: 'granted', lease };
   }
 
-  async renewLease(lease: LeaseId): Promise<'ok' | 'gone' | StoreFailure> {
+  async renewLease(lease: LeaseId): Promise<LeaseRenewalResult> {
     const reply = await this.connection.sendUrgently({
       method: 'POST',
       path: `/holds/${lease}/renew`,
       body: {},
       timeoutMs: LEASE_TIMEOUT_MS,
     });
-    if (hasStatus(reply, 200)) return 'ok';
-    if (hasStatus(reply, 404)) return 'gone';
+    if (hasStatus(reply, 200)) return RENEWED;
+    if (hasStatus(reply, 404)) return LEASE_EXPIRED;
     return this.failureOf('renew-lease', reply);
   }
 
@@ -167,19 +184,15 @@
     });
   }
 
-  async watch(
-    prefix: string,
-    since: Revision,
-    holdMs: number,
-  ): Promise<Changes | 'too-old' | StoreFailure> {
+  async watch(prefix: string, since: Revision, holdMs: number): Promise<WatchResult> {
     const reply = await this.connection.sendWatch({
       method: 'GET',
       path: watchPath(prefix, since, holdMs),
       timeoutMs: holdMs + WATCH_TIMEOUT_SLACK_MS,
     });
-    if (hasStatus(reply, 410)) return 'too-old';
+    if (hasStatus(reply, 410)) return TOO_OLD;
     // A watch tells all changes at once, without bound: the caller reads the keys again, in pages.
-    if (reply.kind === 'none' && reply.reason === 'too-large') return 'too-old';
+    if (reply.kind === 'none' && reply.reason === 'too-large') return TOO_OLD;
     return readContent(reply, parseChanges) ?? this.failureOf('watch', reply);
   }
 
--- a/src/adapters/key-value-store/store-codec.ts
+++ b/src/adapters/key-value-store/store-codec.ts
@@ -3,11 +3,11 @@
 import type { Revision } from '../../core/model/ids.js';
 import type {
   Change,
-  Changes,
   LeaseId,
   Mutation,
   Precondition,
   StoredItem,
+  WatchResult,
 } from '../../service/ports/key-value-store.js';
 
 const revision = v.pipe(v.number(), v.integer(), v.minValue(0));
@@ -38,6 +38,7 @@
 
 /** One page of the keys under a prefix. */
 export interface StoredPage {
+  readonly kind: 'page';
   readonly items: StoredItem[];
   readonly hasMore: boolean;
   readonly revision: Revision;
@@ -65,7 +66,8 @@
   const result = v.safeParse(pageSchema, body);
   if (!result.success) return null;
   const { Items, More, Epoch } = result.output;
-  return { items: Items.map(decodeItem), hasMore: More ?? false, revision: Epoch as Revision };
+  const items = Items.map(decodeItem);
+  return { kind: 'page', items, hasMore: More ?? false, revision: Epoch as Revision };
 };
 
 /** The revision of a transaction that was carried out, or null when the answer is malformed. */
@@ -83,12 +85,16 @@
 /** Whether a transaction was turned down since a lease that it names has expired. */
 export const isNoSuchLease = (body: unknown): boolean => v.is(noSuchLeaseSchema, body);
 
+/** Changes in their order, and the revision of the store that they lead to. */
+export type StoredChanges = Extract<WatchResult, { kind: 'changes' }>;
+
 /** What a watch tells, or null when the answer is malformed. */
-export const parseChanges = (body: unknown): Changes | null => {
+export const parseChanges = (body: unknown): StoredChanges | null => {
   const result = v.safeParse(changesSchema, body);
   if (!result.success) return null;
   const { Epoch, News } = result.output;
-  return { revision: Epoch as Revision, changes: (News ?? []).map(decodeChange) };
+  const changes = (News ?? []).map(decodeChange);
+  return { kind: 'changes', revision: Epoch as Revision, changes };
 };
 
 const encodeMutation = (mutation: Mutation) => {
--- a/src/service/guarded-writer.ts
+++ b/src/service/guarded-writer.ts
@@ -61,16 +61,16 @@
         mutations,
         MAX_RATE_WAIT_MS,
       );
-      if (typeof result === 'object') {
+      if (result.kind === 'committed') {
         this.noteStored(mutations, result.revision);
         return 'stored';
       }
-      if (result === 'too-large') return result;
-      if (result === 'conflict' || result === 'unknown') {
+      if (result.kind === 'too-large') return 'too-large';
+      if (result.kind === 'conflict' || result.kind === 'unknown') {
         const outcome = await this.readBack(mutations, keys);
         if (outcome !== 'not-stored') return outcome;
       }
-      const isRateRefusal = result === 'refused' && !this.store.isDown;
+      const isRateRefusal = result.kind === 'refused' && !this.store.isDown;
       await sleep(this.jitter.around(isRateRefusal ? RATE_REFUSAL_DELAY_MS : retryDelay(retries)));
     }
     return 'leadership-lost';
@@ -107,14 +107,15 @@
     keys: readonly string[],
   ): Promise<'stored' | 'leadership-lost' | 'not-stored'> {
     const leader = await this.store.get(LEADER_KEY);
-    if (leader === 'absent') return 'leadership-lost';
-    if (typeof leader === 'string') return 'not-stored';
-    if ((leader.revision as number) !== (this.fencingToken as number)) return 'leadership-lost';
+    if (leader.kind === 'absent') return 'leadership-lost';
+    if (leader.kind !== 'found') return 'not-stored';
+    if ((leader.item.revision as number) !== (this.fencingToken as number))
+      return 'leadership-lost';
     const [firstKey] = keys;
     if (firstKey === undefined) return 'stored';
     const first = await this.store.get(firstKey);
-    if (typeof first === 'string' && first !== 'absent') return 'not-stored';
-    const revision = first === 'absent' ? ABSENT : first.revision;
+    if (first.kind !== 'found' && first.kind !== 'absent') return 'not-stored';
+    const revision = first.kind === 'absent' ? ABSENT : first.item.revision;
     if (revision !== this.knownRevision(firstKey)) {
       this.noteStored(mutations, revision);
       return 'stored';
@@ -126,9 +127,9 @@
   /** Makes sure of the known revisions before the next try. */
   private async refreshRevisions(keys: readonly string[]): Promise<void> {
     for (const key of keys) {
-      const item = await this.store.get(key);
-      if (item === 'absent') this.keyRevisions.delete(key);
-      else if (typeof item === 'object') this.keyRevisions.set(key, item.revision);
+      const result = await this.store.get(key);
+      if (result.kind === 'absent') this.keyRevisions.delete(key);
+      else if (result.kind === 'found') this.keyRevisions.set(key, result.item.revision);
     }
   }
 }
--- a/src/service/job-watch.ts
+++ b/src/service/job-watch.ts
@@ -37,10 +37,10 @@
     while (term.isCurrent) {
       const result = await dependencies.batchStore.watch(JOB_PREFIX, revision, WATCH_HOLD_MS);
       if (!term.isCurrent) return;
-      if (typeof result === 'object') {
+      if (result.kind === 'changes') {
         revision = result.revision;
         this.submitJobs(writtenItems(result.changes));
-      } else if (result === 'too-old') {
+      } else if (result.kind === 'too-old') {
         // The store has dropped changes since the revision: everything is listed again.
         const listing = await listPrefix(dependencies, term, JOB_PREFIX);
         if (!listing) return;
--- a/src/service/jobs/cancellation-service.ts
+++ b/src/service/jobs/cancellation-service.ts
@@ -50,9 +50,10 @@
         return ended ? { kind: 'found', job: ended } : this.queries.lookUpInStore(id);
       }
       // Not known here: over, never accepted, or accepted elsewhere a moment ago.
-      const item = await this.dependencies.store.get(jobKey(id));
-      if (typeof item !== 'object') break;
-      term.addStoredJob(item.key, item.value, item.revision);
+      const stored = await this.dependencies.store.get(jobKey(id));
+      if (stored.kind !== 'found') break;
+      const { key, value, revision } = stored.item;
+      term.addStoredJob(key, value, revision);
     }
     const stored = await this.queries.lookUpInStore(id);
     const isQueued = stored.kind === 'found' && stored.job.status === 'queued';
--- a/src/service/jobs/job-query-service.ts
+++ b/src/service/jobs/job-query-service.ts
@@ -50,11 +50,11 @@
   async lookUpInStore(id: JobId): Promise<LookupResult> {
     // In this order: a job's record and its completion change places in a single transaction.
     const job = await this.dependencies.store.get(jobKey(id));
-    if (typeof job === 'object') return { kind: 'found', job: this.viewOfRecord(id, job.value) };
-    if (job !== 'absent') return STORE_UNAVAILABLE;
+    if (job.kind === 'found') return { kind: 'found', job: this.viewOfRecord(id, job.item.value) };
+    if (job.kind !== 'absent') return STORE_UNAVAILABLE;
     const stored = await this.dependencies.store.get(completionKey(id));
-    if (stored === 'absent') return { kind: 'not-found' };
-    const completion = typeof stored === 'object' ? decodeCompletion(stored.value) : null;
+    if (stored.kind === 'absent') return { kind: 'not-found' };
+    const completion = stored.kind === 'found' ? decodeCompletion(stored.item.value) : null;
     if (!completion) return STORE_UNAVAILABLE;
     this.completions.remember(id, completion);
     return { kind: 'found', job: viewOfCompletion(id, completion) };
--- a/src/service/jobs/submission-service.ts
+++ b/src/service/jobs/submission-service.ts
@@ -6,7 +6,7 @@
 import type { LeaderTerm } from '../leader-term.js';
 import type { PeerMonitor } from '../peers/peer-monitor.js';
 import { requestAdmission } from '../peers/peer-requests.js';
-import type { Mutation, Precondition } from '../ports/key-value-store.js';
+import type { CompareAndSwapResult, Mutation, Precondition } from '../ports/key-value-store.js';
 import type { Peer } from '../ports/peer.js';
 import type { SubmissionRefusal, SubmissionRequest, SubmissionResult } from '../ports/user-api.js';
 import { completionKey, encodeJob, type JobRecord, jobKey } from '../stored-records.js';
@@ -77,7 +77,7 @@
     let result = await write();
     for (
       let attempt = 1;
-      attempt < MAX_ADMISSION_ATTEMPTS && result === 'refused' && !store.isDown;
+      attempt < MAX_ADMISSION_ATTEMPTS && result.kind === 'refused' && !store.isDown;
       attempt += 1
     ) {
       // The load balancer does not spread users evenly: a peer may have some of its share of the
@@ -93,16 +93,19 @@
 
   private async concludeAdmission(
     record: JobRecord,
-    result: Awaited<ReturnType<Dependencies['store']['compareAndSwap']>>,
+    result: CompareAndSwapResult,
   ): Promise<SubmissionResult> {
     const { id } = record.spec;
-    if (typeof result === 'object') {
+    if (result.kind === 'committed') {
       this.currentTerm()?.addAdmittedJob(record, result.revision);
       return { kind: 'accepted', job: viewOfAcceptedJob(record.spec) };
     }
     // The store's limit has fallen below what the settings say.
-    if (result === 'too-large') return this.refuse(id, TOO_LARGE);
-    if (result === 'conflict' || (result === 'unknown' && !this.dependencies.store.isDown)) {
+    if (result.kind === 'too-large') return this.refuse(id, TOO_LARGE);
+    if (
+      result.kind === 'conflict' ||
+      (result.kind === 'unknown' && !this.dependencies.store.isDown)
+    ) {
       const stored = await this.queries.lookUpInStore(id);
       if (stored.kind === 'found') return { kind: 'already-known', job: stored.job };
     }
--- a/src/service/leader-election.ts
+++ b/src/service/leader-election.ts
@@ -106,9 +106,10 @@
   /** Follows the leader, and campaigns whenever there is none, until `stop`. */
   async run(): Promise<void> {
     while (!this.isStopped) {
-      const item = await this.store.get(LEADER_KEY);
-      if (item === 'absent') await this.handleNoLeader();
-      else if (typeof item === 'object') await this.handleLeaderRecord(item.value, item.revision);
+      const leader = await this.store.get(LEADER_KEY);
+      if (leader.kind === 'absent') await this.handleNoLeader();
+      else if (leader.kind === 'found')
+        await this.handleLeaderRecord(leader.item.value, leader.item.revision);
       else await sleep(this.jitter.around(RETRY_MS.read));
     }
   }
@@ -142,11 +143,11 @@
   /** True when the key has been deleted and, as far as the watch tells, not been written since. */
   private async awaitLeaderKeyDeletion(since: Revision): Promise<boolean> {
     const result = await this.store.watch(LEADER_KEY, since, WATCH_HOLD_MS);
-    if (typeof result === 'object') {
+    if (result.kind === 'changes') {
       const last = result.changes.filter((change) => change.key === LEADER_KEY).at(-1);
       return last !== undefined && 'deleted' in last;
     }
-    if (result !== 'too-old') await sleep(this.jitter.around(RETRY_MS.read));
+    if (result.kind !== 'too-old') await sleep(this.jitter.around(RETRY_MS.read));
     return false;
   }
 
@@ -208,18 +209,18 @@
     const writes: Mutation[] = [{ put: LEADER_KEY, value, lease }];
     const preconditions = [{ key: LEADER_KEY, revision: expected }];
     const result = await this.store.compareAndSwap(preconditions, writes);
-    if (typeof result === 'object') return result.revision as number as FencingToken;
-    return result === 'unknown' ? this.readBackClaim(lease) : null;
+    if (result.kind === 'committed') return result.revision as number as FencingToken;
+    return result.kind === 'unknown' ? this.readBackClaim(lease) : null;
   }
 
   /** Finds out whether an unanswered claim was carried out. */
   private async readBackClaim(lease: LeaseId): Promise<FencingToken | null> {
     for (let i = 0; i < MAX_CLAIM_READ_BACKS; i += 1) {
-      const item = await this.store.get(LEADER_KEY);
-      if (item === 'absent') return null;
-      if (typeof item === 'object') {
-        const isOurs = this.isOwnClaim(item.value, lease);
-        return isOurs ? (item.revision as number as FencingToken) : null;
+      const leader = await this.store.get(LEADER_KEY);
+      if (leader.kind === 'absent') return null;
+      if (leader.kind === 'found') {
+        const { value, revision } = leader.item;
+        return this.isOwnClaim(value, lease) ? (revision as number as FencingToken) : null;
       }
       await sleep(this.jitter.around(RETRY_MS.claimReadBack));
     }
--- a/src/service/leader-lease.ts
+++ b/src/service/leader-lease.ts
@@ -48,8 +48,8 @@
   /** Asks the store for a lease; null when it grants none now. */
   static async acquire(options: LeaderLeaseOptions): Promise<LeaderLease | null> {
     const sentAt = steadyNow();
-    const id = await options.store.grantLease(options.leaseMs);
-    return typeof id === 'string' ? null : new LeaderLease(id, sentAt, options);
+    const result = await options.store.grantLease(options.leaseMs);
+    return result.kind === 'granted' ? new LeaderLease(result.lease, sentAt, options) : null;
   }
 
   /**
@@ -98,12 +98,12 @@
     const sentAt = steadyNow();
     const result = await this.options.store.renewLease(this.id);
     if (this.isOver) return 'ended';
-    if (result === 'gone') {
+    if (result.kind === 'lease-expired') {
       this.isOver = true;
       this.options.onExpired(this);
       return 'ended';
     }
-    if (result !== 'ok') return 'failed';
+    if (result.kind !== 'renewed') return 'failed';
     // While the lease lives, nobody else can have claimed the key that hangs on it. Answers may
     // come in any order: an older one must not shorten it.
     this.validUntil = Math.max(this.validUntil, this.validityFrom(sentAt)) as Instant;
--- a/src/service/machine-type-discovery.ts
+++ b/src/service/machine-type-discovery.ts
@@ -30,7 +30,7 @@
       const storedItem = this.readStored();
       const listed = await dependencies.cloud.listMachineTypes();
       if (listed) this.use(listed);
-      if (listed && this.fitsStore(listed) && (await storedItem) === 'absent')
+      if (listed && this.fitsStore(listed) && (await storedItem).kind === 'absent')
         await this.store(listed);
       await storedItem;
       if (!dependencies.machineTypes) await sleep(dependencies.jitter.around(RETRY_MS));
@@ -43,10 +43,10 @@
   }
 
   private async readStored() {
-    const item = await this.dependencies.store.get(MACHINE_TYPES_KEY);
-    const types = typeof item === 'object' ? decodeMachineTypes(item.value) : null;
+    const stored = await this.dependencies.store.get(MACHINE_TYPES_KEY);
+    const types = stored.kind === 'found' ? decodeMachineTypes(stored.item.value) : null;
     if (types && !this.dependencies.machineTypes) this.use(types);
-    return item;
+    return stored;
   }
 
   /** Types that are larger than a value may be are left out: the cloud tells them too. */
--- a/src/service/ports/key-value-store.ts
+++ b/src/service/ports/key-value-store.ts
@@ -8,7 +8,7 @@
 export type LeaseId = number & { readonly __lease: unique symbol };
 
 /** refused: surely not executed; unknown: it may have been, or may yet be. */
-export type StoreFailure = 'refused' | 'unknown';
+export type StoreFailure = { readonly kind: 'refused' } | { readonly kind: 'unknown' };
 
 /** A key as it is stored; the revision is that of its last change. */
 export interface StoredItem {
@@ -17,22 +17,29 @@
   readonly revision: Revision;
 }
 
+/** A read of one key. */
+export type GetResult =
+  | { readonly kind: 'found'; readonly item: StoredItem }
+  | { readonly kind: 'absent' }
+  | StoreFailure;
+
 /** All keys under a prefix; a watch from the revision on misses no later change. */
-export interface StoredItems {
-  readonly items: StoredItem[];
-  readonly revision: Revision;
-}
+export type ListResult =
+  | { readonly kind: 'listed'; readonly items: StoredItem[]; readonly revision: Revision }
+  | StoreFailure;
 
 /** One change of a key, at its revision. */
 export type Change =
   | { readonly key: string; readonly value: unknown; readonly revision: Revision }
   | { readonly key: string; readonly deleted: true; readonly revision: Revision };
 
-/** Changes in their order, and the revision to watch from next. */
-export interface Changes {
-  readonly revision: Revision;
-  readonly changes: Change[];
-}
+/** How a watch ended. */
+export type WatchResult =
+  /** The changes in their order, none if none came in time; and the revision to watch from next. */
+  | { readonly kind: 'changes'; readonly revision: Revision; readonly changes: Change[] }
+  /** The store cannot tell the changes any more: the keys must be listed again. */
+  | { readonly kind: 'too-old' }
+  | StoreFailure;
 
 /** One change of a compare-and-swap. A key that is put under a lease goes when that expires. */
 export type Mutation =
@@ -45,13 +52,34 @@
   readonly revision: Revision;
 }
 
+/** How a compare-and-swap ended. Only `committed`, and perhaps `unknown`, changed anything. */
+export type CompareAndSwapResult =
+  /** The revision is that of all its changes. */
+  | { readonly kind: 'committed'; readonly revision: Revision }
+  /** A precondition does not hold. */
+  | { readonly kind: 'conflict' }
+  /** A lease that it names has expired. */
+  | { readonly kind: 'lease-expired' }
+  /** The store takes no request of its size, or no value of one of its sizes. */
+  | { readonly kind: 'too-large' }
+  | StoreFailure;
+
+/** How the request for a lease ended. */
+export type LeaseGrantResult = { readonly kind: 'granted'; readonly lease: LeaseId } | StoreFailure;
+
+/** How the renewal of a lease ended. */
+export type LeaseRenewalResult =
+  | { readonly kind: 'renewed' }
+  | { readonly kind: 'lease-expired' }
+  | StoreFailure;
+
 /** The store, within this node's share of its limits. No operation throws for what it does. */
 export interface KeyValueStore {
   /** The store did not answer this node, and has not since: a request need not wait to learn it. */
   readonly isDown: boolean;
-  get(key: string): Promise<StoredItem | 'absent' | StoreFailure>;
+  get(key: string): Promise<GetResult>;
   /** All keys under a prefix, in pages. */
-  listAll(prefix: string): Promise<StoredItems | StoreFailure>;
+  listAll(prefix: string): Promise<ListResult>;
   /**
    * Applies all mutations if all preconditions hold. Waits up to `maxWaitMs` for the rate, and up
    * to `timeoutMs` for the answer.
@@ -61,17 +89,13 @@
     mutations: readonly Mutation[],
     maxWaitMs?: number,
     timeoutMs?: number,
-  ): Promise<{ revision: Revision } | 'conflict' | 'expired' | 'too-large' | StoreFailure>;
+  ): Promise<CompareAndSwapResult>;
   /** A new lease that expires `lifeMs` after its grant or its last renewal. */
-  grantLease(lifeMs: number): Promise<LeaseId | StoreFailure>;
-  renewLease(lease: LeaseId): Promise<'ok' | 'gone' | StoreFailure>;
+  grantLease(lifeMs: number): Promise<LeaseGrantResult>;
+  renewLease(lease: LeaseId): Promise<LeaseRenewalResult>;
   revokeLease(lease: LeaseId): Promise<void>;
   /** Changes under a prefix since a revision; waits up to `holdMs` for the first. */
-  watch(
-    prefix: string,
-    since: Revision,
-    holdMs: number,
-  ): Promise<Changes | 'too-old' | StoreFailure>;
+  watch(prefix: string, since: Revision, holdMs: number): Promise<WatchResult>;
   /** From now on this many times its share of the store's write rate. */
   scaleWrites(scale: number): void;
   close(): void;
--- a/src/service/store-listing.ts
+++ b/src/service/store-listing.ts
@@ -22,7 +22,7 @@
 ): Promise<StoreListing | null> => {
   while (term.isCurrent) {
     const listing = await batchStore.listAll(prefix);
-    if (typeof listing === 'object') return listing;
+    if (listing.kind === 'listed') return listing;
     await sleep(jitter.around(RETRY_MS));
   }
   return null;
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -53,20 +53,23 @@
       get: () =>
         this.carryOut(() =>
           this.key
-            ? { key: 'leader', value: this.key.value, revision: this.key.revision }
-            : 'absent',
+            ? {
+                kind: 'found',
+                item: { key: 'leader', value: this.key.value, revision: this.key.revision },
+              }
+            : { kind: 'absent' },
         ),
       grantLease: (lifeMs: number) =>
         this.carryOut(() => {
           const lease = this.nextLease++;
           this.leaseEnds.set(lease, steadyNow() + lifeMs);
-          return lease;
+          return { kind: 'granted', lease };
         }),
       renewLease: (lease: LeaseId) =>
         this.carryOut(() => {
-          if (!this.leaseEnds.has(lease)) return 'gone';
+          if (!this.leaseEnds.has(lease)) return { kind: 'lease-expired' };
           this.leaseEnds.set(lease, steadyNow() + LEASE_MS);
-          return 'ok';
+          return { kind: 'renewed' };
         }),
       revokeLease: (lease: LeaseId) =>
         this.carryOut(() => {
@@ -77,10 +80,10 @@
         this.carryOut(() => {
           const write = writes[0]!;
           if (!('put' in write) || preconditions[0]!.revision !== (this.key?.revision ?? 0))
-            return 'conflict';
-          if (!this.leaseEnds.has(write.lease!)) return 'expired';
+            return { kind: 'conflict' };
+          if (!this.leaseEnds.has(write.lease!)) return { kind: 'lease-expired' };
           this.writeLeaderKey({ value: write.value, lease: write.lease! });
-          return { revision: this.revision as Revision };
+          return { kind: 'committed', revision: this.revision as Revision };
         }),
       watch: (_: string, since: Revision, holdMs: number) =>
         this.carryOut(async () => {
@@ -91,7 +94,7 @@
             ]);
             this.expireLeases();
           }
-          return { revision: this.revision, changes: [] };
+          return { kind: 'changes', revision: this.revision, changes: [] };
         }),
     } as unknown as KeyValueStore;
   }
--- a/test/extensions.test.ts
+++ b/test/extensions.test.ts
@@ -206,7 +206,7 @@
       isDown: false,
       compareAndSwap: async (guards: unknown, writes: unknown) => {
         sent.push({ guards, writes });
-        return { revision: 9 };
+        return { kind: 'committed', revision: 9 };
       },
     };
     const jitter = { around: (ms: number) => ms };
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -156,6 +156,6 @@
     const at = parseEndpoint(`127.0.0.1:${(server.address() as AddressInfo).port}`);
     const state = new KeyValueStoreClient(at, { ...rates, lowered: rates });
     cleanups.push(() => state.close());
-    expect(await state.watch('j/', 1 as Revision, 100)).toBe('too-old');
+    expect(await state.watch('j/', 1 as Revision, 100)).toEqual({ kind: 'too-old' });
   });
 });
--- a/test/pinned-requests.test.ts
+++ b/test/pinned-requests.test.ts
@@ -104,9 +104,13 @@
       return [404, { method }];
     });
     const revision = (n: number) => n as Revision;
-    expect(await client.get('j/job-1')).toEqual({ key: 'j/job-1', value: { at: 1 }, revision: 5 });
-    expect(await client.get('j/job-2')).toBe('absent');
+    expect(await client.get('j/job-1')).toEqual({
+      kind: 'found',
+      item: { key: 'j/job-1', value: { at: 1 }, revision: 5 },
+    });
+    expect(await client.get('j/job-2')).toEqual({ kind: 'absent' });
     expect(await client.listAll('l/')).toEqual({
+      kind: 'listed',
       items: [
         { key: 'l/1/1', value: 'l/1/1', revision: 6 },
         { key: 'l/1/2', value: 'l/1/2', revision: 6 },
@@ -114,15 +118,19 @@
       revision: 9,
     });
     pins.check('pages of keys', sent.slice(2));
-    expect(await client.compareAndSwap([], [{ del: 'a' }])).toEqual({ revision: 11 });
-    expect(await client.compareAndSwap([], [{ del: 'taken' }])).toBe('conflict');
-    expect(await client.compareAndSwap([], [{ del: 'ended' }])).toBe('expired');
-    expect(await client.compareAndSwap([], [{ del: 'large' }])).toBe('too-large');
-    expect(await client.grantLease(3000)).toBe(7);
-    expect(await client.renewLease(LEASE)).toBe('ok');
-    expect(await client.renewLease(8 as LeaseId)).toBe('gone');
-    expect(await client.watch('old', revision(1), 10)).toBe('too-old');
+    expect(await client.compareAndSwap([], [{ del: 'a' }])).toEqual({
+      kind: 'committed',
+      revision: 11,
+    });
+    expect(await client.compareAndSwap([], [{ del: 'taken' }])).toEqual({ kind: 'conflict' });
+    expect(await client.compareAndSwap([], [{ del: 'ended' }])).toEqual({ kind: 'lease-expired' });
+    expect(await client.compareAndSwap([], [{ del: 'large' }])).toEqual({ kind: 'too-large' });
+    expect(await client.grantLease(3000)).toEqual({ kind: 'granted', lease: 7 });
+    expect(await client.renewLease(LEASE)).toEqual({ kind: 'renewed' });
+    expect(await client.renewLease(8 as LeaseId)).toEqual({ kind: 'lease-expired' });
+    expect(await client.watch('old', revision(1), 10)).toEqual({ kind: 'too-old' });
     expect(await client.watch('leader', revision(1), 10)).toEqual({
+      kind: 'changes',
       revision: 13,
       changes: [
         { key: 'leader', value: { node: 'node-1' }, revision: 12 },
--- a/test/service-jobs.test.ts
+++ b/test/service-jobs.test.ts
@@ -154,13 +154,13 @@
     const most = async () => {
       now += 1000;
       let out = 0;
-      while (typeof (await write()) === 'object') out += 1;
+      while ((await write()).kind === 'committed') out += 1;
       return out;
     };
     expect(await most()).toBe(8);
     state.limited = true;
     now += 1000;
-    expect(await write()).toBe('refused');
+    expect(await write()).toEqual({ kind: 'refused' });
     state.limited = false;
     expect(client.isLowered).toBe(true);
     for (let i = 0; i < 3; i += 1) expect(await most()).toBe(4);
