--- a/src/adapters/http/answers.ts
+++ b/src/adapters/http/answers.ts
@@ -3,8 +3,8 @@
  * on the words.
  */
 import type { OperatorAnswer } from '../../core/extensions/extension.js';
-import type { HeartbeatDecision } from '../../service/ports/heartbeat-service.js';
-import type { ListResult, LookupResult, SubmissionResult } from '../../service/ports/user-api.js';
+import type { HeartbeatDecision } from '../../ports/heartbeat-service.js';
+import type { ListResult, LookupResult, SubmissionResult } from '../../ports/user-api.js';
 import { encodeJobView } from '../wire/jobs.js';
 import { encodeWorkerCommands } from '../wire/workers.js';
 
--- a/src/adapters/http/api-server.ts
+++ b/src/adapters/http/api-server.ts
@@ -1,7 +1,7 @@
 /** The HTTP server of one controller: its connections and their limits. */
 import { type RequestListener, Server } from 'node:http';
 import type { Socket } from 'node:net';
-import type { ControllerApi } from '../../service/ports/controller-api.js';
+import type { ControllerApi } from '../../ports/controller-api.js';
 import type { Settings } from '../configuration/settings.js';
 import type { Log } from '../logging/log.js';
 import { RETRY_AFTER_S, UNAVAILABLE_STATUS } from './answers.js';
--- a/src/adapters/http/api.ts
+++ b/src/adapters/http/api.ts
@@ -1,6 +1,6 @@
 /** The HTTP interface of one controller: its routes, and what is answered when none or all fail. */
 import { Hono } from 'hono';
-import type { ControllerApi } from '../../service/ports/controller-api.js';
+import type { ControllerApi } from '../../ports/controller-api.js';
 import type { Log } from '../logging/log.js';
 import { answerHealthCheck, NO_SUCH_PATH, UNEXPECTED_ERROR } from './answers.js';
 import type { HeartbeatHandler } from './heartbeat-connections.js';
--- a/src/adapters/http/heartbeat-handler.ts
+++ b/src/adapters/http/heartbeat-handler.ts
@@ -1,5 +1,5 @@
 /** Workers' heartbeats: from the body of a request to what the worker is answered. */
-import type { HeartbeatService } from '../../service/ports/heartbeat-service.js';
+import type { HeartbeatService } from '../../ports/heartbeat-service.js';
 import { type Log, Once } from '../logging/log.js';
 import { HeartbeatParser } from '../workers/heartbeat-parser.js';
 import {
--- a/src/adapters/http/job-routes.ts
+++ b/src/adapters/http/job-routes.ts
@@ -1,7 +1,7 @@
 /** Users' routes: submission, queries and cancellation of jobs. */
 import type { Context, Hono } from 'hono';
 import type { JobId, TeamName } from '../../core/model/ids.js';
-import type { LookupResult, UserApi } from '../../service/ports/user-api.js';
+import type { LookupResult, UserApi } from '../../ports/user-api.js';
 import type { Log } from '../logging/log.js';
 import { steadyNow } from '../runtime/clock.js';
 import { parseJob, parseJobId } from '../wire/jobs.js';
--- a/src/adapters/http/operator-routes.ts
+++ b/src/adapters/http/operator-routes.ts
@@ -1,7 +1,7 @@
 /** Operators' routes: those that enabled extensions declare. */
 import type { Context, Hono } from 'hono';
 import type { ExtensionModule, ExtensionRoute } from '../../core/extensions/extension.js';
-import type { OperatorApi } from '../../service/ports/operator-api.js';
+import type { OperatorApi } from '../../ports/operator-api.js';
 import { answerOperatorCall, badRequest, type HttpAnswer } from './answers.js';
 import { type NodeEnv, sendAnswer } from './hono-listener.js';
 import { type JsonBody, readOptionalJsonBody } from './request-body.js';
--- a/src/adapters/key-value-store/key-value-store-client.ts
+++ b/src/adapters/key-value-store/key-value-store-client.ts
@@ -13,7 +13,7 @@
   StoredItem,
   StoreFailure,
   WatchResult,
-} from '../../service/ports/key-value-store.js';
+} from '../../ports/key-value-store.js';
 import type { Endpoint } from '../configuration/settings.js';
 import type { Reply } from '../outbound/http-client.js';
 import {
--- a/src/adapters/key-value-store/store-codec.ts
+++ b/src/adapters/key-value-store/store-codec.ts
@@ -8,7 +8,7 @@
   Precondition,
   StoredItem,
   WatchResult,
-} from '../../service/ports/key-value-store.js';
+} from '../../ports/key-value-store.js';
 
 const revision = v.pipe(v.number(), v.integer(), v.minValue(0));
 
--- a/src/adapters/peers/peer-client.ts
+++ b/src/adapters/peers/peer-client.ts
@@ -1,7 +1,7 @@
 /** Asks another controller, over one connection that is opened when there is a question. */
 import { Socket } from 'node:net';
 import type { NodeId } from '../../core/model/ids.js';
-import type { Peer, PeerQuestion } from '../../service/ports/peer.js';
+import type { Peer, PeerQuestion } from '../../ports/peer.js';
 import type { Endpoint } from '../configuration/settings.js';
 import { steadyNow } from '../runtime/clock.js';
 import { encodeFrame, FrameDecoder } from './frames.js';
--- a/src/adapters/peers/peer-server.ts
+++ b/src/adapters/peers/peer-server.ts
@@ -1,6 +1,6 @@
 /** Answers the questions of other controllers. */
 import { createServer, type Server, type Socket } from 'node:net';
-import type { AnswerPeer } from '../../service/ports/peer.js';
+import type { AnswerPeer } from '../../ports/peer.js';
 import type { Endpoint } from '../configuration/settings.js';
 import { encodeFrame, FrameDecoder } from './frames.js';
 import { encodeAnswer, parseQuestion } from './question-codec.js';
--- a/src/adapters/peers/question-codec.ts
+++ b/src/adapters/peers/question-codec.ts
@@ -1,6 +1,6 @@
 /** Questions and answers between controllers as they are sent: each pair shares a number `n`. */
 import * as v from 'valibot';
-import type { PeerQuestion } from '../../service/ports/peer.js';
+import type { PeerQuestion } from '../../ports/peer.js';
 
 const sequenceNumber = v.pipe(v.number(), v.integer());
 const jobId = v.pipe(v.string(), v.regex(/^job-\d{1,18}$/));
--- a/src/adapters/wire/jobs.ts
+++ b/src/adapters/wire/jobs.ts
@@ -8,7 +8,7 @@
   ZoneName,
 } from '../../core/model/ids.js';
 import type { JobShape, JobSpec } from '../../core/model/job.js';
-import type { JobView } from '../../service/ports/user-api.js';
+import type { JobView } from '../../ports/user-api.js';
 import { amount, label } from './schemas.js';
 
 /** The wire's name of each field of a job. */
--- a/src/service/ports/controller-api.ts
+++ b/src/ports/controller-api.ts
@@ -1,5 +1,5 @@
 /** Everything that the HTTP adapter calls on a controller. */
-import type { ExtensionModule } from '../../core/extensions/extension.js';
+import type { ExtensionModule } from '../core/extensions/extension.js';
 import type { HealthCheck } from './health-check.js';
 import type { HeartbeatService } from './heartbeat-service.js';
 import type { OperatorApi } from './operator-api.js';
--- a/src/service/ports/heartbeat-service.ts
+++ b/src/ports/heartbeat-service.ts
@@ -1,7 +1,7 @@
 /** What the service offers to the adapter that receives workers' heartbeats. */
-import type { Heartbeat } from '../../core/model/heartbeat.js';
-import type { FencingToken, NodeId } from '../../core/model/ids.js';
-import type { WorkerCommand } from '../../core/model/worker-command.js';
+import type { Heartbeat } from '../core/model/heartbeat.js';
+import type { FencingToken, NodeId } from '../core/model/ids.js';
+import type { WorkerCommand } from '../core/model/worker-command.js';
 
 /** How a heartbeat is answered; the adapter maps each kind to a response of the protocol. */
 export type HeartbeatDecision =
--- a/src/service/ports/key-value-store.ts
+++ b/src/ports/key-value-store.ts
@@ -2,7 +2,7 @@
  * What the service needs of the consensus-backed key-value store: revisions of keys, compare-and-
  * swap over several keys, leases and watches.
  */
-import type { Revision } from '../../core/model/ids.js';
+import type { Revision } from '../core/model/ids.js';
 
 /** Names a lease of the store; keys that hang on it go when it expires. */
 export type LeaseId = number & { readonly __lease: unique symbol };
--- a/src/service/ports/operator-api.ts
+++ b/src/ports/operator-api.ts
@@ -1,5 +1,5 @@
 /** What a controller offers to operators: calls to extensions. */
-import type { OperatorAnswer, OperatorCall } from '../../core/extensions/extension.js';
+import type { OperatorAnswer, OperatorCall } from '../core/extensions/extension.js';
 
 /** Passes operators' calls to an extension. */
 export interface OperatorApi {
--- a/src/service/ports/peer.ts
+++ b/src/ports/peer.ts
@@ -1,6 +1,6 @@
 /** What controllers ask one another, and how the service reaches a peer. */
-import type { OperatorCall } from '../../core/extensions/extension.js';
-import type { JobId, NodeId, TeamName } from '../../core/model/ids.js';
+import type { OperatorCall } from '../core/extensions/extension.js';
+import type { JobId, NodeId, TeamName } from '../core/model/ids.js';
 
 /**
  * A question to a peer. One that comes in may lack what it should name: it is answered, but with
--- a/src/service/ports/user-api.ts
+++ b/src/ports/user-api.ts
@@ -1,6 +1,6 @@
 /** What a controller offers to users: submission, queries and cancellation of jobs. */
-import type { JobId, TeamName } from '../../core/model/ids.js';
-import type { JobOutcome, JobShape, JobSpec } from '../../core/model/job.js';
+import type { JobId, TeamName } from '../core/model/ids.js';
+import type { JobOutcome, JobShape, JobSpec } from '../core/model/job.js';
 
 /** What users and peers are told of a job. */
 export interface JobView {
--- a/src/service/batch-writer.ts
+++ b/src/service/batch-writer.ts
@@ -5,8 +5,8 @@
 import type { RecordWrite } from '../core/model/extension-record.js';
 import type { FencingToken, Revision, SegmentKey } from '../core/model/ids.js';
 import type { StoreOperation } from '../core/model/ledger-record.js';
+import type { KeyValueStore, Mutation } from '../ports/key-value-store.js';
 import { GuardedWriter } from './guarded-writer.js';
-import type { KeyValueStore, Mutation } from './ports/key-value-store.js';
 import { type SegmentWrite, splitSegment } from './segment-splitting.js';
 import {
   completionKey,
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -12,6 +12,9 @@
 import type { FencingToken } from '../core/model/ids.js';
 import type { Policy } from '../core/model/policy.js';
 import type { Instant } from '../core/model/time.js';
+import type { ControllerApi } from '../ports/controller-api.js';
+import type { HeartbeatDecision } from '../ports/heartbeat-service.js';
+import type { PeerQuestion } from '../ports/peer.js';
 import { closeDependencies, createDependencies } from './create-dependencies.js';
 import type { Dependencies } from './dependencies.js';
 import { JobService } from './jobs/job-service.js';
@@ -21,9 +24,6 @@
 import { PeerMonitor } from './peers/peer-monitor.js';
 import { PeerRequestHandler } from './peers/peer-request-handler.js';
 import { requestOperatorCall } from './peers/peer-requests.js';
-import type { ControllerApi } from './ports/controller-api.js';
-import type { HeartbeatDecision } from './ports/heartbeat-service.js';
-import type { PeerQuestion } from './ports/peer.js';
 
 /** What a controller is started with. */
 export interface ControllerOptions {
--- a/src/service/dependencies.ts
+++ b/src/service/dependencies.ts
@@ -8,8 +8,8 @@
 import type { NodeId } from '../core/model/ids.js';
 import type { MachineType } from '../core/model/machine.js';
 import type { Policy } from '../core/model/policy.js';
-import type { KeyValueStore } from './ports/key-value-store.js';
-import type { Peer } from './ports/peer.js';
+import type { KeyValueStore } from '../ports/key-value-store.js';
+import type { Peer } from '../ports/peer.js';
 
 /** Made once for each controller; all but the machine types stays as it is. */
 export interface Dependencies {
--- a/src/service/guarded-writer.ts
+++ b/src/service/guarded-writer.ts
@@ -3,7 +3,7 @@
 import { sleep } from '../adapters/runtime/clock.js';
 import type { Jitter } from '../adapters/runtime/random.js';
 import type { FencingToken, Revision } from '../core/model/ids.js';
-import type { KeyValueStore, Mutation, Precondition } from './ports/key-value-store.js';
+import type { KeyValueStore, Mutation, Precondition } from '../ports/key-value-store.js';
 import { COMPLETION_PREFIX, LEADER_KEY } from './stored-records.js';
 
 /** The revision of a key that is not there. */
--- a/src/service/job-intake.ts
+++ b/src/service/job-intake.ts
@@ -4,7 +4,7 @@
 import { fromTimeOfDay } from '../adapters/runtime/clock.js';
 import type { Command } from '../core/model/command.js';
 import type { Revision } from '../core/model/ids.js';
-import type { StoredItem } from './ports/key-value-store.js';
+import type { StoredItem } from '../ports/key-value-store.js';
 import { decodeJob, type JobRecord, jobKey } from './stored-records.js';
 import type { WriteShare } from './write-share.js';
 
--- a/src/service/job-watch.ts
+++ b/src/service/job-watch.ts
@@ -2,10 +2,10 @@
 
 import { sleep } from '../adapters/runtime/clock.js';
 import type { Revision } from '../core/model/ids.js';
+import type { Change, StoredItem } from '../ports/key-value-store.js';
 import type { CommandLoop } from './command-loop.js';
 import type { Dependencies } from './dependencies.js';
 import type { JobIntake } from './job-intake.js';
-import type { Change, StoredItem } from './ports/key-value-store.js';
 import { listPrefix } from './store-listing.js';
 import { JOB_PREFIX } from './stored-records.js';
 import type { TermContext } from './term-context.js';
--- a/src/service/jobs/cancellation-service.ts
+++ b/src/service/jobs/cancellation-service.ts
@@ -1,10 +1,10 @@
 /** Cancellation of jobs. The leader alone stores ends; a cancelled job is told of once stored. */
 import type { JobId } from '../../core/model/ids.js';
+import type { LookupResult } from '../../ports/user-api.js';
 import type { Dependencies } from '../dependencies.js';
 import type { LeaderTerm } from '../leader-term.js';
 import type { PeerMonitor } from '../peers/peer-monitor.js';
 import { requestCancellation } from '../peers/peer-requests.js';
-import type { LookupResult } from '../ports/user-api.js';
 import { jobKey } from '../stored-records.js';
 import type { CompletionCache } from './completion-cache.js';
 import type { JobQueryService } from './job-query-service.js';
--- a/src/service/jobs/completion-cache.ts
+++ b/src/service/jobs/completion-cache.ts
@@ -3,7 +3,7 @@
  * without asking; nothing else about a job may be told from memory.
  */
 import type { JobId } from '../../core/model/ids.js';
-import type { JobView } from '../ports/user-api.js';
+import type { JobView } from '../../ports/user-api.js';
 import type { JobCompletion } from '../stored-records.js';
 import { viewOfCompletion } from './job-views.js';
 
--- a/src/service/jobs/job-query-service.ts
+++ b/src/service/jobs/job-query-service.ts
@@ -5,6 +5,7 @@
 import { steadyNow } from '../../adapters/runtime/clock.js';
 import { explainJob, viewJob } from '../../core/lifecycle/job-view.js';
 import type { JobId, TeamName } from '../../core/model/ids.js';
+import type { ExplainResult, JobView, ListResult, LookupResult } from '../../ports/user-api.js';
 import type { Dependencies } from '../dependencies.js';
 import type { LeaderTerm } from '../leader-term.js';
 import type { PeerMonitor } from '../peers/peer-monitor.js';
@@ -14,7 +15,6 @@
   requestJobView,
   requestLookup,
 } from '../peers/peer-requests.js';
-import type { ExplainResult, JobView, ListResult, LookupResult } from '../ports/user-api.js';
 import { completionKey, decodeCompletion, decodeJob, jobKey } from '../stored-records.js';
 import type { CompletionCache } from './completion-cache.js';
 import { STORE_UNAVAILABLE, viewOfAcceptedJob, viewOfCompletion } from './job-views.js';
--- a/src/service/jobs/job-service.ts
+++ b/src/service/jobs/job-service.ts
@@ -1,8 +1,5 @@
 /** Users' requests at one controller: submission, queries and cancellation. */
 import type { JobId, TeamName } from '../../core/model/ids.js';
-import type { Dependencies } from '../dependencies.js';
-import type { LeaderTerm } from '../leader-term.js';
-import type { PeerMonitor } from '../peers/peer-monitor.js';
 import type {
   ExplainResult,
   ListResult,
@@ -10,7 +7,10 @@
   SubmissionRequest,
   SubmissionResult,
   UserApi,
-} from '../ports/user-api.js';
+} from '../../ports/user-api.js';
+import type { Dependencies } from '../dependencies.js';
+import type { LeaderTerm } from '../leader-term.js';
+import type { PeerMonitor } from '../peers/peer-monitor.js';
 import { CancellationService } from './cancellation-service.js';
 import { CompletionCache } from './completion-cache.js';
 import { JobQueryService } from './job-query-service.js';
--- a/src/service/jobs/job-views.ts
+++ b/src/service/jobs/job-views.ts
@@ -1,7 +1,7 @@
 /** Views of jobs made from stored records, for nodes that do not hold the leader's state. */
 import type { JobId } from '../../core/model/ids.js';
 import type { JobSpec } from '../../core/model/job.js';
-import type { JobView, LookupResult } from '../ports/user-api.js';
+import type { JobView, LookupResult } from '../../ports/user-api.js';
 import type { JobCompletion } from '../stored-records.js';
 
 /** What users are told when neither the leader nor the key-value store answers. */
--- a/src/service/jobs/submission-service.ts
+++ b/src/service/jobs/submission-service.ts
@@ -2,13 +2,17 @@
 
 import { sleep } from '../../adapters/runtime/clock.js';
 import type { JobId, Revision } from '../../core/model/ids.js';
+import type { CompareAndSwapResult, Mutation, Precondition } from '../../ports/key-value-store.js';
+import type { Peer } from '../../ports/peer.js';
+import type {
+  SubmissionRefusal,
+  SubmissionRequest,
+  SubmissionResult,
+} from '../../ports/user-api.js';
 import type { Dependencies } from '../dependencies.js';
 import type { LeaderTerm } from '../leader-term.js';
 import type { PeerMonitor } from '../peers/peer-monitor.js';
 import { requestAdmission } from '../peers/peer-requests.js';
-import type { CompareAndSwapResult, Mutation, Precondition } from '../ports/key-value-store.js';
-import type { Peer } from '../ports/peer.js';
-import type { SubmissionRefusal, SubmissionRequest, SubmissionResult } from '../ports/user-api.js';
 import { completionKey, encodeJob, type JobRecord, jobKey } from '../stored-records.js';
 import type { JobQueryService } from './job-query-service.js';
 import { STORE_UNAVAILABLE, viewOfAcceptedJob } from './job-views.js';
--- a/src/service/leader-election.ts
+++ b/src/service/leader-election.ts
@@ -19,8 +19,8 @@
 import type { Jitter } from '../adapters/runtime/random.js';
 import type { FencingToken, NodeId, Revision } from '../core/model/ids.js';
 import type { Instant } from '../core/model/time.js';
+import type { KeyValueStore, LeaseId, Mutation } from '../ports/key-value-store.js';
 import { LeaderLease } from './leader-lease.js';
-import type { KeyValueStore, LeaseId, Mutation } from './ports/key-value-store.js';
 import { decodeLeader, LEADER_KEY } from './stored-records.js';
 
 /** How long one watch of the leader key is held open, in milliseconds. */
--- a/src/service/leader-lease.ts
+++ b/src/service/leader-lease.ts
@@ -6,7 +6,7 @@
 import { sleep, steadyNow } from '../adapters/runtime/clock.js';
 import type { Jitter } from '../adapters/runtime/random.js';
 import type { Instant } from '../core/model/time.js';
-import type { KeyValueStore, LeaseId } from './ports/key-value-store.js';
+import type { KeyValueStore, LeaseId } from '../ports/key-value-store.js';
 
 /** Clocks of this node and the store may drift apart by this share of the lease. */
 const CLOCK_DRIFT = 0.001;
--- a/src/service/peers/peer-messages.ts
+++ b/src/service/peers/peer-messages.ts
@@ -6,7 +6,7 @@
 import * as v from 'valibot';
 import type { OperatorAnswer } from '../../core/extensions/extension.js';
 import type { FencingToken, JobId, NodeId } from '../../core/model/ids.js';
-import type { JobView, LookupResult, SubmissionResult } from '../ports/user-api.js';
+import type { JobView, LookupResult, SubmissionResult } from '../../ports/user-api.js';
 
 // ---- jobs ------------------------------------------------------------------------------------
 
--- a/src/service/peers/peer-monitor.ts
+++ b/src/service/peers/peer-monitor.ts
@@ -6,10 +6,10 @@
 import { sleep, steadyNow } from '../../adapters/runtime/clock.js';
 import type { MachineId } from '../../core/model/ids.js';
 import type { Instant } from '../../core/model/time.js';
+import type { Peer } from '../../ports/peer.js';
 import type { Dependencies } from '../dependencies.js';
 import type { LeaderElection } from '../leader-election.js';
 import type { LeaderTerm } from '../leader-term.js';
-import type { Peer } from '../ports/peer.js';
 import type { HeartbeatCoverage } from '../worker-heartbeats.js';
 import type { PeerHealth } from './peer-messages.js';
 import { requestHealth } from './peer-requests.js';
--- a/src/service/peers/peer-request-handler.ts
+++ b/src/service/peers/peer-request-handler.ts
@@ -2,12 +2,12 @@
 
 import type { OperatorAnswer } from '../../core/extensions/extension.js';
 import type { JobId } from '../../core/model/ids.js';
+import type { PeerQuestion } from '../../ports/peer.js';
+import type { JobView } from '../../ports/user-api.js';
 import type { Dependencies } from '../dependencies.js';
 import type { JobService } from '../jobs/job-service.js';
 import { STORE_UNAVAILABLE } from '../jobs/job-views.js';
 import type { LeaderTerm } from '../leader-term.js';
-import type { PeerQuestion } from '../ports/peer.js';
-import type { JobView } from '../ports/user-api.js';
 import { decodeJob } from '../stored-records.js';
 import { encodeAdmission, encodeHealth, encodeLookup } from './peer-messages.js';
 import type { PeerMonitor } from './peer-monitor.js';
--- a/src/service/peers/peer-requests.ts
+++ b/src/service/peers/peer-requests.ts
@@ -2,8 +2,8 @@
 
 import type { OperatorAnswer, OperatorCall } from '../../core/extensions/extension.js';
 import type { JobId, TeamName } from '../../core/model/ids.js';
-import type { Peer } from '../ports/peer.js';
-import type { JobView, LookupResult, SubmissionResult } from '../ports/user-api.js';
+import type { Peer } from '../../ports/peer.js';
+import type { JobView, LookupResult, SubmissionResult } from '../../ports/user-api.js';
 import { encodeJob, type JobRecord } from '../stored-records.js';
 import {
   decodeAdmission,
--- a/src/service/state-recovery.ts
+++ b/src/service/state-recovery.ts
@@ -7,9 +7,9 @@
 import type { Command } from '../core/model/command.js';
 import type { ExtensionRecord } from '../core/model/extension-record.js';
 import type { Revision, SegmentKey } from '../core/model/ids.js';
+import type { StoredItem } from '../ports/key-value-store.js';
 import type { Dependencies } from './dependencies.js';
 import type { JobIntake } from './job-intake.js';
-import type { StoredItem } from './ports/key-value-store.js';
 import { listPrefix } from './store-listing.js';
 import {
   decodeSegment,
--- a/src/service/store-listing.ts
+++ b/src/service/store-listing.ts
@@ -2,8 +2,8 @@
 
 import { sleep } from '../adapters/runtime/clock.js';
 import type { Revision } from '../core/model/ids.js';
+import type { StoredItem } from '../ports/key-value-store.js';
 import type { Dependencies } from './dependencies.js';
-import type { StoredItem } from './ports/key-value-store.js';
 import type { TermContext } from './term-context.js';
 
 const RETRY_MS = 200;
--- a/src/service/worker-heartbeats.ts
+++ b/src/service/worker-heartbeats.ts
@@ -6,9 +6,9 @@
 import type { MachineId } from '../core/model/ids.js';
 import { type Instant, seconds } from '../core/model/time.js';
 import type { WorkerCommand } from '../core/model/worker-command.js';
+import type { HeartbeatDecision } from '../ports/heartbeat-service.js';
 import type { CommandLoop } from './command-loop.js';
 import type { LeaderElection } from './leader-election.js';
-import type { HeartbeatDecision } from './ports/heartbeat-service.js';
 import type { TermContext } from './term-context.js';
 import type { TermReplies } from './term-replies.js';
 
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -4,13 +4,13 @@
 import { steadyNow } from '../src/adapters/runtime/clock.js';
 import { Jitter } from '../src/adapters/runtime/random.js';
 import type { FencingToken, NodeId, Revision } from '../src/core/model/ids.js';
-import { LeaderElection } from '../src/service/leader-election.js';
 import type {
   KeyValueStore,
   LeaseId,
   Mutation,
   Precondition,
-} from '../src/service/ports/key-value-store.js';
+} from '../src/ports/key-value-store.js';
+import { LeaderElection } from '../src/service/leader-election.js';
 
 const LEASE_MS = 3000;
 
--- a/test/heartbeat-http.test.ts
+++ b/test/heartbeat-http.test.ts
@@ -9,7 +9,7 @@
 import { makeHeartbeatHandler } from '../src/adapters/http/heartbeat-handler.js';
 import { HeartbeatParser, parseHeartbeat } from '../src/adapters/workers/heartbeat-parser.js';
 import type { Heartbeat } from '../src/core/model/heartbeat.js';
-import type { ControllerApi } from '../src/service/ports/controller-api.js';
+import type { ControllerApi } from '../src/ports/controller-api.js';
 import { post } from './stand-ins/cloud.js';
 import { cleanUp, cleanups, freePort, log, until } from './stand-ins/cluster.js';
 import { settingsText } from './stand-ins/settings.js';
--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -1,6 +1,7 @@
 /** The messages between controllers: their names on the link, and what counts as no answer. */
 import { describe, expect, it } from 'vitest';
 import type { FencingToken, JobId, NodeId, TeamName } from '../src/core/model/ids.js';
+import type { JobView, SubmissionResult } from '../src/ports/user-api.js';
 import {
   decodeAdmission,
   decodeHealth,
@@ -11,7 +12,6 @@
   encodeHealth,
   encodeLookup,
 } from '../src/service/peers/peer-messages.js';
-import type { JobView, SubmissionResult } from '../src/service/ports/user-api.js';
 
 const id = 'job-7' as JobId;
 const otherId = 'job-8' as JobId;
--- a/test/pinned-requests.test.ts
+++ b/test/pinned-requests.test.ts
@@ -22,7 +22,7 @@
 } from '../src/core/model/ids.js';
 import type { ListedMachine } from '../src/core/model/machine.js';
 import type { WorkerCommand } from '../src/core/model/worker-command.js';
-import type { LeaseId } from '../src/service/ports/key-value-store.js';
+import type { LeaseId } from '../src/ports/key-value-store.js';
 import { pinsIn } from './fixtures/pins.js';
 import { cleanUp, cleanups, until } from './stand-ins/cluster.js';
 import { recordingServer } from './stand-ins/recording-server.js';
