--- a/src/core/apply-commands.ts
+++ b/src/core/apply-commands.ts
@@ -1,4 +1,9 @@
-/** The core's one entry: commands in, effects out. No input or output, no clock, no randomness. */
+/**
+ * The core's one entry: commands in, effects out. No input or output, no clock, no randomness.
+ *
+ * A step applies the commands; then a leader ticks its fleet, runs a scheduling round and builds
+ * the next batch to store; last, heartbeats are replied to.
+ */
 
 import type { CoreState } from './core-state.js';
 import { manageFleet } from './fleet/fleet-management.js';
@@ -13,24 +18,44 @@
 import { recoverAttempts, recoverProgress } from './ledger/recovery.js';
 import { markSegmentIfObsolete } from './ledger/segments.js';
 import { reconcileHeartbeat } from './lifecycle/heartbeat-reconciliation.js';
-import { addJob, cancelJob } from './lifecycle/jobs.js';
-import {
-  belongsToEndedJob,
-  dispatchKills,
-  replyToHeartbeats,
-} from './lifecycle/worker-commands.js';
+import { replyToHeartbeats } from './lifecycle/heartbeat-replies.js';
+import { cancelJob } from './lifecycle/job-cancellation.js';
+import { completeJobIfAllDone } from './lifecycle/job-completion.js';
+import { addJob } from './lifecycle/jobs.js';
+import { belongsToEndedJob, dispatchKills } from './lifecycle/worker-commands.js';
 import { allWorkerLeasesExpireAt } from './lifecycle/worker-leases.js';
 import { logEvent } from './log-event.js';
 import type { Command } from './model/command.js';
 import type { Authority, Effect } from './model/effect.js';
+import type { Placement } from './model/entities.js';
 import { addMillis, type Instant, type Millis } from './model/time.js';
-import { placeWaitingReplicas, type Round, runSchedulingRound } from './scheduling/backfill.js';
+import { placeWaitingReplicas, runSchedulingRound } from './scheduling/backfill.js';
 
 const TICK_MS = 500;
 /** Rounds without an event, so that scores that change with time alone take effect. */
 const ROUND_EVERY_MS = 2000;
+/** Heartbeat intervals that pass after recovery before placing: one interval at its longest. */
+const REPORT_WAIT_INTERVALS = 1.3;
+
+/**
+ * The ledger is read. Workers report first, before tasks are placed: otherwise, at a first start,
+ * whichever jobs arrive first take the few machines that are up, not those that rank best.
+ */
+const completeRecovery = (state: CoreState, now: Instant): void => {
+  state.isRecovered = true;
+  const waitMs = (state.config.heartbeatIntervalMs * REPORT_WAIT_INTERVALS) as Millis;
+  state.schedulingStartsAt =
+    state.unreadableSegments.size > 0 ? allWorkerLeasesExpireAt(state) : addMillis(now, waitMs);
+  for (const segment of [...state.segments.values()]) markSegmentIfObsolete(state, segment);
+  for (const job of state.jobs.values()) completeJobIfAllDone(state, job);
+};
 
-const apply = (state: CoreState, command: Command, now: Instant, effects: Effect[]): void => {
+const applyCommand = (
+  state: CoreState,
+  command: Command,
+  now: Instant,
+  effects: Effect[],
+): void => {
   switch (command.kind) {
     case 'job':
       return addJob(state, command.spec, command.submittedAt);
@@ -42,20 +67,7 @@
       state.unreadableSegments.add(command.segment);
       return;
     case 'recovery-completed':
-      state.isRecovered = true;
-      // One report period, at its longest, lets the workers speak first. (Without it at a first start, whichever
-      // jobs arrive first take the few machines that are up, not those that rank best.)
-      state.schedulingStartsAt = addMillis(now, (state.config.heartbeatIntervalMs * 1.3) as Millis);
-      if (state.unreadableSegments.size > 0)
-        state.schedulingStartsAt = allWorkerLeasesExpireAt(state);
-      for (const segment of [...state.segments.values()]) markSegmentIfObsolete(state, segment);
-      for (const job of state.jobs.values()) {
-        if (job.doneCount >= job.spec.tasks && job.terminalState === 'none') {
-          job.terminalState = 'done';
-          state.unsavedCompletions.add(job);
-        }
-      }
-      return;
+      return completeRecovery(state, now);
     case 'cancel-job':
       return cancelJob(state, command.job, command.ticket, now, effects);
     case 'heartbeat':
@@ -71,26 +83,77 @@
     case 'deletion-result':
       return handleDeletionResult(state, command, now);
     case 'extension-records':
-      state.extensions?.load(command.extension, command.records);
-      return;
+      return state.extensions?.load(command.extension, command.records);
     case 'operator-call':
-      state.extensions?.call(command.extension, command.call, command.ticket);
-      return;
+      return state.extensions?.call(command.extension, command.call, command.ticket);
     case 'tick':
       return;
+    default:
+      command satisfies never;
   }
 };
 
-const logPlaced = (state: CoreState, { placed }: Round, effects: Effect[]): void => {
-  if (placed.length === 0) return;
-  logEvent(effects, 'debug', 'placed', {
-    head: state.queueHead,
-    tasks: placed.map(
-      (placement) => `${placement.entry.job}/${placement.entry.index}@${placement.machine.id}`,
-    ),
+const isTickDue = (state: CoreState, now: Instant): boolean => now - state.lastTickAt >= TICK_MS;
+
+const runFleetTick = (state: CoreState, now: Instant, effects: Effect[]): void => {
+  state.lastTickAt = now;
+  effects.push(...manageFleet(state, now));
+  for (const machine of state.machines.values()) dispatchKills(machine, now, effects);
+};
+
+/** All that a leader without a valid lease sends by itself: see `belongsToEndedJob`. */
+const runKeepAliveTick = (state: CoreState, now: Instant, effects: Effect[]): void => {
+  state.lastTickAt = now;
+  for (const machine of state.machines.values())
+    dispatchKills(machine, now, effects, belongsToEndedJob);
+};
+
+const logPlacements = (
+  state: CoreState,
+  placements: readonly Placement[],
+  effects: Effect[],
+): void => {
+  if (placements.length === 0) return;
+  logEvent(effects, 'debug', 'tasks placed', {
+    queueHead: state.queueHead,
+    tasks: placements.map(({ entry, machine }) => `${entry.job}/${entry.index}@${machine.id}`),
   });
 };
 
+/** Whatever an unreadable ledger record held has ended by now, or its machine has reported it. */
+const discardUnreadableSegments = (state: CoreState): void => {
+  for (const key of state.unreadableSegments) state.obsoleteSegments.add(key);
+  state.unreadableSegments.clear();
+};
+
+/** Runs a round if one is due; while workers report first, replicas alone are placed. */
+const runScheduling = (state: CoreState, now: Instant, effects: Effect[]): void => {
+  if (now < state.schedulingStartsAt) {
+    // What an unreadable record held may be anywhere: a replica could run twice.
+    if (state.unreadableSegments.size === 0)
+      logPlacements(state, placeWaitingReplicas(state, now).placed, effects);
+    return;
+  }
+  if (!state.isRoundDue && now - state.lastRoundAt < ROUND_EVERY_MS) return;
+  state.isRoundDue = false;
+  state.lastRoundAt = now;
+  discardUnreadableSegments(state);
+  logPlacements(state, runSchedulingRound(state, now).placed, effects);
+};
+
+/** What a leader with a valid lease does in a step, once it knows the ledger. */
+const runLeaderPhases = (state: CoreState, now: Instant, effects: Effect[]): void => {
+  const isTick = isTickDue(state, now);
+  state.extensions?.decide(isTick);
+  if (isTick) runFleetTick(state, now, effects);
+  runScheduling(state, now, effects);
+  buildNextBatch(state, now, effects);
+};
+
+/**
+ * One step of the core: applies the commands and returns the effects to carry out, in order.
+ * `authority` bounds what may be decided: without a valid lease nothing is placed or stored.
+ */
 export const applyCommands = (
   state: CoreState,
   commands: readonly Command[],
@@ -99,33 +162,10 @@
 ): Effect[] => {
   const effects: Effect[] = [];
   state.extensions?.beginStep(now);
-  for (const command of commands) apply(state, command, now, effects);
-  if (authority === 'lead' && state.isRecovered) {
-    const tickDue = now - state.lastTickAt >= TICK_MS;
-    state.extensions?.decide(tickDue);
-    if (tickDue) {
-      state.lastTickAt = now;
-      effects.push(...manageFleet(state, now));
-      for (const machine of state.machines.values()) dispatchKills(machine, effects, now);
-    }
-    const due = state.isRoundDue || now - state.lastRoundAt >= ROUND_EVERY_MS;
-    if (due && now >= state.schedulingStartsAt) {
-      state.isRoundDue = false;
-      state.lastRoundAt = now;
-      // Whatever an unreadable record spoke of has ended by now, or its machine has reported it.
-      for (const key of state.unreadableSegments) state.obsoleteSegments.add(key);
-      state.unreadableSegments.clear();
-      logPlaced(state, runSchedulingRound(state, now), effects);
-    } else if (now < state.schedulingStartsAt && state.unreadableSegments.size === 0) {
-      logPlaced(state, placeWaitingReplicas(state, now), effects);
-    }
-    buildNextBatch(state, now, effects);
-  }
-  if (authority === 'keep-alive' && now - state.lastTickAt >= TICK_MS) {
-    state.lastTickAt = now;
-    for (const machine of state.machines.values())
-      dispatchKills(machine, effects, now, belongsToEndedJob);
-  }
+  for (const command of commands) applyCommand(state, command, now, effects);
+  if (authority === 'lead' && state.isRecovered) runLeaderPhases(state, now, effects);
+  else if (authority === 'keep-alive' && isTickDue(state, now))
+    runKeepAliveTick(state, now, effects);
   replyToHeartbeats(state, now, authority, effects);
   if (state.extensions) effects.push(...state.extensions.takeEffects());
   return effects;
--- a/src/core/ledger/recovery.ts
+++ b/src/core/ledger/recovery.ts
@@ -1,8 +1,9 @@
 /** Recovery of a new leader from the ledger rows that former leaders have stored. */
 
 import type { CoreState } from '../core-state.js';
-import { getOrCreateMachine, recoverPlacement } from '../lifecycle/heartbeat-reconciliation.js';
 import { getOrCreateChunk, isTaskDone, recountPendingTasks } from '../lifecycle/job-tasks.js';
+import { getOrCreateMachine } from '../lifecycle/machine-registry.js';
+import { recoverPlacement } from '../lifecycle/task-reconciliation.js';
 import type { Command } from '../model/command.js';
 import type { Job, LedgerSegment, ProgressChunk } from '../model/entities.js';
 import type { TaskIndex } from '../model/ids.js';
@@ -103,7 +104,7 @@
   now: Instant,
 ): void => {
   const segment = getOrCreateSegment(state, row.segment);
-  const machine = getOrCreateMachine(state, row.machine, null, now, row.attributes);
+  const machine = getOrCreateMachine(state, row.machine, row.attributes, now);
   for (const entry of row.entries) {
     segment.initialSize += 1;
     const job = state.jobs.get(entry.job);
--- a/src/core/lifecycle/attempts.ts
+++ b/src/core/lifecycle/attempts.ts
@@ -1,16 +1,18 @@
-/** Attempts: their numbers, and what they take of machines and teams. */
+/** Attempts: their numbers, and what they occupy of machines, quotas and zones. */
 
 import type { CoreState } from '../core-state.js';
 import { detachPlacement } from '../ledger/segments.js';
 import type { AttemptPhase } from '../model/attempt.js';
-import type { Placement } from '../model/entities.js';
+import type { Job, Machine, Placement } from '../model/entities.js';
+import type { ZoneName } from '../model/ids.js';
+import type { LedgerEntry } from '../model/ledger-record.js';
 import type { Instant } from '../model/time.js';
 import { isTaskDone } from './job-tasks.js';
 
 /**
- * Attempt numbers that belong to one revision of the state service, so that none is ever given twice: a leader begins at
- * those of its term. Revisions at which it has stored anything since, guarded by the leader key, can become nobody's term:
- * their numbers are its own too.
+ * Attempt numbers that belong to one revision of the key-value store, so that none is given twice:
+ * a leader begins at those of its fencing token. Revisions at which it has stored anything since,
+ * guarded by the leader key, can become nobody's fencing token: their numbers are its own too.
  */
 export const ATTEMPTS_PER_REVISION = 1_000_000;
 
@@ -18,34 +20,111 @@
 export const hasAttemptLeft = ({ config, nextAttemptOffset, storedRevision }: CoreState): boolean =>
   nextAttemptOffset < (storedRevision - config.fencingToken + 1) * ATTEMPTS_PER_REVISION;
 
+/** Whether an attempt in this phase may be on its machine, so that its resources count as used. */
 export const occupiesMachine = (phase: AttemptPhase): boolean => phase !== 'ended';
 
-/** Counts an attempt on its machine, against its team and in its job. */
-export const addPlacement = (state: CoreState, placement: Placement): void => {
-  const { entry, machine, job } = placement;
-  machine.placements.set(entry.attempt, placement);
+/** Asks for a kill without time for a checkpoint; the attempt counts until it has ended. */
+export const requestImmediateKill = (placement: Placement): void => {
+  placement.stopRequest = { graceS: 0, sentAt: null };
+};
+
+const addToZone = ({ attemptsByZone }: Job, zone: ZoneName): void => {
+  attemptsByZone.set(zone, (attemptsByZone.get(zone) ?? 0) + 1);
+};
+
+const removeFromZone = ({ attemptsByZone }: Job, zone: ZoneName): void => {
+  const left = (attemptsByZone.get(zone) ?? 1) - 1;
+  if (left > 0) attemptsByZone.set(zone, left);
+  else attemptsByZone.delete(zone);
+};
+
+/** Counts the attempts on the machine in another zone, where a heartbeat corrects its zone. */
+export const moveAttemptsToZone = (machine: Machine, zone: ZoneName): void => {
+  for (const { job, phase } of machine.placements.values()) {
+    if (!job || !occupiesMachine(phase)) continue;
+    removeFromZone(job, machine.zone);
+    addToZone(job, zone);
+  }
+};
+
+const occupyMachine = (machine: Machine, entry: LedgerEntry): void => {
   machine.attemptCount += 1;
   machine.usedCpus += entry.cpus;
   machine.usedGpus += entry.gpus;
   machine.usedMemoryGb += entry.memoryGb;
-  const usage = state.teamUsage.get(entry.team) ?? { cpus: 0, gpus: 0 };
+};
+
+const vacateMachine = (machine: Machine, entry: LedgerEntry, now: Instant): void => {
+  machine.attemptCount -= 1;
+  machine.usedCpus -= entry.cpus;
+  machine.usedGpus -= entry.gpus;
+  machine.usedMemoryGb -= entry.memoryGb;
+  if (machine.attemptCount > 0) return;
+  machine.idleSince = now;
+  // Sums of fractions drift: an empty machine has exactly nothing in use.
+  machine.usedCpus = 0;
+  machine.usedGpus = 0;
+  machine.usedMemoryGb = 0;
+};
+
+const chargeTeam = (state: CoreState, entry: LedgerEntry): void => {
+  const usage = state.teamUsage.get(entry.team);
+  if (!usage) {
+    state.teamUsage.set(entry.team, { cpus: entry.cpus, gpus: entry.gpus });
+    return;
+  }
   usage.cpus += entry.cpus;
   usage.gpus += entry.gpus;
-  state.teamUsage.set(entry.team, usage);
-  if (job) {
-    const others = job.attemptsByTask.get(entry.index);
-    if (others) others.push(placement);
-    else {
-      job.attemptsByTask.set(entry.index, [placement]);
-      if (!isTaskDone(job, entry.index)) job.pendingTasks -= 1;
-    }
-    job.attemptsByZone.set(machine.zone, (job.attemptsByZone.get(machine.zone) ?? 0) + 1);
+};
+
+const refundTeam = (state: CoreState, entry: LedgerEntry): void => {
+  const usage = state.teamUsage.get(entry.team);
+  if (!usage) return;
+  usage.cpus -= entry.cpus;
+  usage.gpus -= entry.gpus;
+};
+
+const addToJob = (job: Job, placement: Placement): void => {
+  const { index } = placement.entry;
+  const attempts = job.attemptsByTask.get(index);
+  if (attempts) {
+    attempts.push(placement);
+  } else {
+    job.attemptsByTask.set(index, [placement]);
+    if (!isTaskDone(job, index)) job.pendingTasks -= 1;
   }
+  addToZone(job, placement.machine.zone);
+};
+
+/** A task without an attempt left waits again, unless it is done. */
+const removeFromJob = (job: Job, placement: Placement, now: Instant): void => {
+  const { index } = placement.entry;
+  if (placement.isSuperseded) job.supersededAttempts -= 1;
+  removeFromZone(job, placement.machine.zone);
+  const left = (job.attemptsByTask.get(index) ?? []).filter((other) => other !== placement);
+  if (left.length > 0) {
+    job.attemptsByTask.set(index, left);
+    return;
+  }
+  job.attemptsByTask.delete(index);
+  if (job.attemptsByTask.size === 0) job.idleSince = now;
+  if (isTaskDone(job, index)) return;
+  job.pendingTasks += 1;
+  job.requeuedTasks.push(index);
+};
+
+/** Counts an attempt on its machine, against its team's quota and in its job. */
+export const addPlacement = (state: CoreState, placement: Placement): void => {
+  const { entry, machine, job } = placement;
+  machine.placements.set(entry.attempt, placement);
+  occupyMachine(machine, entry);
+  chargeTeam(state, entry);
+  if (job) addToJob(job, placement);
 };
 
 /**
- * The attempt is certainly not on its machine any more: gives back what it held. `reported`: it has ended by itself or
- * by a command, as its machine says.
+ * Gives back what an attempt occupied: it is certainly not on its machine any more. `reported`: it
+ * has ended by itself or by a command, as its machine says; `gone`: its absence is proven.
  */
 export const releasePlacement = (
   state: CoreState,
@@ -59,36 +138,8 @@
   placement.phase = 'ended';
   state.awaitingLedgerEntry.delete(placement);
   detachPlacement(state, placement);
-  machine.usedCpus -= entry.cpus;
-  machine.usedGpus -= entry.gpus;
-  machine.usedMemoryGb -= entry.memoryGb;
-  const usage = state.teamUsage.get(entry.team);
-  if (usage) {
-    usage.cpus -= entry.cpus;
-    usage.gpus -= entry.gpus;
-  }
-  if (job && placement.isSuperseded) job.supersededAttempts -= 1;
-  if (job) {
-    const left = (job.attemptsByTask.get(entry.index) ?? []).filter((other) => other !== placement);
-    if (left.length > 0) job.attemptsByTask.set(entry.index, left);
-    else {
-      job.attemptsByTask.delete(entry.index);
-      if (job.attemptsByTask.size === 0) job.idleSince = now;
-      if (!isTaskDone(job, entry.index)) {
-        job.pendingTasks += 1;
-        job.requeuedTasks.push(entry.index);
-      }
-    }
-    const inZone = (job.attemptsByZone.get(machine.zone) ?? 1) - 1;
-    if (inZone > 0) job.attemptsByZone.set(machine.zone, inZone);
-    else job.attemptsByZone.delete(machine.zone);
-  }
-  machine.attemptCount -= 1;
-  if (machine.attemptCount <= 0) {
-    machine.idleSince = now;
-    machine.usedCpus = 0;
-    machine.usedGpus = 0;
-    machine.usedMemoryGb = 0;
-  }
+  refundTeam(state, entry);
+  if (job) removeFromJob(job, placement, now);
+  vacateMachine(machine, entry, now);
   state.isRoundDue = true;
 };
--- /dev/null
+++ b/src/core/lifecycle/heartbeat-replies.ts
@@ -0,0 +1,105 @@
+/** Replies to heartbeats: when each goes out, and with which commands. */
+
+import type { CoreState } from '../core-state.js';
+import { isSchedulable } from '../fleet/machine-health.js';
+import type { Authority, Effect } from '../model/effect.js';
+import type { Machine, Placement } from '../model/entities.js';
+import type { AttemptId, ReplyTicket } from '../model/ids.js';
+import type { Instant } from '../model/time.js';
+import type { WorkerCommand } from '../model/worker-command.js';
+import { isReplica } from '../scheduling/services.js';
+import { commandsFor, killCommandsOfEndedJobs } from './worker-commands.js';
+
+/** A reply waits at most this long for the ledger entries of its starts. */
+const LEDGER_WAIT_MS = 900;
+/**
+ * The reply to an idle worker goes out once there is something to start, or after this share of the
+ * heartbeat interval, and this long at most: a start that misses it would wait for the next
+ * heartbeat. Busy workers are replied to at once, since their heartbeats bring results.
+ */
+const IDLE_HOLD_SHARE = 0.6;
+const IDLE_HOLD_MAX_MS = 2900;
+
+const awaitsLedgerEntry = ({ placements }: Machine, heldMs: number): boolean => {
+  if (heldMs >= LEDGER_WAIT_MS) return false;
+  for (const placement of placements.values()) if (placement.phase === 'persisting') return true;
+  return false;
+};
+
+/** A replica that runs and is to go on: its machine has as little to report as an idle one. */
+const isSteadyReplica = (placement: Placement): boolean =>
+  isReplica(placement) && placement.phase === 'running' && !placement.stopRequest;
+
+/** Whether no task on the machine is expected to end, so that its next heartbeat can wait. */
+const isIdle = ({ placements, isReservedForServices }: Machine): boolean => {
+  if (placements.size === 0) return true;
+  if (!isReservedForServices) return false;
+  for (const placement of placements.values()) if (!isSteadyReplica(placement)) return false;
+  return true;
+};
+
+const startedAttempts = (commands: readonly WorkerCommand[]): AttemptId[] => {
+  const attempts: AttemptId[] = [];
+  for (const command of commands) if (command.op === 'start') attempts.push(command.attempt);
+  return attempts;
+};
+
+/** Replies with commands; from then on the machine's epoch counts as acknowledged. */
+const sendReply = (
+  machine: Machine,
+  ticket: ReplyTicket,
+  commands: readonly WorkerCommand[],
+  effects: Effect[],
+): void => {
+  machine.acknowledgedEpoch = machine.agentEpoch;
+  const attempts = startedAttempts(commands);
+  if (attempts.length > 0) machine.dispatchedStarts = { seq: machine.heartbeatSequence, attempts };
+  effects.push({ kind: 'reply-to-heartbeat', ticket, commands });
+};
+
+const replyWithAuthority = (
+  state: CoreState,
+  machine: Machine,
+  ticket: ReplyTicket,
+  authority: Authority,
+  now: Instant,
+  effects: Effect[],
+): void => {
+  switch (authority) {
+    case 'lead':
+      return sendReply(machine, ticket, commandsFor(state, machine, now), effects);
+    case 'keep-alive':
+      return sendReply(machine, ticket, killCommandsOfEndedJobs(machine, now), effects);
+    case 'none':
+      effects.push({ kind: 'reply-to-heartbeat', ticket, commands: null });
+  }
+};
+
+/**
+ * Replies to the heartbeats that wait, as far as the leader's authority goes: without any, the
+ * worker is turned away; to keep workers alive, it is told of nothing but kills of ended jobs.
+ */
+export const replyToHeartbeats = (
+  state: CoreState,
+  now: Instant,
+  authority: Authority,
+  effects: Effect[],
+): void => {
+  const idleHoldMs = Math.min(IDLE_HOLD_MAX_MS, state.config.heartbeatIntervalMs * IDLE_HOLD_SHARE);
+  for (const machine of state.machinesAwaitingReply) {
+    const { pendingReply } = machine;
+    if (!pendingReply) {
+      state.machinesAwaitingReply.delete(machine);
+      continue;
+    }
+    if (authority === 'lead') {
+      const heldMs = now - pendingReply.since;
+      if (awaitsLedgerEntry(machine, heldMs)) continue;
+      const mayBeHeld = heldMs < idleHoldMs && isIdle(machine);
+      if (mayBeHeld && isSchedulable(state, machine, now)) continue;
+    }
+    state.machinesAwaitingReply.delete(machine);
+    machine.pendingReply = null;
+    replyWithAuthority(state, machine, pendingReply.ticket, authority, now, effects);
+  }
+};
--- a/src/core/lifecycle/job-tasks.ts
+++ b/src/core/lifecycle/job-tasks.ts
@@ -1,4 +1,4 @@
-/** The state of jobs: their tasks that wait, are done, or are held. */
+/** A job's tasks: which wait, which are done, and which were tried and failed. */
 
 import type { CoreConfig } from '../core-state.js';
 import { maxSegmentBytes } from '../ledger/segments.js';
@@ -7,18 +7,16 @@
 import { isService, type JobSpec } from '../model/job.js';
 import type { Instant } from '../model/time.js';
 
-/** Ledger records tell progress by blocks of this many tasks, and smaller parts by their first task. */
+/** Ledger records hold progress by blocks of so many tasks, smaller chunks by their first task. */
 export const TASKS_PER_BLOCK = 8192;
-/** Tasks in one part where a block does not fit a value of the state service. */
-const SMALL_PART_TASKS = 1024;
+/** Tasks in one chunk where a block does not fit a value of the key-value store. */
+const TASKS_PER_SMALL_CHUNK = 1024;
+/** Stored size of one block, in bytes; a value that holds less gets small chunks. */
 const BLOCK_ROW_BYTES = 1500;
 
-export const createJob = (spec: JobSpec, submittedAt: Instant, config?: CoreConfig): Job => ({
-  spec,
-  submittedAt,
-  idleSince: submittedAt,
-  isStarving: false,
-  requirementsKey: JSON.stringify([
+/** Equal for jobs that suit the same machines. */
+const requirementsKeyOf = (spec: JobSpec): string =>
+  JSON.stringify([
     spec.shape,
     spec.cpus,
     spec.gpus,
@@ -26,9 +24,17 @@
     spec.machineTypes,
     spec.zone,
     spec.allowsSpot,
-  ]),
+  ]);
+
+/** An unfinished job of which nothing is placed. Without `config`, values of any size fit. */
+export const createJob = (spec: JobSpec, submittedAt: Instant, config?: CoreConfig): Job => ({
+  spec,
+  submittedAt,
+  idleSince: submittedAt,
+  isStarving: false,
+  requirementsKey: requirementsKeyOf(spec),
   tasksPerChunk:
-    config && maxSegmentBytes(config) < BLOCK_ROW_BYTES ? SMALL_PART_TASKS : TASKS_PER_BLOCK,
+    config && maxSegmentBytes(config) < BLOCK_ROW_BYTES ? TASKS_PER_SMALL_CHUNK : TASKS_PER_BLOCK,
   chunks: new Map(),
   doneCount: 0,
   supersededAttempts: 0,
@@ -46,26 +52,43 @@
   waitingReason: '',
 });
 
-/** A job whose tasks fail on this many machines in a row is tried one task at a time, with pauses. */
+/** Machines in a row that fail a job before it is tried one task at a time, with pauses. */
 export const FAILED_MACHINES_LIMIT = 3;
 
-/** A service's replicas may fail on one machine time and again, where there is no other; one that runs proves it sound. */
+/**
+ * Whether the job itself seems at fault, not the machines. The replicas of a service may fail on
+ * one machine time and again where there is no other; one that runs proves the service sound.
+ */
 export const failsEverywhere = (job: Job): boolean => {
   if (!isService(job)) return job.failedMachines.size >= FAILED_MACHINES_LIMIT;
   if (job.consecutiveFailures < FAILED_MACHINES_LIMIT) return false;
-  for (const held of job.attemptsByTask.values())
-    if (held.some((placement) => placement.phase === 'running')) return false;
+  for (const placements of job.attemptsByTask.values())
+    if (placements.some((placement) => placement.phase === 'running')) return false;
   return true;
 };
 
+/** The number of the progress chunk that holds a task. */
+export const chunkNumber = (job: Job, index: TaskIndex): number =>
+  Math.floor(index / job.tasksPerChunk);
+
+/** Whether a task is done, stored or not. */
 export const isTaskDone = (job: Job, index: TaskIndex): boolean => {
-  const bits = job.chunks.get(Math.floor(index / job.tasksPerChunk))?.bits;
-  const at = index % job.tasksPerChunk;
-  return bits !== undefined && ((bits[at >> 3] ?? 0) & (1 << (at & 7))) !== 0;
+  const bits = job.chunks.get(chunkNumber(job, index))?.bits;
+  const offset = index % job.tasksPerChunk;
+  return bits !== undefined && ((bits[offset >> 3] ?? 0) & (1 << (offset & 7))) !== 0;
 };
 
+/** Sets the bit of a task that is not done yet in its chunk, and counts it. */
+export const setTaskDone = (job: Job, chunk: ProgressChunk, index: TaskIndex): void => {
+  const offset = index % job.tasksPerChunk;
+  chunk.bits[offset >> 3] = (chunk.bits[offset >> 3] ?? 0) | (1 << (offset & 7));
+  chunk.version += 1;
+  job.doneCount += 1;
+};
+
+/** The progress chunk that holds a task, created empty where nothing in it is done yet. */
 export const getOrCreateChunk = (job: Job, index: TaskIndex): ProgressChunk => {
-  const number = Math.floor(index / job.tasksPerChunk);
+  const number = chunkNumber(job, index);
   let chunk = job.chunks.get(number);
   if (!chunk) {
     const size = Math.min(job.tasksPerChunk, job.spec.tasks - number * job.tasksPerChunk);
@@ -80,22 +103,25 @@
   return chunk;
 };
 
+const isWaiting = (job: Job, index: TaskIndex): boolean =>
+  !isTaskDone(job, index) && !job.attemptsByTask.has(index);
+
 /** Takes the next waiting task, or null. The caller places it or gives it back. */
 export const takePendingTask = (job: Job): TaskIndex | null => {
-  while (job.requeuedTasks.length > 0) {
-    const index = job.requeuedTasks.pop() as TaskIndex;
-    if (!isTaskDone(job, index) && !job.attemptsByTask.has(index)) return index;
-  }
+  for (let index = job.requeuedTasks.pop(); index !== undefined; index = job.requeuedTasks.pop())
+    if (isWaiting(job, index as TaskIndex)) return index as TaskIndex;
   while (job.nextUnplacedTask < job.spec.tasks) {
     const index = job.nextUnplacedTask as TaskIndex;
     job.nextUnplacedTask += 1;
-    if (!isTaskDone(job, index) && !job.attemptsByTask.has(index)) return index;
+    if (isWaiting(job, index)) return index;
   }
   return null;
 };
 
+/** Counts the waiting tasks anew, once recovery has changed progress and attempts. */
 export const recountPendingTasks = (job: Job): void => {
-  let heldOpen = 0;
-  for (const index of job.attemptsByTask.keys()) if (!isTaskDone(job, index)) heldOpen += 1;
-  job.pendingTasks = Math.max(0, job.spec.tasks - job.doneCount - heldOpen);
+  let unfinishedWithAttempts = 0;
+  for (const index of job.attemptsByTask.keys())
+    if (!isTaskDone(job, index)) unfinishedWithAttempts += 1;
+  job.pendingTasks = Math.max(0, job.spec.tasks - job.doneCount - unfinishedWithAttempts);
 };
--- a/src/core/lifecycle/job-view.ts
+++ b/src/core/lifecycle/job-view.ts
@@ -1,14 +1,16 @@
-/** What users and teams are told of a job: its state, and why it waits. */
+/** What users and teams are told of a job: its status, and why it waits. */
 
 import type { CoreState } from '../core-state.js';
-import type { Job } from '../model/entities.js';
+import type { Job, Placement } from '../model/entities.js';
 import type { JobId, TeamName } from '../model/ids.js';
-import type { JobOutcome, JobShape } from '../model/job.js';
+import type { JobOutcome, JobShape, Priority } from '../model/job.js';
 import type { Instant } from '../model/time.js';
 import { tasksWithinQuota } from '../scheduling/capacity.js';
 import { rankWaitingJobs } from '../scheduling/ranking.js';
+import type { JobScores } from '../scheduling/scoring.js';
 import { failsEverywhere } from './job-tasks.js';
 
+/** An unfinished job as its users see it. */
 export interface CoreJobView {
   readonly id: JobId;
   readonly team: TeamName;
@@ -18,44 +20,113 @@
   readonly status: 'queued' | 'running' | JobOutcome;
   readonly done: number;
   readonly running: number;
+  /** Why tasks of it wait, in words for users; absent where none waits. */
   readonly waiting?: string;
 }
 
-const runningTasks = (job: Job): number => {
+/** Why a job stands where it does, for operators; the fields are those of the HTTP answer. */
+export interface JobExplanation {
+  readonly id: JobId;
+  readonly team: TeamName;
+  readonly shape: JobShape;
+  readonly tasks: number;
+  readonly priority: Priority;
+  readonly done: number;
+  readonly running: number;
+  readonly waitingTasks: number;
+  readonly heldTasks: number;
+  readonly waiting: string;
+  /** Its place among the jobs that wait, from 1; null where it does not wait. */
+  readonly rank: number | null;
+  readonly ofJobs: number;
+  readonly scores: JobScores | null;
+  readonly head: JobId | null;
+  /** Seconds until the head of the queue is expected to start. */
+  readonly headShadowInS: number | null;
+  readonly teamLimitLeavesTasks: number;
+  readonly failsEverywhere: boolean;
+  readonly machinesBooting: number;
+}
+
+/** Why tasks of a job wait. */
+type WaitReason =
+  | { readonly kind: 'not-waiting' }
+  | { readonly kind: 'recovering' }
+  | { readonly kind: 'backing-off' }
+  | { readonly kind: 'quota-used-up' }
+  | {
+      readonly kind: 'queued';
+      /** What the last scheduling round found; empty where none has looked at the job yet. */
+      readonly finding: string;
+      readonly isQueueHead: boolean;
+    };
+
+const NOT_WAITING: WaitReason = { kind: 'not-waiting' };
+const RECOVERING: WaitReason = { kind: 'recovering' };
+const BACKING_OFF: WaitReason = { kind: 'backing-off' };
+const QUOTA_USED_UP: WaitReason = { kind: 'quota-used-up' };
+
+const isRunning = ({ phase }: Placement): boolean =>
+  phase === 'running' || phase === 'checkpointing';
+
+const countRunningTasks = (job: Job): number => {
   let running = 0;
-  for (const placements of job.attemptsByTask.values()) {
-    if (
-      placements.some(
-        (placement) => placement.phase === 'running' || placement.phase === 'checkpointing',
-      )
-    )
-      running += 1;
-  }
+  for (const placements of job.attemptsByTask.values())
+    if (placements.some(isRunning)) running += 1;
   return running;
 };
 
-const whyWaiting = (state: CoreState, job: Job, now: Instant): string => {
-  if (job.pendingTasks <= 0) return '';
-  if (!state.isRecovered || now < state.schedulingStartsAt)
-    return 'a new leader waits for the workers to report';
-  if (now < job.retryAt) return 'pausing after failed tasks';
-  if (tasksWithinQuota(state, job) < 1) return 'team limit';
+const countBootingMachines = (state: CoreState): number => {
   let booting = 0;
   for (const machine of state.machines.values()) if (!machine.hasReported) booting += 1;
-  const reason = job.waitingReason || 'next round';
-  const head = state.queueHead === job.spec.id ? ' (head of the queue)' : '';
-  return booting > 0 ? `${reason}${head}; ${booting} machines booting` : `${reason}${head}`;
+  return booting;
 };
 
+const findWaitReason = (state: CoreState, job: Job, now: Instant): WaitReason => {
+  if (job.pendingTasks <= 0) return NOT_WAITING;
+  if (!state.isRecovered || now < state.schedulingStartsAt) return RECOVERING;
+  if (now < job.retryAt) return BACKING_OFF;
+  if (tasksWithinQuota(state, job) < 1) return QUOTA_USED_UP;
+  return {
+    kind: 'queued',
+    finding: job.waitingReason,
+    isQueueHead: state.queueHead === job.spec.id,
+  };
+};
+
+/** The texts are part of what users see: they stay to the letter. Empty where no task waits. */
+const describeWaitReason = (state: CoreState, reason: WaitReason): string => {
+  switch (reason.kind) {
+    case 'not-waiting':
+      return '';
+    case 'recovering':
+      return 'a new leader waits for the workers to report';
+    case 'backing-off':
+      return 'pausing after failed tasks';
+    case 'quota-used-up':
+      return 'team limit';
+    case 'queued': {
+      const finding = reason.finding || 'next round';
+      const text = reason.isQueueHead ? `${finding} (head of the queue)` : finding;
+      const booting = countBootingMachines(state);
+      return booting > 0 ? `${text}; ${booting} machines booting` : text;
+    }
+  }
+};
+
+const explainWait = (state: CoreState, job: Job, now: Instant): string =>
+  describeWaitReason(state, findWaitReason(state, job, now));
+
 /**
- * null for a job this leader does not know as unfinished, or whose end is decided but not known to be stored: another node may
- * read the stored end before this one learns of it, and "running" after that would take it back. The state service is asked then.
+ * The job as its users see it. null where this leader does not know it as unfinished, or where its
+ * end is decided but not known to be stored: the key-value store has to be asked then. Another node
+ * may read the stored end before this one learns of it, and "running" would take it back.
  */
 export const viewJob = (state: CoreState, id: JobId, now: Instant): CoreJobView | null => {
   const job = state.jobs.get(id);
   if (job?.terminalState !== 'none') return null;
-  const running = runningTasks(job);
-  const waiting = whyWaiting(state, job, now);
+  const running = countRunningTasks(job);
+  const waiting = explainWait(state, job, now);
   return {
     id,
     team: job.spec.team,
@@ -68,13 +139,15 @@
   };
 };
 
-export const explainJob = (state: CoreState, id: JobId, now: Instant) => {
+const secondsToShadowTime = ({ shadowTime }: CoreState, now: Instant): number | null =>
+  shadowTime === null ? null : Math.max(0, (shadowTime - now) / 1000);
+
+/** Why the job stands where it does; null where this leader does not know it. */
+export const explainJob = (state: CoreState, id: JobId, now: Instant): JobExplanation | null => {
   const job = state.jobs.get(id);
   if (!job) return null;
   const ranked = rankWaitingJobs(state, now);
-  const at = ranked.findIndex((r) => r.job === job);
-  let booting = 0;
-  for (const machine of state.machines.values()) if (!machine.hasReported) booting += 1;
+  const position = ranked.findIndex((candidate) => candidate.job === job);
   return {
     id,
     team: job.spec.team,
@@ -82,17 +155,17 @@
     tasks: job.spec.tasks,
     priority: job.spec.priority,
     done: job.doneCount,
-    running: runningTasks(job),
+    running: countRunningTasks(job),
     waitingTasks: job.pendingTasks,
     heldTasks: job.attemptsByTask.size,
-    waiting: whyWaiting(state, job, now),
-    rank: at < 0 ? null : at + 1,
+    waiting: explainWait(state, job, now),
+    rank: position < 0 ? null : position + 1,
     ofJobs: ranked.length,
-    scores: at < 0 ? null : ranked[at]!.scores,
+    scores: ranked[position]?.scores ?? null,
     head: state.queueHead,
-    headShadowInS: state.shadowTime === null ? null : Math.max(0, (state.shadowTime - now) / 1000),
+    headShadowInS: secondsToShadowTime(state, now),
     teamLimitLeavesTasks: Math.min(tasksWithinQuota(state, job), job.spec.tasks),
     failsEverywhere: failsEverywhere(job),
-    machinesBooting: booting,
+    machinesBooting: countBootingMachines(state),
   };
 };
--- /dev/null
+++ b/src/core/lifecycle/machine-reachability.ts
@@ -0,0 +1,94 @@
+/**
+ * One-way partitions: machines whose heartbeats arrive while the leader's replies do not. Tasks
+ * placed on such a machine would never start, so it gets no more work and is replaced.
+ */
+
+import type { CoreState } from '../core-state.js';
+import { UNACKNOWLEDGED_LIMIT } from '../fleet/machine-health.js';
+import { logEvent } from '../log-event.js';
+import type { Effect } from '../model/effect.js';
+import type { Machine } from '../model/entities.js';
+import type { Heartbeat } from '../model/heartbeat.js';
+import type { AttemptId } from '../model/ids.js';
+import { addMillis, type Instant } from '../model/time.js';
+
+/** Unacknowledged replies in a row after which a machine is replaced. */
+const UNREACHABLE_AFTER_REPLIES = 4;
+
+/** Worker leases without an authoritative heartbeat after which a machine is replaced. */
+const UNREACHABLE_AFTER_LEASES = 1.5;
+
+/**
+ * Machines, and the share of the fleet, that may seem unreachable at a time. Beyond the larger of
+ * the two, the fault is more likely the leader's own slowness: replacing them would help nobody.
+ */
+const MAX_UNREACHABLE = 2;
+const MAX_UNREACHABLE_SHARE = 0.2;
+
+/** A worker that receives replies keeps its agent epoch; a change shows that none arrived. */
+const hasEpochEndedDespiteReplies = (machine: Machine, heartbeat: Heartbeat): boolean =>
+  heartbeat.agentEpoch > machine.agentEpoch &&
+  machine.acknowledgedEpoch === machine.agentEpoch &&
+  machine.agentEpoch > 0;
+
+const listsAnyAttempt = (heartbeat: Heartbeat, attempts: readonly AttemptId[]): boolean => {
+  const listed = new Set<number>(heartbeat.tasks.map((task) => task.attempt));
+  return attempts.some((attempt) => listed.has(attempt));
+};
+
+/**
+ * Replies in a row that did not arrive. The heartbeat that follows starts shows whether they did:
+ * a start that was received is listed in it, in whatever phase.
+ */
+const countUnacknowledgedReplies = (machine: Machine, heartbeat: Heartbeat): number => {
+  const { dispatchedStarts, unacknowledgedReplies } = machine;
+  if (hasEpochEndedDespiteReplies(machine, heartbeat)) return unacknowledgedReplies + 1;
+  const followsStarts =
+    dispatchedStarts !== null &&
+    heartbeat.agentEpoch === machine.agentEpoch &&
+    heartbeat.sequence > dispatchedStarts.seq;
+  if (!followsStarts) return unacknowledgedReplies;
+  return listsAnyAttempt(heartbeat, dispatchedStarts.attempts) ? 0 : unacknowledgedReplies + 1;
+};
+
+const seemsUnreachable = (state: CoreState, machine: Machine, now: Instant): boolean => {
+  if (machine.unacknowledgedReplies >= UNREACHABLE_AFTER_REPLIES) return true;
+  const { unverifiedSince } = machine;
+  const limitMs = UNREACHABLE_AFTER_LEASES * state.config.workerLeaseMs;
+  return unverifiedSince !== null && now - unverifiedSince > limitMs;
+};
+
+const doManySeemUnreachable = (state: CoreState): boolean => {
+  let unreachable = 0;
+  for (const machine of state.machines.values())
+    if (machine.isUnreachable || machine.unacknowledgedReplies >= UNACKNOWLEDGED_LIMIT)
+      unreachable += 1;
+  return unreachable > Math.max(MAX_UNREACHABLE, state.machines.size * MAX_UNREACHABLE_SHARE);
+};
+
+/**
+ * Tells by a heartbeat whether the replies to earlier ones arrived. Call it before the heartbeat's
+ * epoch and sequence are taken over, and not for direct responses: no reply precedes those.
+ */
+export const trackReachability = (
+  state: CoreState,
+  machine: Machine,
+  heartbeat: Heartbeat,
+  now: Instant,
+  effects: Effect[],
+): void => {
+  const before = machine.unacknowledgedReplies;
+  machine.unacknowledgedReplies = countUnacknowledgedReplies(machine, heartbeat);
+  machine.dispatchedStarts = null;
+  const hasMissedAnother = machine.unacknowledgedReplies > before;
+  if (hasMissedAnother && machine.unacknowledgedReplies >= UNACKNOWLEDGED_LIMIT)
+    machine.quarantinedUntil = addMillis(now, state.config.workerLeaseMs);
+  else if (machine.unacknowledgedReplies === 0) machine.quarantinedUntil = 0 as Instant;
+  if (machine.isUnreachable || !seemsUnreachable(state, machine, now)) return;
+  if (doManySeemUnreachable(state)) {
+    machine.unacknowledgedReplies = Math.min(machine.unacknowledgedReplies, UNACKNOWLEDGED_LIMIT);
+    return;
+  }
+  machine.isUnreachable = true;
+  logEvent(effects, 'info', 'machine unreachable, replacing it', { machineId: machine.id });
+};
--- /dev/null
+++ b/src/core/lifecycle/task-reconciliation.ts
@@ -0,0 +1,212 @@
+/**
+ * Reconciles the leader's attempts with the tasks that a machine reports: attempts it does not know
+ * are taken in, known ones change phase or end, and proven absent ones are released.
+ */
+
+import type { CoreState } from '../core-state.js';
+import { logEvent } from '../log-event.js';
+import type { Effect } from '../model/effect.js';
+import type { Job, LedgerSegment, Machine, Placement } from '../model/entities.js';
+import type { Heartbeat, TaskStatus } from '../model/heartbeat.js';
+import type { TeamName } from '../model/ids.js';
+import { isService } from '../model/job.js';
+import type { LedgerEntry } from '../model/ledger-record.js';
+import { addMillis, type Instant, type Millis, seconds } from '../model/time.js';
+import { addPlacement, releasePlacement, requestImmediateKill } from './attempts.js';
+import type { HeartbeatEvidence } from './heartbeat-evidence.js';
+import { markTaskDone } from './job-completion.js';
+import { isTaskDone } from './job-tasks.js';
+import { recordReplicaExit, recordTaskFailure } from './task-failures.js';
+
+/** For how long a machine that had no room for a task gets no more work. */
+const SATURATED_MS = 1500 as Millis;
+
+/** Pause of a job whose task ended for an unknown cause. */
+const UNKNOWN_CAUSE_PAUSE = seconds(2);
+
+/**
+ * Counts an attempt that this leader did not place: from a former leader's ledger, or found on a
+ * machine. `segment` is the ledger record that holds it, or null.
+ */
+export const recoverPlacement = (
+  state: CoreState,
+  machine: Machine,
+  entry: LedgerEntry,
+  now: Instant,
+  segment: LedgerSegment | null,
+): Placement => {
+  // A task index that its job does not have is only counted and killed, like an unknown job's task.
+  const named = state.jobs.get(entry.job);
+  const job = named && entry.index < named.spec.tasks ? named : null;
+  const placement: Placement = {
+    entry,
+    machine,
+    job,
+    placedAt: now,
+    phase: 'unconfirmed',
+    startedAt: null,
+    dispatchedEpoch: null,
+    stopRequest: job ? null : { graceS: 0, sentAt: null },
+    isSuperseded: false,
+    requiredProgress: null,
+    segment,
+  };
+  segment?.placements.add(placement);
+  addPlacement(state, placement);
+  return placement;
+};
+
+/**
+ * Takes in an attempt that only its machine tells of, and has it entered in the ledger. It is
+ * killed if another attempt of its task is counted, or if the task is done: none may run twice.
+ */
+const adoptReportedAttempt = (
+  state: CoreState,
+  machine: Machine,
+  task: TaskStatus,
+  now: Instant,
+): Placement => {
+  const spec = state.jobs.get(task.job)?.spec;
+  const entry: LedgerEntry = {
+    job: task.job,
+    index: task.index,
+    attempt: task.attempt,
+    team: spec?.team ?? ('' as TeamName),
+    cpus: spec?.cpus ?? 0,
+    gpus: spec?.gpus ?? 0,
+    memoryGb: spec?.memoryGb ?? 0,
+  };
+  const placement = recoverPlacement(state, machine, entry, now, null);
+  const { job } = placement;
+  const hasRivals = (job?.attemptsByTask.get(entry.index) ?? []).length > 1;
+  const isDoneElsewhere = task.phase !== 'ended' && job !== null && isTaskDone(job, entry.index);
+  if (hasRivals || isDoneElsewhere) requestImmediateKill(placement);
+  state.awaitingLedgerEntry.add(placement);
+  return placement;
+};
+
+const logReplicaRunning = (placement: Placement, now: Instant, effects: Effect[]): void => {
+  const { entry, machine, placedAt } = placement;
+  logEvent(effects, 'debug', 'replica running', {
+    jobId: entry.job,
+    taskIndex: entry.index,
+    machineId: machine.id,
+    afterMs: Math.round(now - placedAt),
+  });
+};
+
+const handleActiveTask = (
+  placement: Placement,
+  phase: Exclude<TaskStatus['phase'], 'ended'>,
+  now: Instant,
+  effects: Effect[],
+): void => {
+  const { job, machine } = placement;
+  if (phase === 'running' && placement.startedAt === null) {
+    placement.startedAt = now;
+    if (job && isService(job)) logReplicaRunning(placement, now, effects);
+  }
+  placement.phase = phase;
+  if (job) machine.images.add(job.spec.image);
+};
+
+/** What the end means for the job: progress, a failure, or a replica to run again. */
+const recordTaskEnd = (
+  state: CoreState,
+  job: Job,
+  placement: Placement,
+  cause: TaskStatus['cause'],
+  now: Instant,
+  effects: Effect[],
+): void => {
+  const hasFailed = cause === 'error';
+  if (isService(job)) {
+    const hasExitedByItself = !placement.stopRequest && (cause === 'done' || hasFailed);
+    if (hasExitedByItself) recordReplicaExit(state, job, placement, hasFailed, now, effects);
+  } else if (cause === 'done' && job.terminalState === 'none') {
+    markTaskDone(state, job, placement, now);
+  } else if (hasFailed && !placement.stopRequest) {
+    recordTaskFailure(state, job, placement.machine, now, effects);
+  }
+};
+
+const logAttemptEnded = (placement: Placement, task: TaskStatus, effects: Effect[]): void => {
+  logEvent(effects, 'debug', 'attempt ended', {
+    jobId: placement.entry.job,
+    taskIndex: placement.entry.index,
+    machineId: placement.machine.id,
+    cause: task.cause,
+    checkpointSaved: task.checkpointSaved,
+  });
+};
+
+const handleEndedTask = (
+  state: CoreState,
+  placement: Placement,
+  task: TaskStatus,
+  now: Instant,
+  effects: Effect[],
+): void => {
+  const { job, machine } = placement;
+  if (job) recordTaskEnd(state, job, placement, task.cause, now, effects);
+  if (task.cause === 'no_room') machine.saturatedUntil = addMillis(now, SATURATED_MS);
+  else if (task.cause === 'unknown' && job) job.retryAt = addMillis(now, UNKNOWN_CAUSE_PAUSE);
+  if (task.cause === 'done') machine.failedJobs.clear();
+  else if (job) logAttemptEnded(placement, task, effects);
+  releasePlacement(state, placement, now, 'reported');
+};
+
+const reconcileTask = (
+  state: CoreState,
+  placement: Placement,
+  task: TaskStatus,
+  now: Instant,
+  effects: Effect[],
+): void => {
+  if (placement.phase === 'ended') return;
+  if (task.phase === 'ended') handleEndedTask(state, placement, task, now, effects);
+  else handleActiveTask(placement, task.phase, now, effects);
+};
+
+/**
+ * A start may still be on its way, unless it went out in an agent epoch that has ended: what that
+ * epoch held is gone, and replies to its heartbeats are dropped. Sent again, it would run under an
+ * attempt number that may have run before.
+ */
+const isStartInFlight = (placement: Placement, agentEpoch: number): boolean =>
+  placement.phase === 'dispatched' &&
+  !placement.stopRequest &&
+  (placement.dispatchedEpoch === null || placement.dispatchedEpoch === agentEpoch);
+
+const releaseAbsentAttempts = (
+  state: CoreState,
+  machine: Machine,
+  reportedAttempts: ReadonlySet<number>,
+  now: Instant,
+): void => {
+  for (const placement of [...machine.placements.values()]) {
+    if (reportedAttempts.has(placement.entry.attempt) || placement.phase === 'persisting') continue;
+    if (isStartInFlight(placement, machine.agentEpoch)) continue;
+    releasePlacement(state, placement, now);
+    machine.placements.delete(placement.entry.attempt);
+  }
+};
+
+/** Applies the reported status of all tasks; an authoritative heartbeat also ends absent ones. */
+export const reconcileTasks = (
+  state: CoreState,
+  machine: Machine,
+  { tasks }: Heartbeat,
+  evidence: HeartbeatEvidence,
+  now: Instant,
+  effects: Effect[],
+): void => {
+  const reportedAttempts = new Set<number>();
+  for (const task of tasks) {
+    reportedAttempts.add(task.attempt);
+    const placement =
+      machine.placements.get(task.attempt) ?? adoptReportedAttempt(state, machine, task, now);
+    reconcileTask(state, placement, task, now, effects);
+  }
+  if (evidence === 'authoritative') releaseAbsentAttempts(state, machine, reportedAttempts, now);
+};
