--- a/test/compound-failures.test.ts
+++ b/test/compound-failures.test.ts
@@ -1,4 +1,4 @@
-/** Two troubles that meet, told as stories to the core; docs/compound-failures.md lists which test brings about which. */
+/** Two failures at once, as scenarios for the core; docs/compound-failures.md lists them. */
 import { describe, expect, it } from 'vitest';
 import { applyCommands } from '../src/core/apply-commands.js';
 import { segmentKey } from '../src/core/ledger/segments.js';
@@ -17,64 +17,67 @@
 import { CoreDriver, ended, running } from './model/core-driver.js';
 
 const id = 'job-1' as JobId;
-const abort = { kind: 'cancel-job', job: id, ticket: 77 as ReplyTicket } as const;
+const cancelCommand = { kind: 'cancel-job', job: id, ticket: 77 as ReplyTicket } as const;
 
-/** A core driven up to the last task of a job with two; what follows is stored only when told. */
-const atTheEnd = () => {
-  const s = new CoreDriver();
-  s.submit('job-1', { tasks: 2 });
-  const starts = s.starts(s.up('n-1'));
-  s.checkIn('n-1', [ended(starts[0]!, 'done'), running(starts[1]!)]);
-  s.pass(2000);
+/** A core driven up to the last task of a job with two; what follows is stored only when asked. */
+const driveToLastTask = () => {
+  const driver = new CoreDriver();
+  driver.submit('job-1', { tasks: 2 });
+  const starts = driver.starts(driver.up('n-1'));
+  driver.checkIn('n-1', [ended(starts[0]!, 'done'), running(starts[1]!)]);
+  driver.pass(2000);
   let seq = 100;
   const send = (...commands: Parameters<typeof applyCommands>[1][number][]) =>
-    applyCommands(s.state, commands, s.now as Instant, 'lead');
-  const lastEnds = () => {
+    applyCommands(driver.state, commands, driver.now as Instant, 'lead');
+  const lastTaskEnded = () => {
     seq += 1;
-    const told = report('n-1', seq, 7, [ended(starts[1]!, 'done')]);
-    return { kind: 'heartbeat', heartbeat: told, ticket: seq as ReplyTicket } as const;
+    const reported = report('n-1', seq, 7, [ended(starts[1]!, 'done')]);
+    return { kind: 'heartbeat', heartbeat: reported, ticket: seq as ReplyTicket } as const;
   };
-  return { s, send, lastEnds };
+  return { driver, send, lastTaskEnded };
 };
-const saved = (effects: readonly Effect[]) => {
-  const save = effects.find((e) => e.kind === 'store-batch');
-  if (save?.kind !== 'store-batch') throw new Error('nothing is stored');
+const batchStored = (effects: readonly Effect[]) => {
+  const save = effects.find((effect) => effect.kind === 'store-batch');
+  if (save?.kind !== 'store-batch') throw new Error('stores nothing');
   return { kind: 'batch-stored', batch: save.batch } as const;
 };
 const outcomes = (effects: readonly Effect[]) =>
-  effects.flatMap((e) =>
-    e.kind === 'cancellation-settled' || e.kind === 'job-ended' ? [e.outcome] : [],
+  effects.flatMap((effect) =>
+    effect.kind === 'cancellation-settled' || effect.kind === 'job-ended' ? [effect.outcome] : [],
   );
 
-describe('a cancellation that meets the end of a job’s last task', () => {
-  it('a moment after it: the job is done, and that is what its user is told, once it is stored', () => {
-    const { s, send, lastEnds } = atTheEnd();
-    const decided = send(lastEnds());
-    expect(outcomes([...decided, ...send(abort)])).toEqual([]);
-    expect(viewJob(s.state, id, s.now as Instant)).toBeNull();
-    expect(outcomes(send(saved(decided)))).toEqual(['done', 'done']);
-    expect(outcomes(send({ ...abort, ticket: 78 as ReplyTicket }))).toEqual([null]);
+describe('cancellation as the last task of a job ends', () => {
+  it('completes the job when the task ends first, and answers once the end is stored', () => {
+    const { driver, send, lastTaskEnded } = driveToLastTask();
+    const decided = send(lastTaskEnded());
+    expect(outcomes([...decided, ...send(cancelCommand)])).toEqual([]);
+    expect(viewJob(driver.state, id, driver.now as Instant)).toBeNull();
+    expect(outcomes(send(batchStored(decided)))).toEqual(['done', 'done']);
+    expect(outcomes(send({ ...cancelCommand, ticket: 78 as ReplyTicket }))).toEqual([null]);
   });
 
-  it('a moment before it: the job is cancelled, once and for all', () => {
-    const { s, send, lastEnds } = atTheEnd();
-    const decided = send(abort);
-    expect(outcomes([...decided, ...send(lastEnds())])).toEqual([]);
-    expect(viewJob(s.state, id, s.now as Instant)).toBeNull();
-    expect(outcomes(send(saved(decided)))).toEqual(['cancelled', 'cancelled']);
-    expect(s.state.jobs.size).toBe(0);
+  it('cancels the job when the request comes first, and keeps that end', () => {
+    const { driver, send, lastTaskEnded } = driveToLastTask();
+    const decided = send(cancelCommand);
+    expect(outcomes([...decided, ...send(lastTaskEnded())])).toEqual([]);
+    expect(viewJob(driver.state, id, driver.now as Instant)).toBeNull();
+    expect(outcomes(send(batchStored(decided)))).toEqual(['cancelled', 'cancelled']);
+    expect(driver.state.jobs.size).toBe(0);
   });
 
-  it('in one batch with it, and twice: one answer for all', () => {
-    const { s, send, lastEnds } = atTheEnd();
-    const decided = send(lastEnds(), abort, { ...abort, ticket: 78 as ReplyTicket });
-    expect(new Set(outcomes(send(saved(decided))))).toEqual(new Set(['done']));
-    expect(s.state.jobs.size).toBe(0);
+  it('gives repeated requests in one batch with it the same outcome', () => {
+    const { driver, send, lastTaskEnded } = driveToLastTask();
+    const decided = send(lastTaskEnded(), cancelCommand, {
+      ...cancelCommand,
+      ticket: 78 as ReplyTicket,
+    });
+    expect(new Set(outcomes(send(batchStored(decided))))).toEqual(new Set(['done']));
+    expect(driver.state.jobs.size).toBe(0);
   });
 });
 
-describe('a machine that is up within two seconds of its rental and gets work at once', () => {
-  it('while writes lag: nothing is sent before it is entered, and a leader that ends leaves no start unknown', () => {
+describe('a machine that boots within two seconds and gets work at once', () => {
+  it('is sent no start before its ledger entry is stored, so a failover knows all', () => {
     const state = core({ acquiredAt: 0 as Instant });
     let stored: StoreOperation[] = [];
     const run = (now: number, ...commands: Parameters<typeof applyCommands>[1][number][]) =>
@@ -87,35 +90,35 @@
       submittedAt: 3000 as Instant,
     });
     const more = [...asked, ...run(3600, { kind: 'tick' })];
-    const rent = more.find((e) => e.kind === 'provision');
-    if (rent?.kind !== 'provision') throw new Error('rents nothing');
-    const request = rent.request as ProvisionRequestId;
+    const provision = more.find((effect) => effect.kind === 'provision');
+    if (provision?.kind !== 'provision') throw new Error('provisions nothing');
+    const request = provision.request as ProvisionRequestId;
     run(3700, { kind: 'provision-result', request, result: 'ok', machines: ['n-1' as MachineId] });
     const first = run(4500, {
       kind: 'heartbeat',
       heartbeat: report('n-1', 1, 0, []),
       ticket: 1 as ReplyTicket,
     });
-    const save = first.find((e) => e.kind === 'store-batch');
-    if (save?.kind !== 'store-batch') throw new Error('enters nothing');
+    const save = first.find((effect) => effect.kind === 'store-batch');
+    if (save?.kind !== 'store-batch') throw new Error('stores nothing');
     stored = [...save.ops];
-    // The write lags; the answer that the worker waits for does not hold the starts, in no state of the write.
+    // The write lags: the reply that the worker waits for must not hold the starts.
     const answers = [...first, ...run(5500, { kind: 'tick' })].filter(
-      (e) => e.kind === 'reply-to-heartbeat',
+      (effect) => effect.kind === 'reply-to-heartbeat',
     );
     expect(answers).toMatchObject([{ ticket: 1, commands: [] }]);
-    // It was carried out all the same, and is learnt of late: the next answer brings the starts.
+    // The write is confirmed late: the next reply brings the starts.
     run(6000, { kind: 'batch-stored', batch: save.batch });
     const second = run(6100, {
       kind: 'heartbeat',
       heartbeat: report('n-1', 2, 7, []),
       ticket: 2 as ReplyTicket,
     });
-    const sent = second.flatMap((e) =>
-      e.kind === 'reply-to-heartbeat' && e.commands ? e.commands : [],
+    const sent = second.flatMap((effect) =>
+      effect.kind === 'reply-to-heartbeat' && effect.commands ? effect.commands : [],
     );
-    expect(sent.map((o) => o.op)).toEqual(['start', 'start', 'start', 'start']);
-    // The leader ends. Its successor knows each of them before it hears the machine, and starts none again.
+    expect(sent.map((command) => command.op)).toEqual(['start', 'start', 'start', 'start']);
+    // The leader ends. Its successor knows all attempts from the ledger, and starts none again.
     const next = core({ fencingToken: 8 as FencingToken, acquiredAt: 6200 as Instant });
     const commands: Parameters<typeof applyCommands>[1][number][] = [
       { kind: 'machine-types', types: [type('c8')] },
@@ -129,46 +132,46 @@
     applyCommands(next, [...commands, { kind: 'recovery-completed' }], 6200 as Instant, 'lead');
     expect(next.jobs.get(id)?.attemptsByTask.size).toBe(4);
     let starts = 0;
-    // A second machine has room for all of them; the first, which hears nothing, is not asked.
+    // A second machine has capacity for all of them; the first sends no heartbeat.
     for (let i = 1; i < 12; i += 1) {
-      const told = report('n-2', i, i < 2 ? 7 : 8, []);
+      const reported = report('n-2', i, i < 2 ? 7 : 8, []);
       const effects = applyCommands(
         next,
-        [{ kind: 'heartbeat', heartbeat: told, ticket: i as ReplyTicket }, { kind: 'tick' }],
+        [{ kind: 'heartbeat', heartbeat: reported, ticket: i as ReplyTicket }, { kind: 'tick' }],
         (6200 + i * 1000) as Instant,
         'lead',
       );
-      for (const e of effects)
-        if (e.kind === 'reply-to-heartbeat') starts += (e.commands ?? []).length;
+      for (const effect of effects)
+        if (effect.kind === 'reply-to-heartbeat') starts += (effect.commands ?? []).length;
     }
     expect(starts).toBe(0);
   });
 });
 
-describe('a job of three tasks that end far apart, across changes of leader', () => {
-  it('is done once, when the last has ended, and no task that has ended runs again', () => {
+describe('a job of three tasks that end far apart, across failovers', () => {
+  it('completes once, with its last task, and runs no finished task again', () => {
     let ledger: StoreOperation[] = [];
-    let finals = 0;
+    let completions = 0;
     const attempts = new Map<number, number>();
     const reaped = new Set<number>();
     let now = 0;
     for (let term = 7; term < 11; term += 1) {
       const state = core({ fencingToken: term as FencingToken, acquiredAt: now as Instant });
-      const keep = (effects: readonly Effect[]): Effect[] => {
+      const storeBatches = (effects: readonly Effect[]): Effect[] => {
         const all = [...effects];
-        for (const e of effects) {
-          if (e.kind !== 'store-batch') continue;
-          for (const op of e.ops) {
+        for (const effect of effects) {
+          if (effect.kind !== 'store-batch') continue;
+          for (const op of effect.ops) {
             if (op.kind === 'write-segment') ledger.push(op);
             else if (op.kind === 'drop-segment')
               ledger = ledger.filter((x) => x.kind !== 'write-segment' || x.key !== op.key);
-            else finals += 1;
+            else completions += 1;
           }
           all.push(
-            ...keep(
+            ...storeBatches(
               applyCommands(
                 state,
-                [{ kind: 'batch-stored', batch: e.batch }],
+                [{ kind: 'batch-stored', batch: effect.batch }],
                 now as Instant,
                 'lead',
               ),
@@ -191,10 +194,10 @@
         for (const row of op.machines)
           commands.push({ kind: 'recovered-attempts', segment: op.key, ...row });
       }
-      keep(
+      storeBatches(
         applyCommands(state, [...commands, { kind: 'recovery-completed' }], now as Instant, 'lead'),
       );
-      // In each term one more has ended; ended ones are shown until they are reaped.
+      // With each fencing token one more has ended; ended ones are reported until they are reaped.
       const ends = term - 7;
       for (let i = 0; i < 10; i += 1) {
         now += 2000;
@@ -209,42 +212,45 @@
               index < ends ? 'done' : null,
             ),
           );
-        const told = report('n-1', term * 100 + i, i < 1 ? term - 1 : term, tasks);
-        const effects = keep(
+        const reported = report('n-1', term * 100 + i, i < 1 ? term - 1 : term, tasks);
+        const effects = storeBatches(
           applyCommands(
             state,
-            [{ kind: 'heartbeat', heartbeat: told, ticket: i as ReplyTicket }, { kind: 'tick' }],
+            [
+              { kind: 'heartbeat', heartbeat: reported, ticket: i as ReplyTicket },
+              { kind: 'tick' },
+            ],
             now as Instant,
             'lead',
           ),
         );
-        for (const e of effects) {
-          if (e.kind !== 'reply-to-heartbeat') continue;
-          for (const o of e.commands ?? []) {
-            if (o.op === 'reap') reaped.add(o.index);
-            if (o.op !== 'start') continue;
-            expect(attempts.has(o.index), `task ${o.index} starts once`).toBe(false);
-            attempts.set(o.index, o.attempt);
+        for (const effect of effects) {
+          if (effect.kind !== 'reply-to-heartbeat') continue;
+          for (const command of effect.commands ?? []) {
+            if (command.op === 'reap') reaped.add(command.index);
+            if (command.op !== 'start') continue;
+            expect(attempts.has(command.index), `task ${command.index} starts once`).toBe(false);
+            attempts.set(command.index, command.attempt);
           }
         }
       }
-      expect(finals, `term ${term}`).toBe(term === 10 ? 1 : 0);
+      expect(completions, `term ${term}`).toBe(term === 10 ? 1 : 0);
     }
   });
 });
 
-describe('an old report that shows a new leader a task as done while another attempt of it runs', () => {
-  /** Term 8, which has read that attempt 2 of task 0 may be on n-2; a machine that is gone had done it as attempt 1. */
-  const lateEnd = () => {
+describe('a stale heartbeat that shows a task as done while another attempt of it runs', () => {
+  /** Recovered: attempt 2 of task 0 may be on n-2; a deleted machine had done it as attempt 1. */
+  const recoverWithStaleEnd = () => {
     const state = core({ fencingToken: 8 as FencingToken });
     const run = (now: number, ...commands: Parameters<typeof applyCommands>[1][number][]) => {
       const effects = applyCommands(state, commands, now as Instant, 'lead');
-      for (const e of [...effects])
-        if (e.kind === 'store-batch')
+      for (const effect of [...effects])
+        if (effect.kind === 'store-batch')
           effects.push(
             ...applyCommands(
               state,
-              [{ kind: 'batch-stored', batch: e.batch }],
+              [{ kind: 'batch-stored', batch: effect.batch }],
               now as Instant,
               'lead',
             ),
@@ -268,18 +274,18 @@
     return { state, run, effects };
   };
   const progressOf = (effects: readonly Effect[]) =>
-    effects.flatMap((e) =>
-      e.kind === 'store-batch'
-        ? e.ops.flatMap((op) => (op.kind === 'write-segment' ? op.progress : []))
+    effects.flatMap((effect) =>
+      effect.kind === 'store-batch'
+        ? effect.ops.flatMap((op) => (op.kind === 'write-segment' ? op.progress : []))
         : [],
     );
 
-  it('does not tell it as done until that attempt is proven gone: the next leader would not count it any more', () => {
-    const { state, run, effects } = lateEnd();
+  it('does not store the progress until that attempt is proven absent', () => {
+    const { state, run, effects } = recoverWithStaleEnd();
     for (let now = 1000; now < 6000; now += 500) effects.push(...run(now, { kind: 'tick' }));
     expect(state.jobs.get(id)?.doneCount).toBe(1);
     expect(progressOf(effects)).toEqual([]);
-    // n-2 hears this term, is told to stop it, and then shows that it has.
+    // n-2 is told to kill it, and its authoritative heartbeat then shows that it has.
     const tell = (now: number, seq: number, term: number, phase: 'running' | 'ended') => {
       const shown = task('job-1', 0, 7_000_002, phase, phase === 'ended' ? 'stopped' : null);
       return run(now, {
@@ -300,18 +306,18 @@
     expect(progressOf(after)).toHaveLength(1);
   });
 
-  it('is told to the next leader’s workers: one that still runs it is stopped', () => {
-    const s = new CoreDriver();
-    s.submit('job-1', { tasks: 2 });
+  it('kills attempts that workers still report after recovery knows the task as done', () => {
+    const driver = new CoreDriver();
+    driver.submit('job-1', { tasks: 2 });
     const bits = new Uint8Array([1]);
-    s.send({
+    driver.send({
       kind: 'recovered-progress',
       segment: segmentKey(6 as FencingToken, 1),
       job: id,
       firstTask: 0,
       bits,
     });
-    const orders = s.checkIn('n-2', [task('job-1', 0, 6_000_002)]) ?? [];
-    expect(orders).toMatchObject([{ op: 'kill', attempt: 6_000_002 }]);
+    const commands = driver.checkIn('n-2', [task('job-1', 0, 6_000_002)]) ?? [];
+    expect(commands).toMatchObject([{ op: 'kill', attempt: 6_000_002 }]);
   });
 });
--- /dev/null
+++ b/test/duplicated-messages.test.ts
@@ -0,0 +1,97 @@
+/** Late and repeated copies of messages to the core. */
+import { describe, expect, it } from 'vitest';
+import { applyCommands } from '../src/core/apply-commands.js';
+import { segmentKey } from '../src/core/ledger/segments.js';
+import type { Command } from '../src/core/model/command.js';
+import type { Effect } from '../src/core/model/effect.js';
+import type {
+  FencingToken,
+  JobId,
+  MachineId,
+  ReplyTicket,
+  TeamName,
+} from '../src/core/model/ids.js';
+import type { Instant } from '../src/core/model/time.js';
+import { core, entry, job, recordedAt, report, type } from './model/build.js';
+import { CoreDriver, running } from './model/core-driver.js';
+
+const hasRequestedDeletion = (effects: readonly Effect[], id: string) =>
+  effects.some(
+    (effect) => effect.kind === 'delete-machines' && effect.machines.includes(id as MachineId),
+  );
+
+describe('late copies of messages', () => {
+  it('prove and release nothing when heartbeats are stale or of deleted machines', () => {
+    const driver = new CoreDriver();
+    driver.up('n-1');
+    driver.submit('job-1', { tasks: 3 });
+    const starts = driver.starts(driver.checkIn('n-1'));
+    driver.checkIn('n-1', starts.map(running));
+    const { teamUsage: usage } = driver.state;
+    for (const copy of [
+      report('n-1', 1, 7, []),
+      report('n-1', 2, 6, []),
+      report('n-1', 99, 7, [], { agentEpoch: 0 }),
+    ]) {
+      const lastSeen = driver.state.machines.get('n-1' as MachineId)!.lastHeartbeatAt;
+      driver.now += 3000;
+      driver.send({ kind: 'heartbeat', heartbeat: copy, ticket: 500 as ReplyTicket });
+      expect(usage.get('blue' as TeamName)?.cpus).toBe(3);
+      expect(driver.state.machines.get('n-1' as MachineId)!.lastHeartbeatAt).toBe(lastSeen);
+    }
+    driver.send({ kind: 'deletion-result', machines: ['n-1' as MachineId], ok: true });
+    driver.send({
+      kind: 'heartbeat',
+      heartbeat: report('n-1', 200, 7, starts.map(running)),
+      ticket: 501 as ReplyTicket,
+    });
+    expect(driver.state.machines.size).toBe(0);
+    expect(driver.state.jobs.get('job-1' as JobId)?.pendingTasks).toBe(3);
+  });
+
+  it('release no recovered attempt when they show a new leader a machine first', () => {
+    const state = core();
+    const send = (now: number, ...commands: Command[]) =>
+      applyCommands(state, commands, now as Instant, 'lead');
+    const segment = segmentKey(6 as FencingToken, 1);
+    send(
+      0,
+      { kind: 'machine-types', types: [type('c8')] },
+      { kind: 'job', spec: job('job-1', { tasks: 2 }), submittedAt: 0 as Instant },
+      {
+        kind: 'recovered-attempts',
+        segment,
+        machine: 'n-1' as MachineId,
+        attributes: recordedAt,
+        entries: [entry(0, 5), entry(1, 6)],
+      },
+      { kind: 'recovery-completed' },
+    );
+    send(1000, { kind: 'heartbeat', heartbeat: report('n-1', 1, 6, []), ticket: 1 as ReplyTicket });
+    send(9000, { kind: 'heartbeat', heartbeat: report('n-1', 2, 6, []), ticket: 2 as ReplyTicket });
+    expect(state.teamUsage.get('blue' as TeamName)?.cpus).toBe(2);
+    let deleted = false;
+    for (let now = 9500; now < 30_000; now += 500)
+      deleted ||= hasRequestedDeletion(send(now, { kind: 'tick' }), 'n-1');
+    expect(deleted).toBe(true);
+  });
+
+  it('change nothing when they repeat a provision result, a deletion or a submission', () => {
+    const driver = new CoreDriver();
+    driver.submit('job-1');
+    const provision = driver.effects.find((effect) => effect.kind === 'provision');
+    if (provision?.kind !== 'provision') throw new Error('nothing provisioned');
+    const answer: Command = {
+      kind: 'provision-result',
+      request: provision.request,
+      result: 'ok',
+      machines: ['n-1' as MachineId],
+    };
+    driver.send(answer);
+    driver.send({ kind: 'deletion-result', machines: ['n-1' as MachineId], ok: true });
+    driver.send(answer, { kind: 'deletion-result', machines: ['n-1' as MachineId], ok: true });
+    expect(driver.state.machines.size).toBe(0);
+    driver.send({ kind: 'job', spec: job('job-1', { tasks: 9 }), submittedAt: 0 as Instant });
+    expect(driver.state.jobs.get('job-1' as JobId)?.spec.tasks).toBe(1);
+  });
+});
--- /dev/null
+++ b/test/fault-handling.test.ts
@@ -0,0 +1,355 @@
+/** Faulty machines, failing jobs, malformed messages, and what a leader does about each. */
+import { describe, expect, it } from 'vitest';
+import { applyCommands } from '../src/core/apply-commands.js';
+import { segmentKey } from '../src/core/ledger/segments.js';
+import { explainJob, viewJob } from '../src/core/lifecycle/job-view.js';
+import type { Effect } from '../src/core/model/effect.js';
+import type { FencingToken, JobId, MachineId, ReplyTicket } from '../src/core/model/ids.js';
+import type { Instant } from '../src/core/model/time.js';
+import { core, job, report, task, type } from './model/build.js';
+import { CoreDriver, ended, running } from './model/core-driver.js';
+
+const SEGMENT = segmentKey(6 as FencingToken, 1);
+
+describe('faulty machines', () => {
+  it('are replaced when they fail tasks of several jobs', () => {
+    const driver = new CoreDriver();
+    driver.submit('job-1');
+    driver.submit('job-2');
+    const starts = driver.starts(driver.up('n-1'));
+    expect(starts).toHaveLength(2);
+    driver.checkIn(
+      'n-1',
+      starts.map((command) => ended(command, 'error')),
+    );
+    expect(driver.state.machines.get('n-1' as MachineId)?.isDraining).toBe(true);
+    driver.checkIn('n-1');
+    expect(
+      driver
+        .pass(1000)
+        .some(
+          (effect) =>
+            effect.kind === 'delete-machines' && effect.machines.includes('n-1' as MachineId),
+        ),
+    ).toBe(true);
+  });
+
+  it('are not blamed for a job that fails on all of them, which backs off', () => {
+    const driver = new CoreDriver();
+    driver.submit('job-1', { tasks: 1 });
+    let tries = 0;
+    for (const id of ['n-1', 'n-2', 'n-3']) driver.up(id);
+    for (let round = 0; round < 40; round += 1) {
+      for (const id of ['n-1', 'n-2', 'n-3']) {
+        const starts = driver.starts(driver.checkIn(id));
+        tries += starts.length;
+        if (starts.length > 0)
+          driver.checkIn(
+            id,
+            starts.map((command) => ended(command, 'error')),
+          );
+      }
+    }
+    expect(tries).toBeGreaterThan(3);
+    expect(tries).toBeLessThan(14);
+    for (const machine of driver.state.machines.values()) expect(machine.isDraining).toBe(false);
+    // It does not block the queue: another job gets the machines at once.
+    driver.submit('job-2', { tasks: 8 });
+    expect(driver.state.queueHead).not.toBe('job-1');
+    expect(explainJob(driver.state, 'job-1' as JobId, driver.now as Instant)?.failsEverywhere).toBe(
+      true,
+    );
+  });
+
+  it('have their tasks started elsewhere only once the cloud has deleted them', () => {
+    const driver = new CoreDriver();
+    for (const id of ['n-1', 'n-2', 'n-3']) driver.up(id);
+    driver.submit('job-1');
+    const holder = ['n-1', 'n-2', 'n-3'].find(
+      (id) => driver.starts(driver.checkIn(id)).length > 0,
+    )!;
+    const others = ['n-1', 'n-2', 'n-3'].filter((id) => id !== holder);
+    for (let i = 0; i < 3; i += 1) {
+      driver.pass(2500);
+      for (const id of others) expect(driver.starts(driver.checkIn(id))).toEqual([]);
+    }
+    const asked = driver.effects.flatMap((effect) =>
+      effect.kind === 'delete-machines' ? effect.machines : [],
+    );
+    expect(asked).toContain(holder);
+    driver.send({ kind: 'deletion-result', machines: [holder as MachineId], ok: true });
+    const again = others.flatMap((id) => driver.starts(driver.checkIn(id)));
+    expect(again).toHaveLength(1);
+    // Late heartbeats of the deleted machine change nothing.
+    expect(driver.checkIn(holder, [])).toBeNull();
+    expect(driver.state.machines.has(holder as MachineId)).toBe(false);
+  });
+
+  it('are not deleted at once when most fall silent together', () => {
+    const driver = new CoreDriver();
+    const ids = ['n-1', 'n-2', 'n-3', 'n-4'];
+    for (const id of ids) driver.up(id);
+    // Their last heartbeats come a moment apart.
+    for (const id of ids) {
+      driver.send({ kind: 'heartbeat', heartbeat: report(id, 50, 7), ticket: 800 as ReplyTicket });
+      driver.now += 400;
+    }
+    expect(driver.pass(20_000).filter((effect) => effect.kind === 'delete-machines')).toEqual([]);
+    expect(driver.pass(20_000).filter((effect) => effect.kind === 'delete-machines')).not.toEqual(
+      [],
+    );
+  });
+
+  it('are drained on a reclaim notice: tasks are checkpointed, or killed if too long', () => {
+    const driver = new CoreDriver();
+    driver.submit('job-1', {
+      tasks: 1,
+      estimateS: 100,
+      checkpointIntervalS: 10,
+      checkpointWriteS: 3,
+    });
+    driver.submit('job-2', { tasks: 1, estimateS: 100 });
+    driver.submit('job-3', { tasks: 1, estimateS: 2 });
+    const starts = driver.starts(driver.up('n-1'));
+    expect(starts).toHaveLength(3);
+    driver.checkIn('n-1', starts.map(running));
+    driver.checkIn('n-1', starts.map(running), { reclaimNoticeS: 9 });
+    driver.pass(500);
+    const commands = driver.checkIn('n-1', starts.map(running), { reclaimNoticeS: 8.5 }) ?? [];
+    const kills = new Map(
+      commands
+        .filter((command) => command.op === 'kill')
+        .map((command) => [command.job as string, command]),
+    );
+    expect([...kills.keys()].sort()).toEqual(['job-1', 'job-2']);
+    expect(kills.get('job-1')).toMatchObject({ graceS: expect.closeTo(8, 0) });
+    expect(kills.get('job-2')).toMatchObject({ graceS: 0 });
+  });
+
+  it('are not assumed to have failed to boot when a new leader learns of them late', () => {
+    const driver = new CoreDriver();
+    const machines = [
+      {
+        id: 'n-7' as MachineId,
+        endpoint: '127.0.0.1:9',
+        type: 'c8' as never,
+        zone: 'a' as never,
+        spot: true,
+        status: 'running' as const,
+        ageS: 900,
+      },
+    ];
+    driver.send({ kind: 'machines-listed', askedAt: driver.now as Instant, machines });
+    expect(driver.pass(10_000).filter((effect) => effect.kind === 'delete-machines')).toEqual([]);
+  });
+
+  it('are replaced when they never come up', () => {
+    const driver = new CoreDriver();
+    driver.submit('job-1');
+    const provision = driver.effects.find((effect) => effect.kind === 'provision');
+    if (provision?.kind !== 'provision') throw new Error('nothing provisioned');
+    driver.send({
+      kind: 'provision-result',
+      request: provision.request,
+      result: 'ok',
+      machines: ['n-1' as MachineId],
+    });
+    expect(driver.pass(60_000).filter((effect) => effect.kind === 'delete-machines')).toEqual([]);
+    expect(driver.pass(10_000).find((effect) => effect.kind === 'delete-machines')).toMatchObject({
+      machines: ['n-1'],
+    });
+  });
+});
+
+describe('malformed input', () => {
+  it('kills a reported task that its job does not have, and does not count it for the job', () => {
+    const driver = new CoreDriver();
+    driver.submit('job-1', { tasks: 2 });
+    const starts = driver.starts(driver.up('n-1'));
+    const unknownTask = task('job-1', 999_999_999, 3);
+    const commands = driver.checkIn('n-1', [...starts.map(running), unknownTask]);
+    expect(commands).toMatchObject([{ op: 'kill', index: 999_999_999 }]);
+    driver.checkIn('n-1', starts.map(running));
+    expect(driver.state.jobs.get('job-1' as JobId)?.pendingTasks).toBe(0);
+    expect(
+      driver.starts(driver.checkIn('n-1', []) ?? []).every((command) => command.index < 2),
+    ).toBe(true);
+  });
+
+  it('ignores a progress record that cannot be the job’s', () => {
+    const state = core();
+    applyCommands(
+      state,
+      [{ kind: 'job', spec: job('job-1', { tasks: 3 }), submittedAt: 0 as Instant }],
+      0 as Instant,
+      'lead',
+    );
+    for (const from of [-8, 8, 4, 8192, Number.NaN, 0.5]) {
+      const bits = Uint8Array.of(255);
+      applyCommands(
+        state,
+        [
+          {
+            kind: 'recovered-progress',
+            segment: SEGMENT,
+            job: 'job-1' as JobId,
+            firstTask: from,
+            bits,
+          },
+        ],
+        0 as Instant,
+        'lead',
+      );
+    }
+    expect(state.jobs.get('job-1' as JobId)).toMatchObject({ doneCount: 0, pendingTasks: 3 });
+  });
+});
+
+describe('a leader', () => {
+  it('provisions nothing before it has read the machine list, and reuses no request id', () => {
+    const state = core();
+    const tick = (at: number) => applyCommands(state, [{ kind: 'tick' }], at as Instant, 'lead');
+    applyCommands(
+      state,
+      [{ kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' }],
+      0 as Instant,
+      'lead',
+    );
+    expect(
+      [1000, 2000, 3000].flatMap(tick).filter((effect) => effect.kind === 'provision'),
+    ).toEqual([]);
+    applyCommands(
+      state,
+      [{ kind: 'machines-listed', askedAt: 3000 as Instant, machines: [] }],
+      3000 as Instant,
+      'lead',
+    );
+    const names: string[] = [];
+    for (let at = 4000; at < 90_000; at += 500) {
+      for (const effect of tick(at)) {
+        if (effect.kind !== 'provision') continue;
+        names.push(effect.request);
+        applyCommands(
+          state,
+          [{ kind: 'provision-result', request: effect.request, result: 'refused', machines: [] }],
+          at as Instant,
+          'lead',
+        );
+      }
+    }
+    expect(names.length).toBeGreaterThan(5);
+    expect(new Set(names).size).toBe(names.length);
+    for (const name of names) expect(name).toMatch(/^r-7-/);
+  });
+
+  it('keeps workers alive with empty replies without a lease, and then turns them away', () => {
+    const driver = new CoreDriver();
+    driver.submit('job-1', { tasks: 4 });
+    const starts = driver.starts(driver.up('n-1'));
+    expect(starts).toHaveLength(4);
+    driver.submit('job-2', { tasks: 4 });
+    expect(driver.checkIn('n-1', starts.map(running), {}, 'keep-alive')).toEqual([]);
+    const silent = driver.run('keep-alive', [{ kind: 'tick' }]);
+    expect(silent.filter((effect) => effect.kind !== 'log')).toEqual([]);
+    expect(driver.checkIn('n-1', starts.map(running), {}, 'none')).toBeNull();
+  });
+
+  it('keeps a recovered attempt until an authoritative heartbeat proves it absent', () => {
+    const state = core();
+    const entry = {
+      job: 'job-1',
+      index: 0,
+      attempt: 5,
+      team: 'blue',
+      cpus: 1,
+      gpus: 0,
+      memoryGb: 1,
+    } as never;
+    const at = { type: 'c8', zone: 'a', spot: false } as never;
+    state.config.teams.get('blue' as never);
+    applyCommands(
+      state,
+      [{ kind: 'job', spec: job('job-1'), submittedAt: 0 as Instant }],
+      0 as Instant,
+      'lead',
+    );
+    applyCommands(
+      state,
+      [
+        {
+          kind: 'recovered-attempts',
+          segment: SEGMENT,
+          machine: 'n-1' as MachineId,
+          attributes: at,
+          entries: [entry],
+        },
+      ],
+      0 as Instant,
+      'lead',
+    );
+    const driver = new CoreDriver(state);
+    driver.up('n-2');
+    expect(driver.starts(driver.checkIn('n-2'))).toEqual([]);
+    // A heartbeat with an older fencing token and a direct response prove no absence.
+    driver.send({ kind: 'heartbeat', heartbeat: report('n-1', 1, 6), ticket: 900 as ReplyTicket });
+    driver.send({ kind: 'heartbeat', heartbeat: report('n-1', 2, 7), ticket: null });
+    expect(driver.starts(driver.checkIn('n-2'))).toEqual([]);
+    driver.send({ kind: 'heartbeat', heartbeat: report('n-1', 3, 7), ticket: 901 as ReplyTicket });
+    const starts = [...driver.starts(driver.checkIn('n-2'))];
+    for (const effect of driver.effects)
+      if (effect.kind === 'reply-to-heartbeat' && effect.ticket === 901)
+        starts.push(...driver.starts(effect.commands));
+    expect(starts).toHaveLength(1);
+    expect(starts[0]?.attempt).toBeGreaterThan(7_000_000 - 1);
+  });
+
+  it('commands the worker to reap a result only once its progress is stored', () => {
+    const driver = new CoreDriver();
+    driver.submit('job-1', { tasks: 2 });
+    const starts = driver.starts(driver.up('n-1'));
+    const reported = [ended(starts[0]!, 'done'), running(starts[1]!)];
+    const held: Effect[] = applyCommands(
+      driver.state,
+      [
+        {
+          kind: 'heartbeat',
+          heartbeat: report('n-1', 50, 7, reported),
+          ticket: 700 as ReplyTicket,
+        },
+      ],
+      driver.now as Instant,
+      'lead',
+    );
+    const answer = held.find((effect) => effect.kind === 'reply-to-heartbeat');
+    expect(answer).toMatchObject({ commands: [] });
+    driver.pass(2000);
+    const later = driver.state.machines.get('n-1' as MachineId)!;
+    later.heartbeatSequence = 0;
+    expect(driver.checkIn('n-1', reported)).toMatchObject([
+      { op: 'reap', index: starts[0]!.index },
+    ]);
+  });
+
+  it('kills a cancelled job at once, also starts under way, and confirms it once stored', () => {
+    const driver = new CoreDriver();
+    driver.submit('job-1', { tasks: 2 });
+    const starts = driver.starts(driver.up('n-1'));
+    driver.checkIn('n-1', [running(starts[0]!)]);
+    const effects = driver.send({
+      kind: 'cancel-job',
+      job: 'job-1' as JobId,
+      ticket: 77 as ReplyTicket,
+    });
+    const kinds = effects.map((effect) => effect.kind);
+    expect(kinds.indexOf('store-batch')).toBeLessThan(kinds.indexOf('cancellation-settled'));
+    expect(effects.find((effect) => effect.kind === 'send-commands')).toMatchObject({
+      commands: [{ op: 'kill' }, { op: 'kill' }],
+    });
+    // The worker received the second start after all: the kills are sent again.
+    expect(driver.checkIn('n-1', starts.map(running))).toMatchObject([
+      { op: 'kill' },
+      { op: 'kill' },
+    ]);
+    expect(viewJob(driver.state, 'job-1' as JobId, driver.now as Instant)).toBeNull();
+  });
+});
--- a/test/one-task-jobs.test.ts
+++ b/test/one-task-jobs.test.ts
@@ -1,4 +1,4 @@
-/** One-task jobs, four a second for minutes, a quarter of them cancelled: what they cost the state service and what is kept of them. */
+/** Load of one-task jobs: what they cost the key-value store, and what is kept of them. */
 import { describe, expect, it } from 'vitest';
 import { applyCommands } from '../src/core/apply-commands.js';
 import type { Command } from '../src/core/model/command.js';
@@ -13,7 +13,7 @@
 const WRITE_RPS = 40;
 
 describe('one-task jobs, four a second, a quarter of them cancelled', () => {
-  it('are stored within the rate beside their admissions, end in time, and leave nothing behind', () => {
+  it('are stored within the write rate, end in time, and leave nothing behind', () => {
     const state = core({
       teams: new Map([team('blue', 200)].map((t) => [t.name, t])),
       storeWritesPerSecond: WRITE_RPS,
@@ -23,37 +23,37 @@
     let changes = 0;
     let largestLedger = 0;
     const asked = new Map<string, number>();
-    const waits = { told: 0, cancel: 0 };
+    const waits = { settled: 0, cancel: 0 };
     const over = new Set<string>();
     const held = Array.from(
       { length: MACHINES },
-      () => [] as { order: WorkerCommand; from: number }[],
+      () => [] as { command: WorkerCommand; from: number }[],
     );
     const saving: { at: number; batch: number }[] = [];
     const send = (...commands: Command[]): Effect[] => {
       const effects = applyCommands(state, commands, now as Instant, 'lead');
-      for (const e of effects) {
-        if (e.kind === 'store-batch') {
-          for (const op of e.ops) changes += op.kind === 'job-completion' ? 2 : 1;
-          saving.push({ at: now + 20, batch: e.batch });
+      for (const effect of effects) {
+        if (effect.kind === 'store-batch') {
+          for (const op of effect.ops) changes += op.kind === 'job-completion' ? 2 : 1;
+          saving.push({ at: now + 20, batch: effect.batch });
         }
-        if (e.kind === 'job-ended') over.add(e.job);
-        if (e.kind === 'cancellation-settled') {
-          waits.told += 1;
-          waits.cancel = Math.max(waits.cancel, now - asked.get(`job-${e.ticket}`)!);
+        if (effect.kind === 'job-ended') over.add(effect.job);
+        if (effect.kind === 'cancellation-settled') {
+          waits.settled += 1;
+          waits.cancel = Math.max(waits.cancel, now - asked.get(`job-${effect.ticket}`)!);
         }
-        if (e.kind === 'reply-to-heartbeat' && e.commands) {
-          const at = (e.ticket as number) % 100;
-          for (const order of e.commands) {
+        if (effect.kind === 'reply-to-heartbeat' && effect.commands) {
+          const at = (effect.ticket as number) % 100;
+          for (const command of effect.commands) {
             const tasks = held[at]!;
-            if (order.op === 'start') tasks.push({ order, from: now });
-            else held[at] = tasks.filter((t) => t.order.attempt !== order.attempt);
+            if (command.op === 'start') tasks.push({ command, from: now });
+            else held[at] = tasks.filter((t) => t.command.attempt !== command.attempt);
           }
         }
-        if (e.kind === 'send-commands') {
-          const at = Number(e.machine.slice(2));
-          const killed = new Set(e.commands.map((o) => o.attempt));
-          held[at] = held[at]!.filter((t) => !killed.has(t.order.attempt));
+        if (effect.kind === 'send-commands') {
+          const at = Number(effect.machine.slice(2));
+          const killed = new Set(effect.commands.map((command) => command.attempt));
+          held[at] = held[at]!.filter((t) => !killed.has(t.command.attempt));
         }
       }
       return effects;
@@ -82,19 +82,19 @@
       if (now % 2000 === 0) {
         seq += 1;
         for (let i = 0; i < MACHINES; i += 1) {
-          const told = held[i]!.map(({ order, from }) => {
+          const reported = held[i]!.map(({ command, from }) => {
             const ended = now - from >= TASK_MS;
             return task(
-              order.job,
-              order.index,
-              order.attempt,
+              command.job,
+              command.index,
+              command.attempt,
               ended ? 'ended' : 'running',
               ended ? 'done' : null,
             );
           });
           send({
             kind: 'heartbeat',
-            heartbeat: report(`n-${i}`, seq, seq < 2 ? 0 : 7, told),
+            heartbeat: report(`n-${i}`, seq, seq < 2 ? 0 : 7, reported),
             ticket: (seq * 100 + i + 100_000) as ReplyTicket,
           });
         }
@@ -105,7 +105,7 @@
     expect(n).toBe(940);
     expect(over.size).toBe(n);
     expect(state.jobs.size).toBe(0);
-    expect(waits.told).toBeGreaterThan(150);
+    expect(waits.settled).toBeGreaterThan(150);
     expect(waits.cancel).toBeLessThan(2000);
     // Beside their admissions, one change each, a second's changes stay well below the limit.
     expect((changes + n) / (SUBMIT_MS / 1000)).toBeLessThan(WRITE_RPS * 0.75);
--- /dev/null
+++ b/test/starvation.test.ts
@@ -0,0 +1,87 @@
+/** No job starves: none waits 90 s beside capacity that fits while its team is within quota. */
+import { describe, expect, it } from 'vitest';
+import { core, type task } from './model/build.js';
+import { CoreDriver, ended, running } from './model/core-driver.js';
+
+/** Plays heartbeats, while all tasks go on, until a task of the job starts; the wait in ms. */
+const waitForStart = (
+  driver: CoreDriver,
+  ids: readonly string[],
+  job: string,
+  reported: Map<string, ReturnType<typeof task>[]>,
+) => {
+  const from = driver.now;
+  while (driver.now - from < 240_000) {
+    for (const id of ids) {
+      const tasks = reported.get(id) ?? [];
+      for (const command of driver.starts(driver.checkIn(id, tasks))) {
+        if (command.job === job) return driver.now - from;
+        tasks.push(running(command));
+      }
+      reported.set(id, tasks);
+    }
+    driver.now += 1000;
+  }
+  return Number.POSITIVE_INFINITY;
+};
+
+describe('a job that waits beside free capacity', () => {
+  it('gets capacity that is reserved for the queue head before 90 s, but not at once', () => {
+    const driver = new CoreDriver();
+    driver.submit('job-1', { tasks: 1, cpus: 4, estimateS: 1000 });
+    const first = driver.starts(driver.up('n-1'));
+    const reported = new Map([['n-1', first.map(running)]]);
+    driver.submit('job-2', { tasks: 1, cpus: 8, estimateS: 10, priority: 'critical' });
+    driver.checkIn('n-1', reported.get('n-1')!);
+    driver.submit('job-3', { tasks: 3, cpus: 1, estimateS: 5000, priority: 'best_effort' });
+    const after = waitForStart(driver, ['n-1'], 'job-3', reported);
+    expect(driver.state.queueHead).toBe('job-2');
+    expect(after).toBeGreaterThan(60_000);
+    expect(after).toBeLessThan(90_000);
+  });
+
+  it('gets capacity again in time after it lost all its attempts, with tasks done', () => {
+    const driver = new CoreDriver();
+    driver.submit('job-1', { tasks: 1, cpus: 4, estimateS: 1000 });
+    const first = driver.starts(driver.up('n-1'));
+    driver.submit('job-3', { tasks: 3, cpus: 1, estimateS: 5000, priority: 'best_effort' });
+    driver.checkIn('n-1', first.map(running));
+    const three = driver.starts(driver.checkIn('n-1', first.map(running)));
+    driver.submit('job-2', { tasks: 1, cpus: 8, estimateS: 10, priority: 'critical' });
+    const parts = three.map((command, i) => ended(command, i === 0 ? 'done' : 'stopped'));
+    driver.checkIn('n-1', [...first.map(running), ...parts]);
+    const after = waitForStart(driver, ['n-1'], 'job-3', new Map([['n-1', first.map(running)]]));
+    expect(after).toBeLessThan(90_000);
+  });
+
+  it('gets capacity that is kept for services before 90 s where there is no other', () => {
+    const driver = new CoreDriver(core());
+    const ordinary = { spot: false };
+    driver.up('n-1', ordinary);
+    driver.submit('job-9', {
+      shape: 'service',
+      tasks: 1,
+      cpus: 1,
+      estimateS: 0,
+      allowsSpot: false,
+    });
+    const replica = driver.starts(driver.checkIn('n-1', [], ordinary));
+    const reported = new Map([['n-1', replica.map(running)]]);
+    driver.checkIn('n-1', reported.get('n-1')!, ordinary);
+    driver.submit('job-1', { tasks: 2, cpus: 1, estimateS: 50 });
+    const after = waitForStart(driver, ['n-1'], 'job-1', reported);
+    expect(after).toBeGreaterThan(60_000);
+    expect(after).toBeLessThan(90_000);
+  });
+
+  it('is placed again on the only feasible machine after that failed it once', () => {
+    const driver = new CoreDriver();
+    driver.submit('job-1', { tasks: 1 });
+    const first = driver.starts(driver.up('n-1'));
+    driver.checkIn(
+      'n-1',
+      first.map((command) => ended(command, 'error')),
+    );
+    expect(waitForStart(driver, ['n-1'], 'job-1', new Map())).toBeLessThan(90_000);
+  });
+});
