--- a/packages/drain/src/core/drain-events.ts
+++ b/packages/drain/src/core/drain-events.ts
@@ -17,13 +17,13 @@
 
 /** Takes in events between decisions. */
 export class DrainEventHandler {
-  constructor(private readonly parts: DrainEventParts) {}
+  constructor(private readonly collaborators: DrainEventParts) {}
 
   /** Takes an event in; returns the writes that it calls for, which the next decision requests. */
   handle(event: ExtensionEvent, moment: Moment): readonly RecordWrite[] {
     switch (event.kind) {
       case 'released':
-        this.parts.disruptions.handleReleased(event.attempt, event.how, moment);
+        this.collaborators.disruptions.handleReleased(event.attempt, event.how, moment);
         return [];
       case 'provision-result':
         return this.handleProvisionResult(event, moment);
@@ -38,7 +38,7 @@
 
   /** Assigns the provisioned machines to the machines that wait for this request. */
   private handleProvisionResult(event: ProvisionResult, moment: Moment): RecordWrite[] {
-    const { registry, replacements } = this.parts;
+    const { registry, replacements } = this.collaborators;
     if (!replacements.handleProvisionResult(event, moment)) return [];
     const writes: RecordWrite[] = [];
     for (const drain of registry.drains.values()) {
@@ -54,15 +54,15 @@
   }
 
   private handleStored(writes: readonly RecordWrite[], moment: Moment): void {
-    this.parts.writes.completeWrites(writes);
-    for (const { key } of writes) this.parts.disruptionRecords.handleStored(key, moment);
+    this.collaborators.writes.completeWrites(writes);
+    for (const { key } of writes) this.collaborators.disruptionRecords.handleStored(key, moment);
   }
 
   private handleRefused(writes: readonly RecordWrite[]): void {
-    this.parts.writes.completeWrites(writes);
+    this.collaborators.writes.completeWrites(writes);
     for (const { key } of writes) {
-      this.parts.disruptionRecords.handleRefused(key);
-      this.parts.registry.handleRefusedRecord(key);
+      this.collaborators.disruptionRecords.handleRefused(key);
+      this.collaborators.registry.handleRefusedRecord(key);
     }
   }
 }
--- a/packages/drain/src/core/drain-manager.ts
+++ b/packages/drain/src/core/drain-manager.ts
@@ -50,7 +50,7 @@
     const registry = new DrainRegistry(writes, progress);
     const disruptions = new DisruptionTracker(registry, budget);
     const disruptionRecords = new DisruptionRecords(budget, writes);
-    const parts = { settings, registry, budget, progress, replacements };
+    const collaborators = { settings, registry, budget, progress, replacements };
     this.budget = budget;
     this.progress = progress;
     this.replacements = replacements;
@@ -65,7 +65,7 @@
       disruptionRecords,
       writes,
     });
-    this.stepper = new DrainStepper(parts, new MachineDrainer(parts), (context) =>
+    this.stepper = new DrainStepper(collaborators, new MachineDrainer(collaborators), (context) =>
       this.constraintsOf(context),
     );
   }
--- a/packages/drain/src/core/drain-stepper.ts
+++ b/packages/drain/src/core/drain-stepper.ts
@@ -13,14 +13,14 @@
   private readonly nextStepAt = new Map<DrainName, number>();
 
   constructor(
-    private readonly parts: MachineDrainerParts,
+    private readonly collaborators: MachineDrainerParts,
     private readonly machineDrainer: MachineDrainer,
     private readonly constraintsOf: (context: DecisionContext) => StepConstraints,
   ) {}
 
   /** Until the fleet has reported, machines that were taken out of use stay so. */
   keepCordons(drain: Drain, { requests }: DecisionContext): void {
-    const { progress } = this.parts;
+    const { progress } = this.collaborators;
     progress.beginDecision(drain);
     progress.block(drain, { kind: 'fleet-unsettled' });
     for (const { machine, phase } of drain.machinesInStep.values()) {
@@ -31,7 +31,7 @@
   /** Advances the machines of the current step, and begins the next one when none is left. */
   advance(drain: Drain, context: DecisionContext): void {
     if (isFinished(drain) && drain.machinesInStep.size === 0) return;
-    this.parts.progress.beginDecision(drain);
+    this.collaborators.progress.beginDecision(drain);
     this.pauseAtDeadline(drain, context);
     this.advanceMachines(drain, context);
     if (isActive(drain) && drain.machinesInStep.size === 0) this.beginStep(drain, context);
@@ -40,7 +40,7 @@
   private pauseAtDeadline(drain: Drain, context: DecisionContext): void {
     const { deadlineAt } = drain;
     if (!isActive(drain) || deadlineAt === null || context.moment.timeOfDay < deadlineAt) return;
-    this.parts.registry.setPhase(drain, 'paused', 'its deadline has passed', context);
+    this.collaborators.registry.setPhase(drain, 'paused', 'its deadline has passed', context);
   }
 
   private advanceMachines(drain: Drain, context: DecisionContext): void {
@@ -49,12 +49,12 @@
       this.machineDrainer.advance(drain, machineDrain, context);
       attempts += context.fleet.machines.get(machineDrain.machine)?.placements.size ?? 0;
     }
-    this.parts.progress.recordRemainingAttempts(drain, attempts, context.moment);
+    this.collaborators.progress.recordRemainingAttempts(drain, attempts, context.moment);
   }
 
   /** A step begins only once the work that the last one disrupted runs again. */
   private beginStep(drain: Drain, context: DecisionContext): void {
-    const { budget, progress } = this.parts;
+    const { budget, progress } = this.collaborators;
     if (context.moment.now < (this.nextStepAt.get(drain.request.name) ?? 0)) {
       progress.keepPreviousBlockers(drain);
       return;
@@ -66,7 +66,7 @@
   }
 
   private takeStep(drain: Drain, context: DecisionContext): void {
-    const { registry, progress, replacements } = this.parts;
+    const { registry, progress, replacements } = this.collaborators;
     const { remaining, chosen, blocker } = selectStep(drain, this.constraintsOf(context), context);
     if (remaining === 0) {
       // Machines that left before a step took them were lost or reclaimed.
--- a/packages/drain/src/core/machine-drainer.ts
+++ b/packages/drain/src/core/machine-drainer.ts
@@ -37,11 +37,11 @@
 
 /** Moves machines of a step on, one phase at a time. */
 export class MachineDrainer {
-  constructor(private readonly parts: MachineDrainerParts) {}
+  constructor(private readonly collaborators: MachineDrainerParts) {}
 
   /** Does what the machine's phase calls for, and notes what holds it up. */
   advance(drain: Drain, machineDrain: MachineDrain, context: DecisionContext): void {
-    const { registry, progress, replacements } = this.parts;
+    const { registry, progress, replacements } = this.collaborators;
     const { machine: id } = machineDrain;
     const machine = context.fleet.machines.get(id);
     if (!registry.isMachineStored(drain, id)) {
@@ -70,7 +70,7 @@
   }
 
   private cordonOrEmpty(target: Target, context: DecisionContext): void {
-    const { registry } = this.parts;
+    const { registry } = this.collaborators;
     const { drain, machineDrain, machine } = target;
     if (machineDrain.phase === 'waiting') {
       context.requests.push({ kind: 'cordon', machine: machine.id });
@@ -81,7 +81,7 @@
   }
 
   private hasReplacement(target: Target, context: DecisionContext): boolean {
-    const { registry, progress, replacements } = this.parts;
+    const { registry, progress, replacements } = this.collaborators;
     const { drain, machineDrain, machine } = target;
     const state = replacements.advance(machineDrain, machine, context);
     switch (state.kind) {
@@ -104,16 +104,16 @@
   /** Lets work end, stops what writes checkpoints, and asks for evictions of replicas. */
   private evictWork(target: Target, context: DecisionContext): void {
     const { drain, machineDrain, machine } = target;
-    const work = classifyWork(machine, this.parts.settings.letEndS, context.moment);
+    const work = classifyWork(machine, this.collaborators.settings.letEndS, context.moment);
     this.blockOnEndingWork(target, work);
     const moves = this.requestReplicaMoves(target, work, context);
     const stops = this.stopTasks(target, work, context);
     if (moves + stops > 0 && machineDrain.phase === 'cordoned')
-      this.parts.registry.setMachinePhase(drain, machineDrain, 'draining', context);
+      this.collaborators.registry.setMachinePhase(drain, machineDrain, 'draining', context);
   }
 
   private blockOnEndingWork({ drain, machine }: Target, work: MachineWork): void {
-    const { progress } = this.parts;
+    const { progress } = this.collaborators;
     const { id } = machine;
     if (work.ended > 0) progress.block(drain, { kind: 'results-kept', tasks: work.ended }, id);
     if (work.finishing.length > 0) progress.block(drain, finishingBlocker(work), id);
@@ -131,7 +131,7 @@
       if (!this.mayDisrupt(drain, attempt, context)) continue;
       granted += 1;
       const blocker: Blocker = { kind: 'replica-needs-room', job: attempt.entry.job };
-      this.parts.progress.block(drain, blocker, machine.id);
+      this.collaborators.progress.block(drain, blocker, machine.id);
     }
     return granted;
   }
@@ -154,7 +154,7 @@
 
   /** Asks the budgets, and notes what holds the attempt up. */
   private mayDisrupt(drain: Drain, attempt: AttemptView, context: DecisionContext): boolean {
-    const { budget, progress } = this.parts;
+    const { budget, progress } = this.collaborators;
     const { attempt: id, job } = attempt.entry;
     const machine = attempt.machine.id;
     const result = budget.requestDisruption(attempt, context.fleet, context.moment);
--- a/packages/drain/test/support/drain-fleet.ts
+++ b/packages/drain/test/support/drain-fleet.ts
@@ -287,7 +287,7 @@
   private carryOut(effect: Effect): void {
     switch (effect.kind) {
       case 'store-batch':
-        this.unstored = { batch: effect.batch, ops: effect.ops };
+        this.unstored = { batch: effect.batch, ops: effect.operations };
         return this.storeBatch();
       case 'operator-answer':
         this.answers.set(effect.ticket, effect.answer as Answer);
--- a/packages/drain/test/support/model-key-value-store.ts
+++ b/packages/drain/test/support/model-key-value-store.ts
@@ -10,7 +10,7 @@
 type SegmentWrite = Extract<StoreOperation, { kind: 'write-segment' }>;
 type RecordWrites = Exclude<
   StoreOperation,
-  { kind: 'write-segment' | 'drop-segment' | 'job-completion' }
+  { kind: 'write-segment' | 'delete-segment' | 'job-completion' }
 >;
 
 /** Jobs, the placement ledger, completions, and the package's records. */
@@ -44,7 +44,7 @@
       case 'write-segment':
         this.ledger.set(operation.key, operation);
         return true;
-      case 'drop-segment':
+      case 'delete-segment':
         this.ledger.delete(operation.key);
         return true;
       case 'job-completion':
--- a/src/core/apply-commands.ts
+++ b/src/core/apply-commands.ts
@@ -29,7 +29,7 @@
 import type { Authority, Effect } from './model/effect.js';
 import type { Placement } from './model/entities.js';
 import { addMillis, type Instant, type Millis } from './model/time.js';
-import { placeWaitingReplicas, runSchedulingRound } from './scheduling/backfill.js';
+import { placeCriticalReplicasOnly, runSchedulingRound } from './scheduling/backfill.js';
 
 const TICK_MS = 500;
 /** Rounds without an event, so that scores that change with time alone take effect. */
@@ -131,7 +131,7 @@
   if (now < state.schedulingStartsAt) {
     // What an unreadable record held may be anywhere: a replica could run twice.
     if (state.unreadableSegments.size === 0)
-      logPlacements(state, placeWaitingReplicas(state, now).placed, effects);
+      logPlacements(state, placeCriticalReplicasOnly(state, now).placed, effects);
     return;
   }
   if (!state.isRoundDue && now - state.lastRoundAt < ROUND_EVERY_MS) return;
--- a/src/core/fleet/loss-detection.ts
+++ b/src/core/fleet/loss-detection.ts
@@ -42,7 +42,7 @@
 const measureSilenceLimits = (state: CoreState, now: Instant): SilenceLimits => {
   const { heartbeatIntervalMs, workerLeaseMs, policy } = state.config;
   const limitMs = policy.missedHeartbeatLimit * heartbeatIntervalMs;
-  let silent = 0;
+  let silentMachines = 0;
   let expected = 0;
   for (const machine of state.machines.values()) {
     // A new leader knows some machines from the ledger alone. They count too: those that a cut-off
@@ -51,11 +51,12 @@
     expected += 1;
     // Counted at half the limit: of machines that all fall silent within one heartbeat interval,
     // none may be deleted before the others are counted.
-    if (now - machine.lastHeartbeatAt > limitMs / 2) silent += 1;
+    if (now - machine.lastHeartbeatAt > limitMs / 2) silentMachines += 1;
   }
   // Many at once are more likely cut off or hanging than dead, or the fault is this leader's: they
   // get time to come back, since a replacement boots first. The cloud lists the dead as failed.
-  const isMassSilence = silent > Math.max(MASS_SILENCE_MIN_MACHINES, expected * MASS_SILENCE_SHARE);
+  const isMassSilence =
+    silentMachines > Math.max(MASS_SILENCE_MIN_MACHINES, expected * MASS_SILENCE_SHARE);
   return {
     replicaMs: Math.min(
       limitMs,
@@ -63,7 +64,7 @@
     ),
     usualMs: isMassSilence ? MASS_SILENCE_LEASES * workerLeaseMs : limitMs,
     isLeaderSuspect:
-      silent > Math.max(MASS_SILENCE_MIN_MACHINES, expected * LEADER_ISOLATION_SHARE),
+      silentMachines > Math.max(MASS_SILENCE_MIN_MACHINES, expected * LEADER_ISOLATION_SHARE),
   };
 };
 
@@ -77,12 +78,12 @@
     : limits.usualMs;
 
 const isSilent = (machine: Machine, limits: SilenceLimits, now: Instant): boolean => {
-  const silentMs = now - machine.lastHeartbeatAt;
+  const silenceMs = now - machine.lastHeartbeatAt;
   // The replicas' limit is the shortest: most machines are within it and need no further look.
   return (
     isHeartbeatExpected(machine) &&
-    silentMs > limits.replicaMs &&
-    silentMs > silenceLimitMs(machine, limits)
+    silenceMs > limits.replicaMs &&
+    silenceMs > silenceLimitMs(machine, limits)
   );
 };
 
--- a/src/core/fleet/scale-out.ts
+++ b/src/core/fleet/scale-out.ts
@@ -10,7 +10,11 @@
 import { isService } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
 import type { Instant } from '../model/time.js';
-import { isFeasible, satisfiesZoneConstraints, tasksWithinQuota } from '../scheduling/capacity.js';
+import {
+  countTasksWithinQuota,
+  isFeasible,
+  satisfiesZoneConstraints,
+} from '../scheduling/capacity.js';
 import { NO_MACHINE_REASON } from '../scheduling/placement.js';
 import { computeReservedOnDemandCpus } from '../scheduling/service-reservation.js';
 import { isReplica } from '../scheduling/services.js';
@@ -96,7 +100,7 @@
 const isBlockedByReservation = (state: CoreState, job: Job, now: Instant): boolean => {
   if (isService(job) || !job.spec.allowsSpot || job.waitingReason !== NO_MACHINE_REASON)
     return false;
-  if (now - job.submittedAt < RESERVED_CAPACITY_WAIT_MS || tasksWithinQuota(state, job) < 1)
+  if (now - job.submittedAt < RESERVED_CAPACITY_WAIT_MS || countTasksWithinQuota(state, job) < 1)
     return false;
   for (const machine of state.machines.values())
     if (fitsReservedMachine(state, job, machine) && satisfiesZoneConstraints(job, machine))
@@ -178,7 +182,7 @@
 const placeableTasks = (state: CoreState, job: Job, now: Instant): number =>
   now < job.retryAt && !isService(job)
     ? 0
-    : Math.min(job.pendingTasks, tasksWithinQuota(state, job));
+    : Math.min(job.pendingTasks, countTasksWithinQuota(state, job));
 
 /** Jobs that only few pools suit: where those have no supply, requests what the job needs. */
 const provisionForConstrainedJobs = (context: ScaleOutContext): void => {
--- a/src/core/ledger/batch-builder.ts
+++ b/src/core/ledger/batch-builder.ts
@@ -130,5 +130,5 @@
   if (operations.length === 0) return;
   state.nextBatch += 1;
   state.pendingBatch = draft.batch;
-  effects.push({ kind: 'store-batch', batch: draft.batch.id, ops: operations });
+  effects.push({ kind: 'store-batch', batch: draft.batch.id, operations });
 };
--- a/src/core/ledger/batch-draft.ts
+++ b/src/core/ledger/batch-draft.ts
@@ -124,7 +124,7 @@
   /** The operations in the order in which they must be stored. */
   finish(): readonly StoreOperation[] {
     for (const draft of this.segmentDrafts) this.operations.push(draft.toOperation());
-    for (const key of this.obsoleteKeys) this.operations.push({ kind: 'drop-segment', key });
+    for (const key of this.obsoleteKeys) this.operations.push({ kind: 'delete-segment', key });
     return this.operations;
   }
 
--- a/src/core/lifecycle/heartbeat-replies.ts
+++ b/src/core/lifecycle/heartbeat-replies.ts
@@ -53,7 +53,10 @@
 ): void => {
   machine.acknowledgedEpoch = machine.agentEpoch;
   const attempts = startedAttempts(commands);
-  if (attempts.length > 0) machine.dispatchedStarts = { seq: machine.heartbeatSequence, attempts };
+  if (attempts.length > 0) {
+    const { heartbeatSequence } = machine;
+    machine.dispatchedStarts = { heartbeatSequence, attempts };
+  }
   effects.push({ kind: 'reply-to-heartbeat', ticket, commands });
 };
 
--- a/src/core/lifecycle/job-view.ts
+++ b/src/core/lifecycle/job-view.ts
@@ -5,7 +5,7 @@
 import type { JobId, TeamName } from '../model/ids.js';
 import type { JobOutcome, JobShape, Priority } from '../model/job.js';
 import type { Instant } from '../model/time.js';
-import { tasksWithinQuota } from '../scheduling/capacity.js';
+import { countTasksWithinQuota } from '../scheduling/capacity.js';
 import { rankWaitingJobs } from '../scheduling/ranking.js';
 import type { JobScores } from '../scheduling/scoring.js';
 import { failsEverywhere } from './job-tasks.js';
@@ -86,7 +86,7 @@
   if (job.pendingTasks <= 0) return NOT_WAITING;
   if (!state.isRecovered || now < state.schedulingStartsAt) return RECOVERING;
   if (now < job.retryAt) return BACKING_OFF;
-  if (tasksWithinQuota(state, job) < 1) return QUOTA_USED_UP;
+  if (countTasksWithinQuota(state, job) < 1) return QUOTA_USED_UP;
   return {
     kind: 'queued',
     finding: job.waitingReason,
@@ -164,7 +164,7 @@
     scores: ranked[position]?.scores ?? null,
     head: state.queueHead,
     headShadowInS: secondsToShadowTime(state, now),
-    teamLimitLeavesTasks: Math.min(tasksWithinQuota(state, job), job.spec.tasks),
+    teamLimitLeavesTasks: Math.min(countTasksWithinQuota(state, job), job.spec.tasks),
     failsEverywhere: failsEverywhere(job),
     machinesBooting: countBootingMachines(state),
   };
--- a/src/core/lifecycle/machine-reachability.ts
+++ b/src/core/lifecycle/machine-reachability.ts
@@ -46,7 +46,7 @@
   const followsStarts =
     dispatchedStarts !== null &&
     heartbeat.agentEpoch === machine.agentEpoch &&
-    heartbeat.sequence > dispatchedStarts.seq;
+    heartbeat.sequence > dispatchedStarts.heartbeatSequence;
   if (!followsStarts) return unacknowledgedReplies;
   return listsAnyAttempt(heartbeat, dispatchedStarts.attempts) ? 0 : unacknowledgedReplies + 1;
 };
--- a/src/core/lifecycle/task-reconciliation.ts
+++ b/src/core/lifecycle/task-reconciliation.ts
@@ -60,7 +60,7 @@
  * Takes in an attempt that only its machine tells of, and has it entered in the ledger. It is
  * killed if another attempt of its task is counted, or if the task is done: none may run twice.
  */
-const adoptReportedAttempt = (
+const recoverReportedAttempt = (
   state: CoreState,
   machine: Machine,
   task: TaskStatus,
@@ -205,7 +205,7 @@
   for (const task of tasks) {
     reportedAttempts.add(task.attempt);
     const placement =
-      machine.placements.get(task.attempt) ?? adoptReportedAttempt(state, machine, task, now);
+      machine.placements.get(task.attempt) ?? recoverReportedAttempt(state, machine, task, now);
     reconcileTask(state, placement, task, now, effects);
   }
   if (evidence === 'authoritative') releaseAbsentAttempts(state, machine, reportedAttempts, now);
--- a/src/core/model/effect.ts
+++ b/src/core/model/effect.ts
@@ -21,7 +21,7 @@
       readonly kind: 'store-batch';
       /** The batch's number under this term. */
       readonly batch: number;
-      readonly ops: readonly StoreOperation[];
+      readonly operations: readonly StoreOperation[];
     }
   /** Answers a cancellation; null where no such job is unfinished. */
   | {
--- a/src/core/model/entities.ts
+++ b/src/core/model/entities.ts
@@ -170,7 +170,7 @@
   /** It refused a start for lack of room, and gets no more work before then. */
   saturatedUntil: Instant;
   /** The starts of the last reply; the next heartbeat of a higher sequence must show them. */
-  dispatchedStarts: { seq: number; attempts: AttemptId[] } | null;
+  dispatchedStarts: { heartbeatSequence: number; attempts: AttemptId[] } | null;
   /** Replies in a row that did not reach it, as far as its heartbeats tell. */
   unacknowledgedReplies: number;
   /** Until when it gets no work because of that; then it is tried once more. */
--- a/src/core/model/ledger-record.ts
+++ b/src/core/model/ledger-record.ts
@@ -45,7 +45,7 @@
       readonly progress: readonly ProgressRow[];
     }
   /** Deletes an obsolete segment. */
-  | { readonly kind: 'drop-segment'; readonly key: SegmentKey }
+  | { readonly kind: 'delete-segment'; readonly key: SegmentKey }
   /** Records of an extension, stored together. */
   | {
       readonly kind: 'write-extension-records';
--- a/src/core/scheduling/backfill.ts
+++ b/src/core/scheduling/backfill.ts
@@ -14,13 +14,13 @@
 import { isService, PRIORITY_LEVEL } from '../model/job.js';
 import { type Instant, seconds } from '../model/time.js';
 import {
+  countTasksWithinQuota,
   type FreeCapacity,
   filterUsable,
   findSmallestRequirement,
   measureFreeCapacities,
   type SchedulingContext,
   type SmallestRequirement,
-  tasksWithinQuota,
 } from './capacity.js';
 import {
   NO_LIMITS,
@@ -50,7 +50,7 @@
 const FIRST_TASK_BEFORE_HEAD_FACTOR = 1.5;
 
 /** What a round has placed, and the waiting jobs by rank. */
-export interface Round {
+export interface SchedulingRound {
   readonly placed: Placement[];
   readonly ranked: RankedJob<Job>[];
 }
@@ -81,7 +81,7 @@
 
 /** How many waiting tasks of the job its team's quota would allow. */
 const countMissingTasks = (state: CoreState, job: Job): number =>
-  Math.min(job.pendingTasks, tasksWithinQuota(state, job));
+  Math.min(job.pendingTasks, countTasksWithinQuota(state, job));
 
 /**
  * Not a job that fails everywhere: it grows old and would seize the head; it may wait, but not
@@ -156,7 +156,7 @@
   !spec.singleZone && !spec.spreadZones && failedMachines.size === 0;
 
 const explainUnplaced = (state: CoreState, job: Job): string =>
-  tasksWithinQuota(state, job) < 1 ? TEAM_LIMIT_REASON : NO_MACHINE_REASON;
+  countTasksWithinQuota(state, job) < 1 ? TEAM_LIMIT_REASON : NO_MACHINE_REASON;
 
 /** Places the other jobs by rank, around the head's reservation. */
 const backfillOthers = (context: RoundContext): void => {
@@ -196,7 +196,7 @@
 };
 
 /** Runs one round: places waiting tasks, names the queue head and sets the shadow time. */
-export const runSchedulingRound = (state: CoreState, now: Instant): Round => {
+export const runSchedulingRound = (state: CoreState, now: Instant): SchedulingRound => {
   const ranked = rankWaitingJobs(state, now);
   const leaving = findReplicasToEvict(state, now);
   const placed: Placement[] = [];
@@ -240,7 +240,7 @@
  * over: a missing replica is missed at once, the ledger tells what may run where, and the wait is
  * for the order among arrays only.
  */
-export const placeWaitingReplicas = (state: CoreState, now: Instant): Round => {
+export const placeCriticalReplicasOnly = (state: CoreState, now: Instant): SchedulingRound => {
   const placed: Placement[] = [];
   let isReplicaWaiting = false;
   for (const job of state.jobs.values())
--- a/src/core/scheduling/capacity.ts
+++ b/src/core/scheduling/capacity.ts
@@ -113,7 +113,7 @@
 };
 
 /** How many more tasks of the job its team's quota allows; none for an unknown team. */
-export const tasksWithinQuota = (state: CoreState, job: Job): number => {
+export const countTasksWithinQuota = (state: CoreState, job: Job): number => {
   const team = state.config.teams.get(job.spec.team);
   if (!team) return 0;
   const used = state.teamUsage.get(team.name) ?? { cpus: 0, gpus: 0 };
--- a/src/core/scheduling/placement.ts
+++ b/src/core/scheduling/placement.ts
@@ -12,6 +12,7 @@
 import type { Instant } from '../model/time.js';
 import {
   compareByPower,
+  countTasksWithinQuota,
   EPSILON,
   estimateImageFetchMs,
   type FreeCapacity,
@@ -22,7 +23,6 @@
   type SchedulingContext,
   satisfiesZoneConstraints,
   takeFreeCapacity,
-  tasksWithinQuota,
 } from './capacity.js';
 import { estimateRunMs } from './estimates.js';
 import { spreadReplicas } from './replica-spreading.js';
@@ -198,7 +198,7 @@
 const explainRefusal = (state: CoreState, job: Job, isSuspect: boolean): string | null => {
   // A job that fails everywhere is tried one task at a time.
   if (isSuspect && job.attemptsByTask.size > 0) return 'its tasks fail on every machine';
-  return tasksWithinQuota(state, job) < 1 ? TEAM_LIMIT_REASON : null;
+  return countTasksWithinQuota(state, job) < 1 ? TEAM_LIMIT_REASON : null;
 };
 
 const explainNoMachine = ({ isBlockedByReservation }: MachineSearch): string =>
--- a/src/service/batch-writer.ts
+++ b/src/service/batch-writer.ts
@@ -124,7 +124,7 @@
         case 'write-segment':
           units.push(segmentUnit(operation));
           break;
-        case 'drop-segment':
+        case 'delete-segment':
           // Each piece on its own: a segment may have more pieces than one transaction takes.
           for (const key of this.pieces.get(operation.key) ?? [operation.key])
             if (this.keyRevisions.has(key)) units.push({ operation, mutations: [{ del: key }] });
--- a/src/service/effect-runner.ts
+++ b/src/service/effect-runner.ts
@@ -70,7 +70,7 @@
     this.options.dependencies.log.info({ jobId, outcome }, 'job ended');
   }
 
-  private async storeBatch({ batch, ops }: EffectOf<'store-batch'>): Promise<void> {
+  private async storeBatch({ batch, operations: ops }: EffectOf<'store-batch'>): Promise<void> {
     const { batchWriter, commandLoop, election, term } = this.options;
     const result = await batchWriter.storeBatch(ops);
     if (!term.isCurrent) return;
--- a/test/batch-writer.test.ts
+++ b/test/batch-writer.test.ts
@@ -43,7 +43,7 @@
     state.swallow = 1;
     expect(await writer.storeBatch([segment(1)])).toEqual(STORED);
     expect(state.transactions).toBe(1);
-    const dropped: StoreOperation = { kind: 'drop-segment', key: key(1) };
+    const dropped: StoreOperation = { kind: 'delete-segment', key: key(1) };
     expect(await writer.storeBatch([segment(3), dropped])).toEqual(STORED);
     expect(state.keys.get(key(3))?.data).toMatchObject({ d: [['job-1', 0, 'Aw==']] });
     expect(state.keys.has(key(1))).toBe(false);
@@ -59,7 +59,7 @@
   it('gives up once another node leads, and changes nothing', async () => {
     const { state, writer } = await setUp();
     state.multi({ Apply: [{ Write: 'leader', Data: { node: 'other' } }] });
-    const gone: StoreOperation = { kind: 'drop-segment', key: key(9) };
+    const gone: StoreOperation = { kind: 'delete-segment', key: key(9) };
     expect(await writer.storeBatch([segment(1), gone])).toEqual({ kind: 'leadership-lost' });
     expect(state.keys.has(key(1))).toBe(false);
   });
--- a/test/compound-failures.test.ts
+++ b/test/compound-failures.test.ts
@@ -101,7 +101,7 @@
     });
     const save = first.find((effect) => effect.kind === 'store-batch');
     if (save?.kind !== 'store-batch') throw new Error('stores nothing');
-    stored = [...save.ops];
+    stored = [...save.operations];
     // The write lags: the reply that the worker waits for must not hold the starts.
     const answers = [...first, ...run(5500, { kind: 'tick' })].filter(
       (effect) => effect.kind === 'reply-to-heartbeat',
@@ -161,9 +161,9 @@
         const all = [...effects];
         for (const effect of effects) {
           if (effect.kind !== 'store-batch') continue;
-          for (const op of effect.ops) {
+          for (const op of effect.operations) {
             if (op.kind === 'write-segment') ledger.push(op);
-            else if (op.kind === 'drop-segment')
+            else if (op.kind === 'delete-segment')
               ledger = ledger.filter((x) => x.kind !== 'write-segment' || x.key !== op.key);
             else completions += 1;
           }
@@ -276,7 +276,7 @@
   const progressOf = (effects: readonly Effect[]) =>
     effects.flatMap((effect) =>
       effect.kind === 'store-batch'
-        ? effect.ops.flatMap((op) => (op.kind === 'write-segment' ? op.progress : []))
+        ? effect.operations.flatMap((op) => (op.kind === 'write-segment' ? op.progress : []))
         : [],
     );
 
--- a/test/extensions.test.ts
+++ b/test/extensions.test.ts
@@ -70,7 +70,7 @@
     const extra = withIdle.filter(
       (effect) =>
         effect.kind === 'store-batch' &&
-        effect.ops.some((op) => op.kind === 'write-extension-records'),
+        effect.operations.some((op) => op.kind === 'write-extension-records'),
     );
     expect(plain.length).toBeGreaterThan(100);
     expect(plain.some((effect) => effect.kind === 'delete-machines')).toBe(true);
@@ -189,7 +189,7 @@
     );
     driver.pass(30_000);
     const batches = driver.effects.flatMap((effect) =>
-      effect.kind === 'store-batch' ? [effect.ops] : [],
+      effect.kind === 'store-batch' ? [effect.operations] : [],
     );
     const sizes = batches.map(
       (ops) => ops.filter((op) => op.kind === 'write-extension-records').length,
--- a/test/ledger.test.ts
+++ b/test/ledger.test.ts
@@ -19,7 +19,7 @@
 
 describe('the placement ledger', () => {
   const storeOperations = (effects: readonly Effect[]): StoreOperation[] =>
-    effects.flatMap((effect) => (effect.kind === 'store-batch' ? [...effect.ops] : []));
+    effects.flatMap((effect) => (effect.kind === 'store-batch' ? [...effect.operations] : []));
 
   it('enters the attempts of many machines in few segments, each within the size of a value', () => {
     const driver = new CoreDriver(
@@ -168,7 +168,7 @@
         ticket: seq as ReplyTicket,
       })) {
         if (effect.kind === 'store-batch') {
-          dropped += effect.ops.filter((op) => op.kind === 'drop-segment').length;
+          dropped += effect.operations.filter((op) => op.kind === 'delete-segment').length;
           send(now, { kind: 'batch-stored', batch: effect.batch });
         }
         if (effect.kind === 'reply-to-heartbeat')
@@ -205,7 +205,7 @@
     }
     for (const op of storeOperations(driver.effects)) {
       if (op.kind === 'write-segment') records.add(op.key);
-      if (op.kind === 'drop-segment') records.delete(op.key);
+      if (op.kind === 'delete-segment') records.delete(op.key);
     }
     expect(records.size).toBeLessThan(15);
     // A new leader that reads what is left learns of the long task.
@@ -226,7 +226,7 @@
     driver.checkIn('n-9', [unknownTask]);
     driver.pass(500);
     const ops = driver.effects.flatMap((effect) =>
-      effect.kind === 'store-batch' ? [...effect.ops] : [],
+      effect.kind === 'store-batch' ? [...effect.operations] : [],
     );
     const rows = ops.flatMap((op) => (op.kind === 'write-segment' ? op.machines : []));
     expect(rows.find((row) => row.machine === 'n-9')?.entries).toMatchObject([{ attempt: 123 }]);
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -71,9 +71,9 @@
 ): void => {
   for (const effect of applyCommands(state, commands, now as Instant, 'lead')) {
     if (effect.kind !== 'store-batch') continue;
-    for (const op of effect.ops) {
+    for (const op of effect.operations) {
       if (op.kind === 'write-segment') store.set(op.key, JSON.stringify(encodeSegment(op)));
-      if (op.kind === 'drop-segment') store.delete(op.key);
+      if (op.kind === 'delete-segment') store.delete(op.key);
     }
     drive(state, store, [{ kind: 'batch-stored', batch: effect.batch }], now);
   }
@@ -154,7 +154,7 @@
     const run = (...commands: Command[]): void => {
       for (const effect of applyCommands(state, commands, 0 as Instant, 'lead')) {
         if (effect.kind !== 'store-batch') continue;
-        sizes.push(effect.ops.length);
+        sizes.push(effect.operations.length);
         run({ kind: 'batch-stored', batch: effect.batch });
       }
     };
@@ -229,7 +229,7 @@
       expect(stored(state)).toEqual({ attempts: wanted.sort((a, b) => a - b), progress: 4 });
       expect(state.refused.length).toBeGreaterThan(0);
       expect(new Set(state.refused).size).toBe(state.refused.length);
-      const gone = ops.map(({ key }): StoreOperation => ({ kind: 'drop-segment', key }));
+      const gone = ops.map(({ key }): StoreOperation => ({ kind: 'delete-segment', key }));
       expect(await writer.storeBatch([segment(9, 1), ...gone])).toEqual(STORED);
       expect(stored(state).attempts).toEqual([9000, 9100, 9200]);
     },
@@ -261,7 +261,7 @@
         if (effect.kind === 'reply-to-heartbeat')
           for (const command of effect.commands ?? []) if (command.op === 'start') sent.push(now);
         if (effect.kind !== 'store-batch') continue;
-        const refused = now < 20_000 ? effect.ops : [];
+        const refused = now < 20_000 ? effect.operations : [];
         refusals += refused.length;
         send(now, { kind: 'batch-stored', batch: effect.batch, refused });
       }
--- a/test/model/simulated-world.ts
+++ b/test/model/simulated-world.ts
@@ -354,7 +354,7 @@
         return;
       }
       case 'store-batch':
-        this.persist(leader, effect.ops, () =>
+        this.persist(leader, effect.operations, () =>
           reply({ kind: 'batch-stored', batch: effect.batch }),
         );
         return;
@@ -494,7 +494,7 @@
       if (text.length > (old ? LIMITS : NEXT).maxValueBytes)
         this.problems.push(`record of ${text.length} bytes`);
       this.store.ledger.set(op.key, text);
-    } else if (op.kind === 'drop-segment') {
+    } else if (op.kind === 'delete-segment') {
       if (!this.store.ledger.delete(op.key)) this.problems.push(`record dropped twice ${op.key}`);
     } else if (op.kind === 'write-extension-records') {
       for (const { key, value } of op.writes) this.writeRecord(`${op.extension}/${key}`, value);
--- a/test/one-task-jobs.test.ts
+++ b/test/one-task-jobs.test.ts
@@ -34,7 +34,7 @@
       const effects = applyCommands(state, commands, now as Instant, 'lead');
       for (const effect of effects) {
         if (effect.kind === 'store-batch') {
-          for (const op of effect.ops) changes += op.kind === 'job-completion' ? 2 : 1;
+          for (const op of effect.operations) changes += op.kind === 'job-completion' ? 2 : 1;
           saving.push({ at: now + 20, batch: effect.batch });
         }
         if (effect.kind === 'job-ended') over.add(effect.job);
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -121,7 +121,7 @@
     expect(finals).toEqual([]);
     // Nothing of it is entered as done either.
     const ops = driver.effects.flatMap((effect) =>
-      effect.kind === 'store-batch' ? [...effect.ops] : [],
+      effect.kind === 'store-batch' ? [...effect.operations] : [],
     );
     for (const op of ops) if (op.kind === 'write-segment') expect(op.progress).toEqual([]);
   });
@@ -451,7 +451,7 @@
       ...specs.map((spec) => ({ kind: 'job', spec, submittedAt: now }) as const),
     );
     const batch = effects.find((effect) => effect.kind === 'store-batch');
-    expect(batch?.ops.map((op) => op.kind)).toEqual(['write-segment', 'write-segment']);
+    expect(batch?.operations.map((op) => op.kind)).toEqual(['write-segment', 'write-segment']);
     fleet.round();
     driver.effects = [];
     for (let i = 0; i < 60; i += 1) {
@@ -460,7 +460,7 @@
       driver.pass(500);
     }
     const ops: StoreOperation[] = driver.effects.flatMap((effect) =>
-      effect.kind === 'store-batch' ? [...effect.ops] : [],
+      effect.kind === 'store-batch' ? [...effect.operations] : [],
     );
     const moved = ops.flatMap((op) =>
       op.kind === 'write-segment'
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -139,8 +139,8 @@
           'lead',
         )) {
           if (e.kind !== 'store-batch') continue;
-          for (const op of e.ops) {
-            dropped ||= op.kind === 'drop-segment' && op.key === large;
+          for (const op of e.operations) {
+            dropped ||= op.kind === 'delete-segment' && op.key === large;
             if (op.kind === 'write-segment')
               expect(JSON.stringify(encodeSegment(op)).length).toBeLessThanOrEqual(bytes);
           }
