--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -15,4 +15,5 @@
   'target/main.cjs',
   '--compile-to',
   'target/bundle.cache',
+  'scripts/sample-settings.json',
 ]);
--- a/scripts/entry.cjs
+++ b/scripts/entry.cjs
@@ -23,7 +23,7 @@
 
 if (process.argv[2] === '--compile-to') {
   const { script, bundle } = load();
-  bundle.warm().then(() => {
+  bundle.warm(readFileSync(process.argv[4], 'utf8')).then(() => {
     require('node:fs').writeFileSync(process.argv[3], script.createCachedData());
     process.exit(0);
   });
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -66,8 +66,13 @@
   await program.parseAsync(argv).catch(handleCommandError);
 };
 
-/** For the build: loads what `serve` needs, so that its compiled code can be kept. */
-export const warm = async (): Promise<void> => {
+/**
+ * For the build: loads what `serve` needs and rehearses a start with these settings, so that its
+ * compiled code can be kept.
+ */
+export const warm = async (settingsText: string): Promise<void> => {
   createProgram().helpInformation();
   await import('./serve.js');
+  const { rehearseStart } = await import('./start-rehearsal.js');
+  rehearseStart(settingsText);
 };
