--- a/packages/drain/test/plain-model.test.ts
+++ b/packages/drain/test/plain-model.test.ts
@@ -1,18 +1,20 @@
 /** The order of candidates and the budget ledger against plain models, on drawn inputs. */
 import type {
+  AttemptId,
   AttemptView,
   FleetView,
   Instant,
   JobId,
   JobSpec,
   JobView,
+  MachineId,
   MachineView,
   Moment,
   TaskIndex,
 } from '@robinspread/extension-api';
 import * as fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { job } from '../../../test/model/build.js';
+import { entry, job } from '../../../test/model/build.js';
 import { BudgetLedger } from '../src/core/budget-ledger.js';
 import { rankCandidates } from '../src/core/machine-selection.js';
 import {
@@ -24,7 +26,7 @@
 import { settingsOf } from './support/settings.js';
 
 const LET_END_S = 30;
-const moment = (now: number): Moment => ({ now, timeOfDay: now }) as Moment;
+const moment = (now: number): Moment => ({ now: now as Instant, timeOfDay: now });
 
 /** What the planner reads of an attempt; typed, so that a renamed field does not go unnoticed. */
 type DrawnAttempt = Pick<AttemptView, 'phase' | 'startedAt' | 'stopRequest' | 'isSuperseded'> & {
@@ -59,14 +61,18 @@
   ),
 });
 
+/** What the planner reads of a machine. */
+const machineOf = (attempts: readonly DrawnAttempt[], i: number): MachineView => {
+  const view: Pick<MachineView, 'id' | 'placements'> = {
+    id: `n-${i}` as MachineId,
+    placements: new Map(attempts.map((a, n) => [n as AttemptId, a as AttemptView])),
+  };
+  return view as MachineView;
+};
+
 const machines = fc
   .array(fc.array(attempt, { maxLength: 4 }), { minLength: 1, maxLength: 8 })
-  .map((all) =>
-    all.map((attempts, i) => ({
-      id: `n-${i}`,
-      placements: new Map(attempts.map((a, n) => [n, a])),
-    })),
-  ) as fc.Arbitrary<unknown> as fc.Arbitrary<MachineView[]>;
+  .map((all) => all.map(machineOf));
 
 describe('rankCandidates', () => {
   it('orders machines as the plain model does', () => {
@@ -92,12 +98,12 @@
 
   constructor(count: number) {
     const spec = job('job-1', { tasks: count, jobClass: 'settle' });
-    const view = {
+    const view: JobView = {
       spec,
       pendingTasks: 0,
       attemptsByTask: this.held,
       terminalState: 'none',
-    } as unknown as JobView;
+    };
     this.jobs.set('job-1' as JobId, view);
     for (let i = 0; i < count; i += 1) this.run(i);
   }
@@ -105,14 +111,15 @@
   /** The task runs, under a new attempt. */
   run(index: number): void {
     this.attempts += 1;
-    const entry = { job: 'job-1', index, attempt: this.attempts };
-    const view = {
-      entry,
-      job: this.jobs.get('job-1' as JobId),
+    const view: Omit<AttemptView, 'machine'> = {
+      entry: entry(index, this.attempts),
+      job: this.jobs.get('job-1' as JobId) ?? null,
       phase: 'running',
+      startedAt: null,
       stopRequest: null,
+      isSuperseded: false,
     };
-    this.held.set(index as TaskIndex, [view as unknown as AttemptView]);
+    this.held.set(index as TaskIndex, [view as AttemptView]);
   }
 
   stop(index: number): void {
@@ -128,7 +135,12 @@
   }
 
   get fleet(): FleetView {
-    return { jobs: this.jobs, isTaskDone: () => false, teams: new Map() } as unknown as FleetView;
+    const fleet: Pick<FleetView, 'jobs' | 'isTaskDone' | 'teams'> = {
+      jobs: this.jobs,
+      isTaskDone: () => false,
+      teams: new Map(),
+    };
+    return fleet as FleetView;
   }
 }
 
--- a/packages/drain/test/steps.test.ts
+++ b/packages/drain/test/steps.test.ts
@@ -1,4 +1,5 @@
 /** The steps of drains, their replacements, and disruption budgets. */
+import type { MachineId } from '@robinspread/extension-api';
 import { describe, expect, it } from 'vitest';
 import { CHECKPOINTING, DrainFleet, inZone } from './support/drain-fleet.js';
 
@@ -257,7 +258,7 @@
     fleet.faults.refuseProvisioning = true;
     fleet.workers.machines.delete(first);
     fleet.until(() => fleet.machinePhase('swap', 'n-0000') === 'waiting');
-    expect(fleet.state.machines.get('n-0000' as never)?.isCordoned).toBe(false);
+    expect(fleet.state.machines.get('n-0000' as MachineId)?.isCordoned).toBe(false);
     fleet.workers.runMs.set('job-1', 0);
     fleet.faults.refuseProvisioning = false;
     fleet.until(() => fleet.drainPhase('swap') === 'done');
@@ -271,7 +272,7 @@
 
     fleet.start('swap', { select: { all: true } });
     fleet.until(() => (fleet.machinePhase('swap', 'n-0000') ?? 'waiting') !== 'waiting');
-    const id = fleet.status('swap').machines[0]!.replacement as never;
+    const id = fleet.status('swap').machines[0]!.replacement as MachineId;
     const machine = fleet.state.machines.get(id)!;
     expect(fleet.state.extensions!.mayScaleIn(machine)).toBe(false);
     fleet.until(() => fleet.drainPhase('swap') === 'done');
@@ -289,7 +290,7 @@
     const lost = fleet.holderOf('job-1/0')!;
     fleet.faults.refuseProvisioning = true;
     fleet.workers.machines.delete(lost);
-    fleet.until(() => fleet.state.machines.get(lost as never) === undefined);
+    fleet.until(() => fleet.state.machines.get(lost as MachineId) === undefined);
     const drained = fleet.holderOf('job-1/1')!;
 
     fleet.start('out', { select: { machines: [drained] }, replace: false });
@@ -418,7 +419,7 @@
     fleet.submit('job-1', { shape: 'service', cpus: 2, estimateS: 0 });
     fleet.run(4000);
     const from = fleet.holderOf('job-1/0')!;
-    fleet.state.machines.get(from as never)!.isDraining = true;
+    fleet.state.machines.get(from as MachineId)!.isDraining = true;
     fleet.run(30_000);
     expect(fleet.holderOf('job-1/0')).toBe(from);
     // A notice leaves no choice.
--- a/packages/drain/test/support/model-cloud.ts
+++ b/packages/drain/test/support/model-cloud.ts
@@ -1,7 +1,7 @@
 /** The cloud of the model: provisions, deletes and lists machines at once, but for faults. */
 import type { Command } from '../../../../src/core/model/command.js';
 import type { Effect } from '../../../../src/core/model/effect.js';
-import type { MachineId, ZoneName } from '../../../../src/core/model/ids.js';
+import type { MachineId, MachineTypeName, ZoneName } from '../../../../src/core/model/ids.js';
 import type { Instant } from '../../../../src/core/model/time.js';
 import type { Clock, Faults } from './faults.js';
 import type { ModelWorkers } from './model-workers.js';
@@ -39,7 +39,7 @@
     const machines = [...workers.machines.values()].map(({ id, zone, spot, bootedAt }) => ({
       id: id as MachineId,
       endpoint: '127.0.0.1:9',
-      type: 'c8' as never,
+      type: 'c8' as MachineTypeName,
       zone: zone as ZoneName,
       spot,
       status: clock.now < bootedAt ? ('booting' as const) : ('running' as const),
--- a/test/api-limits.test.ts
+++ b/test/api-limits.test.ts
@@ -22,7 +22,8 @@
     const settings = parseSettings(settingsText({ api_addr: `127.0.0.1:${port}` }));
     const lines: string[] = [];
     const captured = pino({ level: 'info' }, { write: (line: string) => lines.push(line) });
-    const app = makeApi({ extensions: [] } as unknown as ControllerApi, captured);
+    const controller: Pick<ControllerApi, 'extensions'> = { extensions: [] };
+    const app = makeApi(controller as ControllerApi, captured);
     const server = serveApi({ settings, app, log: captured });
     cleanups.push(
       () => server.close(),
--- a/test/backfill.test.ts
+++ b/test/backfill.test.ts
@@ -7,6 +7,7 @@
 import type { Placement } from '../src/core/model/entities.js';
 import type {
   AttemptId,
+  JobId,
   MachineId,
   MachineTypeName,
   ReplyTicket,
@@ -88,7 +89,7 @@
     quotas,
     queueHead: drawn.head === null ? null : `job-${drawn.head}`,
   };
-  state.queueHead = world.queueHead as never;
+  state.queueHead = world.queueHead as JobId | null;
   drawn.jobs.forEach(({ age, idle, ...rest }, i) => {
     const submittedAt = NOW - age * 1000;
     const idleSince = NOW - Math.min(age, idle) * 1000;
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -14,6 +14,12 @@
 
 const LEASE_MS = 3000;
 
+/** What an election asks of the key-value store. */
+type ElectionRequests = Pick<
+  KeyValueStore,
+  'get' | 'grantLease' | 'renewLease' | 'revokeLease' | 'compareAndSwap' | 'watch'
+>;
+
 /**
  * One leader key, leases, and a delay each way. Requests under way when a process ends are still
  * carried out.
@@ -21,12 +27,12 @@
 class SlowKeyValueStore {
   delayMs = 0;
   revision = 0;
-  key: { value: unknown; revision: number; lease: number } | null = null;
+  key: { value: unknown; revision: Revision; lease: number } | null = null;
   private readonly leaseEnds = new Map<number, number>();
   private nextLease = 1;
   private watchers: (() => void)[] = [];
 
-  private async carryOut<T>(request: () => T): Promise<T> {
+  private async carryOut<T>(request: () => T | Promise<T>): Promise<T> {
     await new Promise((resolve) => setTimeout(resolve, this.delayMs));
     this.expireLeases();
     const result = request();
@@ -44,12 +50,12 @@
 
   private writeLeaderKey(key: { value: unknown; lease: number } | null): void {
     this.revision += 1;
-    this.key = key && { ...key, revision: this.revision };
+    this.key = key && { ...key, revision: this.revision as Revision };
     for (const wake of this.watchers.splice(0)) wake();
   }
 
   client(): KeyValueStore {
-    return {
+    const client: ElectionRequests = {
       get: () =>
         this.carryOut(() =>
           this.key
@@ -61,7 +67,7 @@
         ),
       grantLease: (lifeMs: number) =>
         this.carryOut(() => {
-          const lease = this.nextLease++;
+          const lease = this.nextLease++ as LeaseId;
           this.leaseEnds.set(lease, steadyNow() + lifeMs);
           return { kind: 'granted', lease };
         }),
@@ -94,9 +100,10 @@
             ]);
             this.expireLeases();
           }
-          return { kind: 'changes', revision: this.revision, changes: [] };
+          return { kind: 'changes', revision: this.revision as Revision, changes: [] };
         }),
-    } as unknown as KeyValueStore;
+    };
+    return client as KeyValueStore;
   }
 }
 
--- a/test/extensions.test.ts
+++ b/test/extensions.test.ts
@@ -2,6 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import { drainModule } from '../packages/drain/src/index.js';
 import { settingsOf } from '../packages/drain/test/support/settings.js';
+import type { Jitter } from '../src/adapters/runtime/random.js';
 import type {
   Extension,
   ExtensionRequest,
@@ -9,8 +10,9 @@
 } from '../src/core/extensions/extension.js';
 import { ExtensionHost } from '../src/core/extensions/extension-host.js';
 import type { Effect } from '../src/core/model/effect.js';
-import type { ReplyTicket } from '../src/core/model/ids.js';
+import type { FencingToken, MachineId, ReplyTicket, Revision } from '../src/core/model/ids.js';
 import type { StoreOperation } from '../src/core/model/ledger-record.js';
+import type { KeyValueStore } from '../src/ports/key-value-store.js';
 import { BatchWriter } from '../src/service/batch-writer.js';
 import { core } from './model/build.js';
 import { CoreDriver, ended, running } from './model/core-driver.js';
@@ -142,7 +144,7 @@
       if (starts.length > 0) driver.checkIn(id, starts.map(running));
       return starts.length > 0;
     })!;
-    const machine = driver.state.machines.get(holder as never)!;
+    const machine = driver.state.machines.get(holder as MachineId)!;
     machine.isDraining = true;
     const held = [...machine.placements.values()][0]!;
     driver.pass(4000);
@@ -202,19 +204,19 @@
   it('are guarded by the leader key and their own revisions; deleting an absent one is left out', async () => {
     const sent: unknown[] = [];
     const STORED = { kind: 'stored', refused: [] };
-    const store = {
+    const store: Pick<KeyValueStore, 'isDown' | 'compareAndSwap'> = {
       isDown: false,
-      compareAndSwap: async (guards: unknown, writes: unknown) => {
+      compareAndSwap: async (guards, writes) => {
         sent.push({ guards, writes });
-        return { kind: 'committed', revision: 9 };
+        return { kind: 'committed', revision: 9 as Revision };
       },
     };
-    const jitter = { around: (ms: number) => ms };
+    const jitter: Pick<Jitter, 'around'> = { around: (ms) => ms };
     const writer = new BatchWriter({
-      store: store as never,
-      fencingToken: 7 as never,
+      store: store as KeyValueStore,
+      fencingToken: 7 as FencingToken,
       log,
-      jitter: jitter as never,
+      jitter: jitter as Jitter,
     });
     const ops: StoreOperation[] = [
       {
--- a/test/heartbeat-http.test.ts
+++ b/test/heartbeat-http.test.ts
@@ -9,7 +9,9 @@
 import { makeHeartbeatHandler } from '../src/adapters/http/heartbeat-handler.js';
 import { HeartbeatParser, parseHeartbeat } from '../src/adapters/workers/heartbeat-parser.js';
 import type { Heartbeat } from '../src/core/model/heartbeat.js';
+import type { AttemptId, FencingToken, JobId, NodeId, TaskIndex } from '../src/core/model/ids.js';
 import type { ControllerApi } from '../src/ports/controller-api.js';
+import type { HeartbeatDecision } from '../src/ports/heartbeat-service.js';
 import { post } from './stand-ins/cloud.js';
 import { cleanUp, cleanups, freePort, log, until } from './stand-ins/cluster.js';
 import { settingsText } from './stand-ins/settings.js';
@@ -100,8 +102,11 @@
     if (control.hold) await new Promise<void>((resolve) => waiting.push(resolve));
     return { status: 200, body: { got: body } };
   };
-  const controller = { isReady: () => true, extensions: [] } as unknown as ControllerApi;
-  const app = makeApi(controller, log, handleHeartbeat);
+  const controller: Pick<ControllerApi, 'isReady' | 'extensions'> = {
+    isReady: () => true,
+    extensions: [],
+  };
+  const app = makeApi(controller as ControllerApi, log, handleHeartbeat);
   const server = serveApi({ settings, app, log, handleHeartbeat });
   cleanups.push(
     () => server.close(),
@@ -190,13 +195,13 @@
   it('answer as the HTTP server does: 400 for malformed, 421, 503 with Retry-After', async () => {
     const port = await freePort();
     const settings = parseSettings(settingsText({ api_addr: `127.0.0.1:${port}` }));
-    let decision: unknown = { kind: 'unavailable' };
-    const controller = {
+    let decision: HeartbeatDecision = { kind: 'unavailable' };
+    const controller: Pick<ControllerApi, 'handleHeartbeat' | 'extensions'> = {
       handleHeartbeat: async () => decision,
       extensions: [],
-    } as unknown as ControllerApi;
-    const handleHeartbeat = makeHeartbeatHandler(controller, log);
-    const app = makeApi(controller, log, handleHeartbeat);
+    };
+    const handleHeartbeat = makeHeartbeatHandler(controller as ControllerApi, log);
+    const app = makeApi(controller as ControllerApi, log, handleHeartbeat);
     const server = serveApi({ settings, app, log, handleHeartbeat });
     cleanups.push(
       () => server.close(),
@@ -213,15 +218,22 @@
     for (const viaHttpServer of [false, true]) {
       decision = { kind: 'unavailable' };
       await ask(heartbeat, viaHttpServer);
-      decision = { kind: 'redirect', leader: 'node-1' };
+      decision = { kind: 'redirect', leader: 'node-1' as NodeId };
       await ask(heartbeat, viaHttpServer);
       decision = { kind: 'redirect', leader: null };
       await ask(heartbeat, viaHttpServer);
       await ask('[1]', viaHttpServer);
       decision = {
         kind: 'commands',
-        fencingToken: 7,
-        commands: [{ op: 'reap', job: 'job-1', index: 2, attempt: 3 }],
+        fencingToken: 7 as FencingToken,
+        commands: [
+          {
+            op: 'reap',
+            job: 'job-1' as JobId,
+            index: 2 as TaskIndex,
+            attempt: 3 as AttemptId,
+          },
+        ],
       };
       await ask(heartbeat, viaHttpServer);
     }
--- a/test/isolated-leader.test.ts
+++ b/test/isolated-leader.test.ts
@@ -2,9 +2,9 @@
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { CloudClient } from '../src/adapters/cloud/cloud-client.js';
 import { parseEndpoint } from '../src/adapters/configuration/settings.js';
-import type { Authority, Effect } from '../src/core/model/effect.js';
 import type { MachineTypeName, ProvisionRequestId, ZoneName } from '../src/core/model/ids.js';
 import type { ProvisionRequest } from '../src/core/model/machine.js';
+import type { Controller } from '../src/service/controller.js';
 import { Cloud, post } from './stand-ins/cloud.js';
 import {
   body,
@@ -96,16 +96,19 @@
   });
 });
 
+/** Private parts of a leader; bracket access, so that the compiler knows of a renamed one. */
+const internalsOf = (controller: Controller) => {
+  // biome-ignore lint/complexity/useLiteralKeys: the compiler allows private members by brackets only
+  const leaderTerm = controller['leaderTerm']!;
+  // biome-ignore lint/complexity/useLiteralKeys: likewise
+  return { leaderTerm, effectRunner: leaderTerm['effectRunner'] };
+};
+
 describe('a leader that stood still after a decision', () => {
   it('sends no start it decided before: its authority is checked as the reply goes out', async () => {
     const { nodes, cloud } = await cluster(1);
     const { at, controller } = nodes[0]!;
-    type TermInternals = {
-      authority(): Authority;
-      effectRunner: { run(effect: Effect): void };
-    };
-    const { leaderTerm } = controller as unknown as { leaderTerm: TermInternals };
-    const { effectRunner } = leaderTerm;
+    const { leaderTerm, effectRunner } = internalsOf(controller);
     let frozen = false;
     let decided = 0;
     const authority = leaderTerm.authority.bind(leaderTerm);
--- a/test/model/build.ts
+++ b/test/model/build.ts
@@ -143,15 +143,18 @@
   );
 
 /** A row of a ledger record. */
-export const entry = (index: number, attempt: number, id = 'job-1') =>
-  ({
-    job: id,
-    index,
-    attempt,
-    team: 'blue',
-    cpus: 1,
-    gpus: 0,
-    memoryGb: 1,
-  }) as unknown as LedgerEntry;
+export const entry = (index: number, attempt: number, id = 'job-1'): LedgerEntry => ({
+  job: id as JobId,
+  index: index as TaskIndex,
+  attempt: attempt as AttemptId,
+  team: 'blue' as TeamName,
+  cpus: 1,
+  gpus: 0,
+  memoryGb: 1,
+});
 /** What a ledger record says of a machine. */
-export const recordedAt = { type: 'c8', zone: 'a', spot: false } as unknown as MachineAttributes;
+export const recordedAt: MachineAttributes = {
+  type: 'c8' as MachineTypeName,
+  zone: 'a' as ZoneName,
+  spot: false,
+};
--- a/test/pinned-http.test.ts
+++ b/test/pinned-http.test.ts
@@ -15,8 +15,11 @@
 import { encodeFrame, FrameDecoder } from '../src/adapters/peers/frames.js';
 import { servePeers } from '../src/adapters/peers/peer-server.js';
 import { Jitter } from '../src/adapters/runtime/random.js';
-import type { AttemptId, FencingToken, JobId, TaskIndex } from '../src/core/model/ids.js';
+import type { AttemptId, FencingToken, JobId, NodeId, TaskIndex } from '../src/core/model/ids.js';
 import type { WorkerCommand } from '../src/core/model/worker-command.js';
+import type { ControllerApi } from '../src/ports/controller-api.js';
+import type { HeartbeatDecision } from '../src/ports/heartbeat-service.js';
+import type { UserApi } from '../src/ports/user-api.js';
 import { Controller } from '../src/service/controller.js';
 import { pinsIn } from './fixtures/pins.js';
 import * as frozen from './fixtures/schemas-90313a6.js';
@@ -396,30 +399,33 @@
       { op: 'kill', ...task, graceS: 3 },
       { op: 'reap', ...task },
     ];
-    const decisions = {
+    const decisions: Record<string, HeartbeatDecision | null> = {
       orders: { kind: 'commands', fencingToken: 41 as FencingToken, commands: orders },
       'no orders': { kind: 'commands', fencingToken: 41 as FencingToken, commands: [] },
-      elsewhere: { kind: 'redirect', leader: 'node-1' },
+      elsewhere: { kind: 'redirect', leader: 'node-1' as NodeId },
       nowhere: { kind: 'redirect', leader: null },
       later: { kind: 'unavailable' },
       fault: null,
-    } as const;
-    let decided: unknown = null;
+    };
+    let decided: HeartbeatDecision | null = null;
     const settings = parseSettings(settingsText({ api_addr: `127.0.0.1:${await freePort()}` }));
-    const controller = {
+    const users: Pick<UserApi, 'lookUp'> = {
+      lookUp: () => {
+        throw new Error('fault');
+      },
+    };
+    const controller: Omit<ControllerApi, 'users' | 'handleOperatorCall'> & {
+      users: typeof users;
+    } = {
       extensions: [],
       isReady: () => false,
       handleHeartbeat: async () => {
         if (decided === null) throw new Error('fault');
         return decided;
       },
-      users: {
-        lookUp: () => {
-          throw new Error('fault');
-        },
-      },
-    } as unknown as Controller;
-    const server = startApi(settings, controller, log);
+      users,
+    };
+    const server = startApi(settings, controller as ControllerApi, log);
     cleanups.push(
       () => server.close(),
       () => server.closeAllConnections(),
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -3,6 +3,7 @@
 import { SettingsError } from '../src/adapters/configuration/configuration-file.js';
 import { DEFAULT_POLICY, parsePolicy } from '../src/adapters/configuration/policy.js';
 import { parseSettings } from '../src/adapters/configuration/settings.js';
+import type { TeamName } from '../src/core/model/ids.js';
 import { settingsText } from './stand-ins/settings.js';
 
 describe('parseSettings', () => {
@@ -10,7 +11,7 @@
     const settings = parseSettings(settingsText({ future: { a: 1 } }));
     expect(settings.peers.map((peer) => peer.node)).toEqual(['node-1', 'node-2']);
     expect(settings.keyValueStoreLimits.maxValueBytes).toBe(8192);
-    expect(settings.teams.get('blue' as never)?.cpusMax).toBe(64);
+    expect(settings.teams.get('blue' as TeamName)?.cpusMax).toBe(64);
   });
 
   it.each([
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -11,7 +11,7 @@
 import { TASKS_PER_BLOCK } from '../src/core/lifecycle/job-tasks.js';
 import { viewJob } from '../src/core/lifecycle/job-view.js';
 import type { Command } from '../src/core/model/command.js';
-import type { FencingToken, JobId, SegmentKey } from '../src/core/model/ids.js';
+import type { FencingToken, JobId, MachineId, SegmentKey } from '../src/core/model/ids.js';
 import type { MachineType } from '../src/core/model/machine.js';
 import type { Instant } from '../src/core/model/time.js';
 import {
@@ -208,7 +208,7 @@
     const written = encodeSegment({
       machines: [
         {
-          machine: 'n-1' as never,
+          machine: 'n-1' as MachineId,
           attributes: recordedAt,
           entries: [entry(0, 41_000_001, 'job-9')],
         },
