--- a/packages/drain/test/histories.test.ts
+++ b/packages/drain/test/histories.test.ts
@@ -4,7 +4,7 @@
  */
 import * as fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { SimulatedWorld } from '../../../test/model/simulated-world.js';
+import { SimulatedWorld } from '../../../test/support/simulated-world/world.js';
 import { drainModule } from '../src/index.js';
 import { settingsOf, TIGHT } from './support/settings.js';
 
--- a/packages/drain/test/large-fleet.test.ts
+++ b/packages/drain/test/large-fleet.test.ts
@@ -1,6 +1,6 @@
 /** Drains of large fleets, with the work counted. */
 import { describe, expect, it } from 'vitest';
-import { CountingMap } from '../../../test/model/counting-map.js';
+import { CountingMap } from '../../../test/support/counting-map.js';
 import { CHECKPOINTING, DrainFleet, inZone } from './support/drain-fleet.js';
 
 const FLEET = 4000;
--- a/packages/drain/test/plain-model.test.ts
+++ b/packages/drain/test/plain-model.test.ts
@@ -14,7 +14,7 @@
 } from '@robinspread/extension-api';
 import * as fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { entry, job } from '../../../test/model/build.js';
+import { entry, job } from '../../../test/support/builders.js';
 import { BudgetLedger } from '../src/core/budget-ledger.js';
 import { rankCandidates } from '../src/core/machine-selection.js';
 import {
--- a/packages/drain/test/support/drain-fleet.ts
+++ b/packages/drain/test/support/drain-fleet.ts
@@ -15,10 +15,9 @@
   MachineId,
   ReplyTicket,
 } from '../../../../src/core/model/ids.js';
-import type { JobSpec } from '../../../../src/core/model/job.js';
 import type { StoreOperation } from '../../../../src/core/model/ledger-record.js';
 import type { Instant } from '../../../../src/core/model/time.js';
-import { core, job, team, type } from '../../../../test/model/build.js';
+import { core, type JobChange, job, team, type } from '../../../../test/support/builders.js';
 import { drainModule } from '../../src/index.js';
 import { type Clock, noFaults, STEP_MS } from './faults.js';
 import { ModelCloud } from './model-cloud.js';
@@ -172,7 +171,7 @@
   // ---- users and operators ----
 
   /** Submits a job; its tasks run for ever unless `workers.runMs` says otherwise. */
-  submit(id: string, change: Partial<Record<keyof JobSpec, unknown>> = {}): void {
+  submit(id: string, change: JobChange = {}): void {
     const spec = job(id, { estimateS: 600, ...change });
     this.store.jobs.set(id, spec);
     this.queue.push({ kind: 'job', spec, submittedAt: this.now as Instant });
--- a/packages/drain/test/support/model-workers.ts
+++ b/packages/drain/test/support/model-workers.ts
@@ -2,7 +2,7 @@
 import type { Heartbeat, TaskStatus } from '../../../../src/core/model/heartbeat.js';
 import type { JobId, ZoneName } from '../../../../src/core/model/ids.js';
 import type { WorkerCommand } from '../../../../src/core/model/worker-command.js';
-import { report, task } from '../../../../test/model/build.js';
+import { report, task } from '../../../../test/support/builders.js';
 import { type Clock, STEP_MS } from './faults.js';
 
 const HEARTBEAT_MS = 1000;
--- a/test/backfill.test.ts
+++ b/test/backfill.test.ts
@@ -14,11 +14,12 @@
   ZoneName,
 } from '../src/core/model/ids.js';
 import { isService, PRIORITY_LEVEL } from '../src/core/model/job.js';
+import type { Policy } from '../src/core/model/policy.js';
 import type { Instant } from '../src/core/model/time.js';
 import { runSchedulingRound } from '../src/core/scheduling/backfill.js';
 import { scoreDeadline } from '../src/core/scheduling/scoring.js';
-import { core, job, team, type } from './model/build.js';
 import { type PlainWorld, plainRound } from './model/plain-backfill.js';
+import { core, type JobChange, job, team, type } from './support/builders.js';
 
 const TYPES = [
   type('small', { cpus: 4, memoryGb: 16 }),
@@ -313,7 +314,7 @@
     const machine = createMachine('n-1' as MachineId, at, 0 as Instant, 0 as Instant);
     machine.isReady = true;
     state.machines.set(machine.id, machine);
-    const add = (id: string, change: object) => {
+    const add = (id: string, change: JobChange) => {
       const spec = job(id, change);
       state.jobs.set(spec.id, createJob(spec, 0 as Instant));
     };
@@ -336,7 +337,12 @@
 
   it('preempts lower-priority tasks that write checkpoints, no more than an urgent head needs', () => {
     const at = { endpoint: '', type: 'c8' as MachineTypeName, zone: 'a' as ZoneName, spot: false };
-    const preemptedBy = (victim: object, urgent: object, startedAt = 0, policy = {}) => {
+    const preemptedBy = (
+      victim: JobChange,
+      urgent: JobChange,
+      startedAt = 0,
+      policy: Partial<Policy> = {},
+    ) => {
       const state = core({}, policy);
       state.types.set('c8' as MachineTypeName, type('c8'));
       const machine = createMachine('n-1' as MachineId, at, 0 as Instant, 0 as Instant);
--- a/test/batch-writer.test.ts
+++ b/test/batch-writer.test.ts
@@ -7,7 +7,7 @@
 import type { StoreOperation } from '../src/core/model/ledger-record.js';
 import { BatchWriter } from '../src/service/batch-writer.js';
 import { cleanUp, cleanups, log } from './stand-ins/cluster.js';
-import { StateService } from './stand-ins/state-service.js';
+import { StateService } from './stand-ins/key-value-store.js';
 
 afterEach(cleanUp);
 
--- a/test/compound-failures.test.ts
+++ b/test/compound-failures.test.ts
@@ -13,8 +13,8 @@
 } from '../src/core/model/ids.js';
 import type { StoreOperation } from '../src/core/model/ledger-record.js';
 import type { Instant } from '../src/core/model/time.js';
-import { core, entry, job, recordedAt, report, task, type } from './model/build.js';
-import { CoreDriver, ended, running } from './model/core-driver.js';
+import { core, entry, job, recordedAt, report, task, type } from './support/builders.js';
+import { CoreDriver, ended, running } from './support/core-driver.js';
 
 const id = 'job-1' as JobId;
 const cancelCommand = { kind: 'cancel-job', job: id, ticket: 77 as ReplyTicket } as const;
--- a/test/duplicated-messages.test.ts
+++ b/test/duplicated-messages.test.ts
@@ -12,8 +12,8 @@
   TeamName,
 } from '../src/core/model/ids.js';
 import type { Instant } from '../src/core/model/time.js';
-import { core, entry, job, recordedAt, report, type } from './model/build.js';
-import { CoreDriver, running } from './model/core-driver.js';
+import { core, entry, job, recordedAt, report, type } from './support/builders.js';
+import { CoreDriver, running } from './support/core-driver.js';
 
 const hasRequestedDeletion = (effects: readonly Effect[], id: string) =>
   effects.some(
--- a/test/extensions.test.ts
+++ b/test/extensions.test.ts
@@ -14,9 +14,9 @@
 import type { StoreOperation } from '../src/core/model/ledger-record.js';
 import type { KeyValueStore } from '../src/ports/key-value-store.js';
 import { BatchWriter } from '../src/service/batch-writer.js';
-import { core } from './model/build.js';
-import { CoreDriver, ended, running } from './model/core-driver.js';
 import { log } from './stand-ins/cluster.js';
+import { core } from './support/builders.js';
+import { CoreDriver, ended, running } from './support/core-driver.js';
 
 /** An extension that does nothing but what a test overrides. */
 const extension = (change: Partial<Extension>): Extension => ({
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -5,8 +5,8 @@
 import type { Command } from '../src/core/model/command.js';
 import type { FencingToken, MachineId, ReplyTicket } from '../src/core/model/ids.js';
 import type { Instant } from '../src/core/model/time.js';
-import { core, entry, job, recordedAt, report, type } from './model/build.js';
-import { CoreDriver, running } from './model/core-driver.js';
+import { core, entry, job, recordedAt, report, type } from './support/builders.js';
+import { CoreDriver, running } from './support/core-driver.js';
 
 describe('a leader that has lost the key-value store and its peers, but not its workers', () => {
   it('sends no commands; its successor starts nothing twice, in time for cancelled jobs too', () => {
--- a/test/fault-handling.test.ts
+++ b/test/fault-handling.test.ts
@@ -6,8 +6,8 @@
 import type { Effect } from '../src/core/model/effect.js';
 import type { FencingToken, JobId, MachineId, ReplyTicket } from '../src/core/model/ids.js';
 import type { Instant } from '../src/core/model/time.js';
-import { core, job, report, task, type } from './model/build.js';
-import { CoreDriver, ended, running } from './model/core-driver.js';
+import { core, job, report, task, type } from './support/builders.js';
+import { CoreDriver, ended, running } from './support/core-driver.js';
 
 const SEGMENT = segmentKey(6 as FencingToken, 1);
 
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -12,10 +12,10 @@
 import { ATTEMPTS_PER_REVISION } from '../src/core/lifecycle/attempts.js';
 import type { TaskStatus } from '../src/core/model/heartbeat.js';
 import type { MachineId, Revision } from '../src/core/model/ids.js';
-import { core, team } from './model/build.js';
-import { CoreDriver, running } from './model/core-driver.js';
-import { CountingMap } from './model/counting-map.js';
 import { cleanUp, cleanups } from './stand-ins/cluster.js';
+import { core, team } from './support/builders.js';
+import { CoreDriver, running } from './support/core-driver.js';
+import { CountingMap } from './support/counting-map.js';
 
 const FLEET = 4200;
 const names = Array.from({ length: FLEET }, (_, i) => `n-${String(i).padStart(6, '0')}`);
--- a/test/ledger.test.ts
+++ b/test/ledger.test.ts
@@ -14,8 +14,8 @@
 import type { StoreOperation } from '../src/core/model/ledger-record.js';
 import type { Instant } from '../src/core/model/time.js';
 import { decodeSegment, encodeSegment } from '../src/service/stored-records.js';
-import { core, entry, job, recordedAt, report, task, team, type } from './model/build.js';
-import { CoreDriver, ended, running } from './model/core-driver.js';
+import { core, entry, job, recordedAt, report, task, team, type } from './support/builders.js';
+import { CoreDriver, ended, running } from './support/core-driver.js';
 
 describe('the placement ledger', () => {
   const storeOperations = (effects: readonly Effect[]): StoreOperation[] =>
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -21,9 +21,9 @@
 import type { Instant } from '../src/core/model/time.js';
 import { BatchWriter } from '../src/service/batch-writer.js';
 import { decodeSegment, encodeSegment } from '../src/service/stored-records.js';
-import { core, entry, job, recordedAt, report, task, team, type } from './model/build.js';
+import { StateService } from './stand-ins/key-value-store.js';
 import { settingsText } from './stand-ins/settings.js';
-import { StateService } from './stand-ins/state-service.js';
+import { core, entry, job, recordedAt, report, task, team, type } from './support/builders.js';
 
 const cleanups: (() => void)[] = [];
 afterEach(() => {
--- a/test/model/overloaded-day.ts
+++ b/test/model/overloaded-day.ts
@@ -10,7 +10,7 @@
 import type { Policy } from '../../src/core/model/policy.js';
 import type { Instant } from '../../src/core/model/time.js';
 import type { WorkerCommand } from '../../src/core/model/worker-command.js';
-import { core, job, report, task, team, type } from './build.js';
+import { core, job, report, task, team, type } from '../support/builders.js';
 
 const STEP_MS = 1000;
 const ARRIVALS_MS = 400_000;
--- a/test/one-task-jobs.test.ts
+++ b/test/one-task-jobs.test.ts
@@ -6,7 +6,7 @@
 import type { JobId, ReplyTicket, TeamName } from '../src/core/model/ids.js';
 import type { Instant } from '../src/core/model/time.js';
 import type { WorkerCommand } from '../src/core/model/worker-command.js';
-import { core, job, report, task, team, type } from './model/build.js';
+import { core, job, report, task, team, type } from './support/builders.js';
 
 const MACHINES = 12;
 const TASK_MS = 9000;
--- a/test/one-way-partitions.test.ts
+++ b/test/one-way-partitions.test.ts
@@ -2,8 +2,8 @@
 import { describe, expect, it } from 'vitest';
 import type { Effect } from '../src/core/model/effect.js';
 import type { JobId, MachineId, ReplyTicket, TeamName } from '../src/core/model/ids.js';
-import { core, report, team } from './model/build.js';
-import { CoreDriver, running } from './model/core-driver.js';
+import { core, report, team } from './support/builders.js';
+import { CoreDriver, running } from './support/core-driver.js';
 
 const hasRequestedDeletion = (effects: readonly Effect[], id: string) =>
   effects.some(
--- a/test/pinned-http.test.ts
+++ b/test/pinned-http.test.ts
@@ -25,8 +25,8 @@
 import * as frozen from './fixtures/schemas-90313a6.js';
 import { Cloud, post } from './stand-ins/cloud.js';
 import { body, cleanUp, cleanups, freePort, log, until } from './stand-ins/cluster.js';
+import { StateService } from './stand-ins/key-value-store.js';
 import { settingsText } from './stand-ins/settings.js';
-import { StateService } from './stand-ins/state-service.js';
 
 afterEach(cleanUp);
 
--- a/test/refusal-then-outage.test.ts
+++ b/test/refusal-then-outage.test.ts
@@ -13,10 +13,10 @@
 import type { FencingToken, JobId, MachineId, ReplyTicket } from '../src/core/model/ids.js';
 import { isService } from '../src/core/model/job.js';
 import type { Instant, Millis } from '../src/core/model/time.js';
-import { core, entry, job, recordedAt, report, task, type } from './model/build.js';
-import { CoreDriver, running } from './model/core-driver.js';
 import { post } from './stand-ins/cloud.js';
 import { body, cleanUp, cluster, status, until } from './stand-ins/cluster.js';
+import { core, entry, job, recordedAt, report, task, type } from './support/builders.js';
+import { CoreDriver, running } from './support/core-driver.js';
 
 afterEach(cleanUp);
 
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { SimulatedWorld } from './model/simulated-world.js';
+import { SimulatedWorld } from './support/simulated-world/world.js';
 
 describe('the rules', () => {
   it('hold over drawn histories of delays, repeats, lost answers, crashes and takeovers', () => {
--- a/test/service-jobs.test.ts
+++ b/test/service-jobs.test.ts
@@ -5,7 +5,7 @@
 import { KeyValueStoreClient } from '../src/adapters/key-value-store/key-value-store-client.js';
 import { post } from './stand-ins/cloud.js';
 import { body, cleanUp, cleanups, cluster, status, until } from './stand-ins/cluster.js';
-import { StateService } from './stand-ins/state-service.js';
+import { StateService } from './stand-ins/key-value-store.js';
 
 afterEach(cleanUp);
 
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -11,10 +11,10 @@
 import type { Instant, Millis } from '../src/core/model/time.js';
 import type { WorkerCommand } from '../src/core/model/worker-command.js';
 import { runSchedulingRound } from '../src/core/scheduling/backfill.js';
-import { core, entry, job, recordedAt, report, type } from './model/build.js';
-import { CoreDriver, ended, running } from './model/core-driver.js';
+import { core, entry, type JobChange, job, recordedAt, report, type } from './support/builders.js';
+import { CoreDriver, ended, running } from './support/core-driver.js';
 
-const service = (change: object = {}) => ({
+const service = (change: JobChange = {}): JobChange => ({
   shape: 'service',
   priority: 'critical',
   allowsSpot: false,
@@ -313,8 +313,8 @@
     for (const [id, priority] of [
       ['job-1', 'critical'],
       ['job-2', 'standard'],
-    ])
-      driver.submit(id!, service({ tasks: 2, cpus: 5, priority }));
+    ] as const)
+      driver.submit(id, service({ tasks: 2, cpus: 5, priority }));
     driver.submit('job-3', { tasks: 30, estimateS: 1, allowsSpot: false });
     for (let i = 0; i < 60; i += 1) {
       fleet.round((command) => (command.job === 'job-3' ? 'done' : null));
--- a/test/stand-ins/cloud.ts
+++ b/test/stand-ins/cloud.ts
@@ -7,7 +7,7 @@
   type ServerResponse,
 } from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { readJson, sendJson } from './state-service.js';
+import { readJson, sendJson } from './key-value-store.js';
 
 interface Task {
   Piece: string;
--- a/test/stand-ins/cluster.ts
+++ b/test/stand-ins/cluster.ts
@@ -9,8 +9,8 @@
 import { Jitter } from '../../src/adapters/runtime/random.js';
 import { Controller } from '../../src/service/controller.js';
 import { Cloud, post } from './cloud.js';
+import { StateService } from './key-value-store.js';
 import { settingsText } from './settings.js';
-import { StateService } from './state-service.js';
 
 export const log = pino({ level: 'silent' });
 export const cleanups: (() => void)[] = [];
--- a/test/stand-ins/processes.ts
+++ b/test/stand-ins/processes.ts
@@ -6,8 +6,8 @@
 import { promisify } from 'node:util';
 import { Cloud, post } from './cloud.js';
 import { cleanups, freePort, until } from './cluster.js';
+import { StateService } from './key-value-store.js';
 import { settingsText } from './settings.js';
-import { StateService } from './state-service.js';
 
 const execute = promisify(execFile);
 
--- a/test/start-up.test.ts
+++ b/test/start-up.test.ts
@@ -9,9 +9,9 @@
 import { afterAll, afterEach, beforeAll, describe, expect, it } from 'vitest';
 import { Cloud, post } from './stand-ins/cloud.js';
 import { body, cleanUp, cleanups, freePort, until } from './stand-ins/cluster.js';
+import { StateService } from './stand-ins/key-value-store.js';
 import { buildProgram } from './stand-ins/processes.js';
 import { settingsText } from './stand-ins/settings.js';
-import { StateService } from './stand-ins/state-service.js';
 
 const run = promisify(execFile);
 let directory = '';
--- a/test/starvation.test.ts
+++ b/test/starvation.test.ts
@@ -1,7 +1,7 @@
 /** No job starves: none waits 90 s beside capacity that fits while its team is within quota. */
 import { describe, expect, it } from 'vitest';
-import { core, type task } from './model/build.js';
-import { CoreDriver, ended, running } from './model/core-driver.js';
+import { core, type task } from './support/builders.js';
+import { CoreDriver, ended, running } from './support/core-driver.js';
 
 /** Plays heartbeats, while all tasks go on, until a task of the job starts; the wait in ms. */
 const waitForStart = (
--- a/test/model/build.ts
+++ b/test/support/builders.ts
@@ -4,6 +4,7 @@
 import type { Heartbeat, TaskStatus } from '../../src/core/model/heartbeat.js';
 import type {
   AttemptId,
+  Branded,
   FencingToken,
   ImageName,
   JobId,
@@ -20,6 +21,21 @@
 import type { Team } from '../../src/core/model/team.js';
 import type { Instant, Millis } from '../../src/core/model/time.js';
 
+/** As a test writes a value: plain strings and numbers stand for branded ones. */
+type Plain<V> =
+  V extends Branded<string, string>
+    ? string
+    : V extends Branded<number, string>
+      ? number
+      : V extends readonly (infer E)[]
+        ? readonly Plain<E>[]
+        : V;
+
+type Change<T> = { readonly [K in keyof T]?: Plain<T[K]> };
+
+/** Fields of a job that a test sets. */
+export type JobChange = Change<JobSpec>;
+
 /** The default with some fields replaced; a name that it does not have is a mistake in the test. */
 const override = <T extends object>(base: T, change: Partial<Record<keyof T, unknown>>): T => {
   for (const name of Object.keys(change)) {
@@ -28,7 +44,7 @@
   return { ...base, ...change };
 };
 
-export const job = (id: string, change: Partial<Record<keyof JobSpec, unknown>> = {}): JobSpec =>
+export const job = (id: string, change: JobChange = {}): JobSpec =>
   override<JobSpec>(
     {
       id: id as JobId,
@@ -55,10 +71,7 @@
     change,
   );
 
-export const type = (
-  name: string,
-  change: Partial<Record<keyof MachineType, unknown>> = {},
-): MachineType =>
+export const type = (name: string, change: Change<MachineType> = {}): MachineType =>
   override<MachineType>(
     {
       name: name as MachineTypeName,
--- a/test/model/core-driver.ts
+++ b/test/support/core-driver.ts
@@ -8,7 +8,7 @@
 import type { ReplyTicket } from '../../src/core/model/ids.js';
 import type { Instant } from '../../src/core/model/time.js';
 import type { WorkerCommand } from '../../src/core/model/worker-command.js';
-import { core, job, report, task, type } from './build.js';
+import { core, type JobChange, job, report, task, type } from './builders.js';
 
 /** Drives a core by hand; saves are stored at once, so that a test states only what matters to it. */
 export class CoreDriver {
@@ -103,7 +103,7 @@
     return this.checkIn(id, [], change);
   }
 
-  submit(id: string, change: object = {}): void {
+  submit(id: string, change: JobChange = {}): void {
     this.send({ kind: 'job', spec: job(id, change), submittedAt: this.now as Instant });
   }
 
--- a/test/model/simulated-parties.ts
+++ b/test/support/simulated-world/parties.ts
@@ -1,8 +1,8 @@
 /** The parties of the simulated world: workers, leaders and what the state service keeps. */
-import type { CoreState } from '../../src/core/core-state.js';
-import type { Command } from '../../src/core/model/command.js';
-import type { SegmentKey } from '../../src/core/model/ids.js';
-import type { JobSpec } from '../../src/core/model/job.js';
+import type { CoreState } from '../../../src/core/core-state.js';
+import type { Command } from '../../../src/core/model/command.js';
+import type { SegmentKey } from '../../../src/core/model/ids.js';
+import type { JobSpec } from '../../../src/core/model/job.js';
 
 /** A task on a worker. */
 export interface Running {
--- a/test/model/simulated-world.ts
+++ b/test/support/simulated-world/world.ts
@@ -5,17 +5,17 @@
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { applyCommands } from '../../src/core/apply-commands.js';
+import { applyCommands } from '../../../src/core/apply-commands.js';
 import type {
   ExtensionModule,
   OperatorAnswer,
   OperatorCall,
-} from '../../src/core/extensions/extension.js';
-import { ExtensionHost } from '../../src/core/extensions/extension-host.js';
-import { graceAfterLeaseLoss } from '../../src/core/lifecycle/worker-leases.js';
-import type { Command } from '../../src/core/model/command.js';
-import type { Authority, Effect } from '../../src/core/model/effect.js';
-import type { Heartbeat } from '../../src/core/model/heartbeat.js';
+} from '../../../src/core/extensions/extension.js';
+import { ExtensionHost } from '../../../src/core/extensions/extension-host.js';
+import { graceAfterLeaseLoss } from '../../../src/core/lifecycle/worker-leases.js';
+import type { Command } from '../../../src/core/model/command.js';
+import type { Authority, Effect } from '../../../src/core/model/effect.js';
+import type { Heartbeat } from '../../../src/core/model/heartbeat.js';
 import type {
   FencingToken,
   JobId,
@@ -24,21 +24,15 @@
   ReplyTicket,
   TeamName,
   ZoneName,
-} from '../../src/core/model/ids.js';
-import type { JobSpec } from '../../src/core/model/job.js';
-import type { StoreOperation } from '../../src/core/model/ledger-record.js';
-import type { ListedMachine } from '../../src/core/model/machine.js';
-import type { Instant, Millis } from '../../src/core/model/time.js';
-import type { WorkerCommand } from '../../src/core/model/worker-command.js';
-import { decodeSegment, encodeSegment } from '../../src/service/stored-records.js';
-import { core, job, report, task, team, type } from './build.js';
-import {
-  type Leader,
-  type Message,
-  type Running,
-  type Store,
-  Worker,
-} from './simulated-parties.js';
+} from '../../../src/core/model/ids.js';
+import type { JobSpec } from '../../../src/core/model/job.js';
+import type { StoreOperation } from '../../../src/core/model/ledger-record.js';
+import type { ListedMachine } from '../../../src/core/model/machine.js';
+import type { Instant, Millis } from '../../../src/core/model/time.js';
+import type { WorkerCommand } from '../../../src/core/model/worker-command.js';
+import { decodeSegment, encodeSegment } from '../../../src/service/stored-records.js';
+import { core, job, report, task, team, type } from '../builders.js';
+import { type Leader, type Message, type Running, type Store, Worker } from './parties.js';
 
 const REPORT_MS = 2000;
 const LEASE_MS = 16_000;
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -36,7 +36,7 @@
   oldTypes,
   oldView,
 } from './fixtures/production-schemas.js';
-import { core, entry, job, recordedAt, report, task } from './model/build.js';
+import { core, entry, job, recordedAt, report, task } from './support/builders.js';
 
 interface Stored {
   key: string;
