--- a/packages/drain/test/histories.test.ts
+++ b/packages/drain/test/histories.test.ts
@@ -38,9 +38,9 @@
       preemption: false,
       mostMachines: 9,
     });
-    this.world.onVoluntaryStop = (name) => {
+    this.world.interruptions.onVoluntaryStop = (name) => {
       observed.stops += 1;
-      const { team } = this.world.interrupted.get(name)!;
+      const { team } = this.world.interruptions.byTask.get(name)!;
       this.stops.push({ team, at: this.world.now });
     };
   }
@@ -120,12 +120,12 @@
 
 class Fault implements Step {
   constructor(
-    readonly kind: 'cloudDownUntil' | 'noCapacityUntil' | 'bootTroubleUntil' | 'stateDownUntil',
+    readonly kind: 'cloudDownUntil' | 'noCapacityUntil' | 'bootFaultsUntil' | 'storeDownUntil',
     readonly ms: number,
   ) {}
   check = () => true;
   run(_: Model, real: ObservedWorld): void {
-    real.world[this.kind] = real.world.now + this.ms;
+    real.world.faultTimes[this.kind] = real.world.now + this.ms;
     real.play(2000, false);
   }
   toString = () => `${this.kind} ${this.ms}`;
@@ -156,8 +156,8 @@
       fc.constantFrom(
         'cloudDownUntil' as const,
         'noCapacityUntil' as const,
-        'bootTroubleUntil' as const,
-        'stateDownUntil' as const,
+        'bootFaultsUntil' as const,
+        'storeDownUntil' as const,
       ),
       fc.integer({ min: 1000, max: 20_000 }),
     )
@@ -191,7 +191,7 @@
     expect(isExplained(answer), `${name}: ${JSON.stringify(answer)}`).toBe(true);
     if (answer?.status === 'done') observed.done += 1;
   }
-  observed.failovers += real.world.takeovers;
+  observed.failovers += real.world.reached.failovers;
 };
 
 describe('drains in drawn histories', () => {
--- /dev/null
+++ b/test/support/simulated-world/faults.ts
@@ -0,0 +1,283 @@
+/** Drawn faults: of leaders, machines, the network, the cloud and the key-value store. */
+import type { Instant } from '../../../src/core/model/time.js';
+import type { Fleet, Machine } from './fleet.js';
+import type { Leaders } from './leaders.js';
+import type { ModelCloud } from './model-cloud.js';
+import type { ModelWorkers } from './model-workers.js';
+import { CANCEL_MS, GRACE_MS, WORKER_LEASE_MS } from './settings.js';
+import type { Simulation } from './simulation.js';
+import type { Users } from './users.js';
+
+/** All kinds of faults, each as likely as it stands here. */
+const FAULTS = [
+  'lease-lost',
+  'lease-lost',
+  'hung',
+  'noticed',
+  'gone',
+  'unknown-machine',
+  'deaf',
+  'restarted',
+  'many-machines',
+  'leader-frozen',
+  'blackout',
+  'store',
+  'refused-then-down',
+  'late-writes',
+  'mute',
+  'cancelled-with-hang',
+  'handed-over-and-back',
+  'late-list',
+] as const;
+
+/** Faults of one machine. */
+type MachineFault = 'hung' | 'noticed' | 'gone' | 'deaf' | 'restarted' | 'mute';
+
+/** The parts of the world that faults befall. */
+export interface FaultSurroundings {
+  readonly sim: Simulation;
+  readonly fleet: Fleet;
+  readonly leaders: Leaders;
+  readonly cloud: ModelCloud;
+  readonly workers: ModelWorkers;
+  readonly users: Users;
+}
+
+/** Draws faults; each method is one kind. */
+export class Faults {
+  constructor(private readonly world: FaultSurroundings) {}
+
+  /** Something goes wrong. */
+  draw(): void {
+    const { sim, fleet } = this.world;
+    const all = fleet.all();
+    const machine = all.length > 0 ? all[sim.int(0, all.length - 1)]! : null;
+    const kind = FAULTS[sim.int(1, FAULTS.length) - 1]!;
+    switch (kind) {
+      case 'lease-lost':
+        return this.endLease(all);
+      case 'unknown-machine':
+        return this.addUnknownMachine();
+      case 'many-machines':
+        return this.befallManyMachines();
+      case 'leader-frozen':
+        return this.freezeLeader();
+      case 'blackout':
+        return this.blackOut();
+      case 'store':
+        return this.disturbStore();
+      case 'refused-then-down':
+        return this.refuseThenGoDown(all);
+      case 'late-writes':
+        sim.faultTimes.lateWritesUntil = sim.now + sim.int(5000, 40_000);
+        return;
+      case 'cancelled-with-hang':
+        return this.cancelAndHang(all);
+      case 'handed-over-and-back':
+        return this.handOverAndBack();
+      case 'late-list':
+        return this.listMachines();
+      default:
+        if (machine) this.befallMachine(kind, machine);
+    }
+  }
+
+  private befallMachine(kind: MachineFault, machine: Machine): void {
+    const { sim, cloud, workers } = this.world;
+    switch (kind) {
+      case 'hung':
+        machine.hungUntil = sim.now + sim.int(2000, 25_000);
+        return;
+      case 'noticed':
+        if (machine.spot) machine.reclaimAt = sim.now + sim.int(0, 10_000);
+        return;
+      case 'gone':
+        if (machine.spot) cloud.takeAway(machine.id);
+        return;
+      case 'deaf':
+        sim.reached.deafSpells += 1;
+        machine.deafUntil = sim.now + sim.int(3000, 60_000);
+        return;
+      case 'restarted':
+        workers.restart(machine);
+        return;
+      case 'mute':
+        sim.reached.compoundFaults.mute += 1;
+        machine.muteUntil = sim.now + sim.int(3000, 60_000);
+    }
+  }
+
+  /** The leader loses its lease, by a crash or unnoticed; the next comes when it has run out. */
+  private endLease(all: readonly Machine[]): void {
+    const { sim, leaders } = this.world;
+    const old = leaders.current();
+    if (!old) return;
+    old.isCurrent = false;
+    old.leaseValidUntil = Math.min(old.leaseValidUntil, sim.now + sim.int(0, 2000));
+    const hasCrashed = sim.chance(50);
+    if (hasCrashed) leaders.list = leaders.list.filter((l) => l !== old);
+    else if (sim.chance(50)) {
+      // It sits with some workers behind a cut, and the cloud cannot be reached either.
+      for (const machine of all) {
+        if (!sim.chance(40)) continue;
+        machine.cutOffWith = old;
+        machine.cutOffUntil = sim.now + sim.int(5000, 40_000);
+      }
+      sim.faultTimes.cloudDownUntil = sim.now + sim.int(0, 45_000);
+    }
+    // A crashed process may be back within a fraction of a second, and takes its own key at once.
+    const isQuick = hasCrashed && sim.chance(40);
+    if (isQuick) sim.reached.quickRestarts += 1;
+    leaders.electAfter(
+      isQuick ? sim.int(10, 900) : Math.max(0, old.leaseValidUntil - sim.now) + sim.int(10, 4000),
+    );
+  }
+
+  /** A machine nobody asked for in this term. */
+  private addUnknownMachine(): void {
+    const { fleet } = this.world;
+    if (fleet.machines.size < 8) fleet.add(false, 500);
+  }
+
+  /** A good third of the machines at once. */
+  private befallManyMachines(): void {
+    const { sim, fleet, cloud, workers } = this.world;
+    const { massFaults } = sim.reached;
+    const kinds = Object.keys(massFaults) as (keyof typeof massFaults)[];
+    const kind = kinds[sim.int(0, kinds.length - 1)]!;
+    massFaults[kind] += 1;
+    const until = sim.now + sim.int(3000, 45_000);
+    for (const machine of fleet.all()) {
+      if (!sim.chance(45)) continue;
+      if (kind === 'gone') cloud.takeAway(machine.id);
+      else if (kind === 'hung') machine.hungUntil = until;
+      else if (kind === 'held') machine.heldUntil = until;
+      else if (kind === 'restarted') workers.restart(machine);
+      else if (machine.spot) machine.reclaimAt = sim.now + sim.int(500, 10_000);
+    }
+  }
+
+  /**
+   * The leader stands still, for seconds or well over its right to lead; then it goes on with what
+   * had come in.
+   */
+  private freezeLeader(): void {
+    const { sim, leaders } = this.world;
+    const leader = leaders.current();
+    if (!leader) return;
+    sim.reached.freezes += 1;
+    leader.isCurrent = false;
+    leader.frozenUntil = sim.now + sim.int(1000, 30_000);
+    leaders.electAfter(Math.max(0, leader.leaseValidUntil - sim.now) + sim.int(10, 4000));
+  }
+
+  /**
+   * Every controller ends, and all that was on its way to them is lost with them; now and then for
+   * longer than the workers' leases.
+   */
+  private blackOut(): void {
+    const { sim, leaders } = this.world;
+    sim.reached.blackouts += 1;
+    leaders.list = [];
+    if (sim.chance(25)) sim.reached.compoundFaults.longBlackouts += 1;
+    const isLong = sim.chance(25);
+    leaders.electAfter(
+      isLong ? sim.int(WORKER_LEASE_MS, 2 * WORKER_LEASE_MS) : sim.int(3000, 9000),
+    );
+  }
+
+  /** The key-value store is away, or slow. */
+  private disturbStore(): void {
+    const { sim } = this.world;
+    if (sim.chance(50)) {
+      sim.reached.outages += 1;
+      sim.faultTimes.storeDownUntil = sim.now + sim.int(2000, 25_000);
+    } else {
+      sim.reached.slowSpells += 1;
+      sim.faultTimes.storeSlowUntil = sim.now + sim.int(5000, 30_000);
+    }
+  }
+
+  /**
+   * The key-value store refuses the leader alone; some workers go on reporting to it. The next
+   * leader confirms cancellations, and then the store is down for all, for longer than a
+   * cancellation may take.
+   */
+  private refuseThenGoDown(all: readonly Machine[]): void {
+    const { sim, leaders, users } = this.world;
+    const old = leaders.current();
+    if (!old || sim.now < sim.faultTimes.storeDownUntil) return;
+    sim.reached.compoundFaults.refusedThenDown += 1;
+    old.isCurrent = false;
+    const lapseMs = Math.max(0, old.leaseValidUntil - sim.now);
+    for (const machine of all) {
+      if (!sim.chance(50)) continue;
+      machine.cutOffWith = old;
+      machine.cutOffUntil = old.leaseValidUntil + GRACE_MS;
+    }
+    const electedMs = lapseMs + sim.int(10, 600);
+    leaders.electAfter(electedMs);
+    const downMs = electedMs + sim.int(100, 5000);
+    sim.faultTimes.refusalGapUntil = sim.now + downMs;
+    for (let i = 0; i < 6; i += 1) {
+      sim.after(sim.int(electedMs, downMs), () => users.cancel());
+    }
+    sim.after(downMs, () => {
+      sim.faultTimes.storeDownUntil = sim.now + sim.int(CANCEL_MS, 3 * CANCEL_MS);
+    });
+  }
+
+  /** Users cancel what runs, and its machines hang at that moment. */
+  private cancelAndHang(all: readonly Machine[]): void {
+    const { sim, users } = this.world;
+    const busy = all.filter((machine) => machine.isBusy());
+    for (const machine of busy.slice(0, sim.int(1, 3))) {
+      sim.reached.compoundFaults.cancelledWithHang += 1;
+      users.cancel(machine.activeTasks()[0]!.job);
+      machine.hungUntil = sim.now + sim.int(1000, 30_000);
+    }
+  }
+
+  /** Hand over and back, within a second or two; jobs are cancelled in between. */
+  private handOverAndBack(): void {
+    const { sim, leaders, users } = this.world;
+    sim.reached.compoundFaults.handedOverAndBack += 1;
+    for (let i = 0; i < 4; i += 1) {
+      sim.after(i * sim.int(100, 700), () => {
+        users.cancel();
+        leaders.list = leaders.list.filter((l) => l !== leaders.current());
+        leaders.elect();
+      });
+    }
+  }
+
+  /** The leader reads the cloud's list, which is late. */
+  private listMachines(): void {
+    const { sim, fleet, leaders } = this.world;
+    const leader = leaders.current();
+    if (!leader) return;
+    const machines = fleet.list();
+    const askedAt = sim.now as Instant;
+    sim.after(sim.delay(), () => leader.queue.push({ kind: 'machines-listed', askedAt, machines }));
+  }
+
+  /** Ends all faults; a leader is elected if there is none. */
+  heal(): void {
+    const { sim, fleet, leaders } = this.world;
+    for (const machine of fleet.machines.values()) {
+      machine.isFaulty = false;
+      machine.hungUntil = 0;
+      machine.deafUntil = 0;
+      machine.muteUntil = 0;
+      machine.heldUntil = 0;
+    }
+    const { faultTimes } = sim;
+    faultTimes.storeDownUntil = 0;
+    faultTimes.storeSlowUntil = 0;
+    faultTimes.lateWritesUntil = 0;
+    faultTimes.cloudDownUntil = 0;
+    faultTimes.noCapacityUntil = 0;
+    faultTimes.bootFaultsUntil = 0;
+    if (!leaders.current()) leaders.elect();
+  }
+}
--- /dev/null
+++ b/test/support/simulated-world/fleet.ts
@@ -0,0 +1,145 @@
+/** The machines as they really are, and what runs on them. */
+import type {
+  MachineId,
+  MachineTypeName,
+  TeamName,
+  ZoneName,
+} from '../../../src/core/model/ids.js';
+import type { JobSpec } from '../../../src/core/model/job.js';
+import type { ListedMachine } from '../../../src/core/model/machine.js';
+import type { Leader } from './leaders.js';
+import type { Simulation } from './simulation.js';
+
+/** A task on a machine. */
+export interface MachineTask {
+  readonly job: string;
+  readonly index: number;
+  readonly attempt: number;
+  state: 'running' | 'ended';
+  cause: 'done' | 'stopped' | 'error' | null;
+  /** How long it still runs, in milliseconds. */
+  leftMs: number;
+}
+
+/** A machine with its worker. */
+export class Machine {
+  agentEpoch = 1;
+  heartbeatSequence = 0;
+  fencingToken = 0;
+  tasks: MachineTask[] = [];
+  /** Its lease counts from here. */
+  leaseStart: number;
+  nextHeartbeatAt: number;
+  lastHeartbeatAt = 0;
+  /** The heartbeat whose answer it waits for. */
+  pendingHeartbeat: { readonly sentAt: number; readonly agentEpoch: number } | null = null;
+  /** When the cloud takes it away, by its own notice. */
+  reclaimAt: number | null = null;
+  /** Whatever runs on it ends in error. */
+  isFaulty = false;
+  isGone = false;
+  upAt: number;
+  hungUntil = 0;
+  /** While cut off, it reaches only this leader, and nothing else reaches it. */
+  cutOffWith: Leader | null = null;
+  cutOffUntil = 0;
+  /** While deaf, its heartbeats arrive, but no reply and no command reaches it. */
+  deafUntil = 0;
+  /** While mute, it reaches no controller, but commands sent to it arrive. */
+  muteUntil = 0;
+  /** What it sends and what is sent to it is held back until then, and arrives all at once. */
+  heldUntil = 0;
+
+  constructor(
+    readonly id: string,
+    readonly spot: boolean,
+    readonly zone: string,
+    now: number,
+    bootMs: number,
+  ) {
+    this.upAt = now + bootMs;
+    this.leaseStart = this.upAt;
+    this.nextHeartbeatAt = this.upAt;
+  }
+
+  /** Tasks that have not ended. */
+  activeTasks(): MachineTask[] {
+    return this.tasks.filter((t) => t.state !== 'ended');
+  }
+
+  /** Whether a task has not ended. */
+  isBusy(): boolean {
+    return this.tasks.some((t) => t.state !== 'ended');
+  }
+
+  /** Processors that its tasks take. */
+  usedCpus(specs: ReadonlyMap<string, JobSpec>): number {
+    return this.activeTasks().reduce((sum, t) => sum + specs.get(t.job)!.cpus, 0);
+  }
+}
+
+/** All machines that there are. */
+export class Fleet {
+  readonly machines = new Map<string, Machine>();
+  private nextMachine = 0;
+
+  constructor(private readonly sim: Simulation) {}
+
+  /** Adds a machine, in a drawn zone unless a test keeps zones; now and then a faulty one. */
+  add(isOnDemand: boolean, bootMs: number, zone?: string): Machine {
+    const { sim } = this;
+    const id = `n-${String(this.nextMachine).padStart(4, '0')}`;
+    this.nextMachine += 1;
+    const drawn = sim.chance(50) ? 'a' : 'b';
+    const at = sim.options.module || sim.options.keepZones ? (zone ?? drawn) : drawn;
+    const machine = new Machine(id, !isOnDemand, at, sim.now, bootMs);
+    machine.isFaulty = sim.chance(6);
+    this.machines.set(id, machine);
+    return machine;
+  }
+
+  /** The machines at this moment, safe from changes while it is walked. */
+  all(): Machine[] {
+    return [...this.machines.values()];
+  }
+
+  /** Draws how long a message to or from a machine takes; held packets come all at once. */
+  linkDelay(machine: Machine): number {
+    return Math.max(0, machine.heldUntil - this.sim.now) + this.sim.delay();
+  }
+
+  /** Zones of the job's tasks that have not ended. */
+  zonesOf(job: string): string[] {
+    const zones: string[] = [];
+    for (const machine of this.machines.values()) {
+      for (const t of machine.tasks)
+        if (t.job === job && t.state !== 'ended') zones.push(machine.zone);
+    }
+    return zones;
+  }
+
+  /** Processors that a team's tasks really use. */
+  cpusOf(team: TeamName): number {
+    let cpus = 0;
+    for (const machine of this.machines.values()) {
+      for (const t of machine.tasks) {
+        const spec = this.sim.specOf(t.job);
+        if (t.state !== 'ended' && spec.team === team) cpus += spec.cpus;
+      }
+    }
+    return cpus;
+  }
+
+  /** The cloud's list of machines. */
+  list(): ListedMachine[] {
+    return this.all().map((machine) => ({
+      id: machine.id as MachineId,
+      endpoint: '127.0.0.1:9',
+      type: 'c8' as MachineTypeName,
+      zone: machine.zone as ZoneName,
+      spot: machine.spot,
+      status: this.sim.now < machine.upAt ? 'booting' : 'running',
+      ageS: 0,
+    }));
+  }
+}
--- /dev/null
+++ b/test/support/simulated-world/model-workers.ts
@@ -0,0 +1,211 @@
+/** The workers: leases, heartbeats and what they hear, over links that delay, repeat and lose. */
+import type { Effect } from '../../../src/core/model/effect.js';
+import type { Heartbeat } from '../../../src/core/model/heartbeat.js';
+import type { MachineTypeName, ZoneName } from '../../../src/core/model/ids.js';
+import type { WorkerCommand } from '../../../src/core/model/worker-command.js';
+import { report, task } from '../builders.js';
+import type { Fleet, Machine } from './fleet.js';
+import type { Leader, Leaders } from './leaders.js';
+import type { ModelCloud } from './model-cloud.js';
+import { ANSWER_TIMEOUT_MS, HEARTBEAT_MS, WORKER_LEASE_MS } from './settings.js';
+import type { Simulation } from './simulation.js';
+import type { TaskExecution } from './task-execution.js';
+
+/** A worker whose task has ended reports that early, but not sooner than this after a heartbeat. */
+const EARLY_HEARTBEAT_MS = 500;
+const RETRY_MS = 1000;
+
+type SendCommandsEffect = Extract<Effect, { kind: 'send-commands' }>;
+
+/** The parts of the world that workers know. */
+export interface WorkerSurroundings {
+  readonly sim: Simulation;
+  readonly fleet: Fleet;
+  readonly leaders: Leaders;
+  readonly cloud: ModelCloud;
+  readonly tasks: TaskExecution;
+}
+
+/** Lets workers run, report and obey. */
+export class ModelWorkers {
+  /** Takes the reply to a heartbeat, by ticket. */
+  private readonly replyHandlers = new Map<
+    number,
+    (commands: readonly WorkerCommand[] | null) => void
+  >();
+
+  constructor(private readonly world: WorkerSurroundings) {}
+
+  /** Plays some time on one machine. */
+  advance(machine: Machine, passedMs: number): void {
+    const { sim, cloud, tasks } = this.world;
+    if (sim.now < machine.upAt || machine.isGone) return;
+    if (machine.reclaimAt !== null && sim.now >= machine.reclaimAt) {
+      cloud.takeAway(machine.id);
+      return;
+    }
+    if (sim.now - machine.leaseStart > WORKER_LEASE_MS) this.expireLease(machine);
+    if (sim.now < machine.hungUntil) return;
+    if (tasks.advance(machine, passedMs)) {
+      const early = Math.max(sim.now, machine.lastHeartbeatAt + EARLY_HEARTBEAT_MS);
+      machine.nextHeartbeatAt = Math.min(machine.nextHeartbeatAt, early);
+    }
+    if (machine.pendingHeartbeat && sim.now - machine.pendingHeartbeat.sentAt > ANSWER_TIMEOUT_MS) {
+      machine.pendingHeartbeat = null;
+      machine.nextHeartbeatAt = sim.now + RETRY_MS;
+    }
+    if (!machine.pendingHeartbeat && sim.now >= machine.nextHeartbeatAt)
+      this.sendHeartbeat(machine);
+  }
+
+  /** The worker stops all its tasks; a hanging machine may resume them within its lease only. */
+  private expireLease(machine: Machine): void {
+    const { now } = this.world.sim;
+    machine.agentEpoch += 1;
+    machine.tasks = [];
+    machine.leaseStart = Math.max(now, machine.hungUntil);
+    machine.pendingHeartbeat = null;
+    machine.nextHeartbeatAt = now;
+  }
+
+  /** A machine back within a fraction of a second: its worker starts anew, with a later epoch. */
+  restart(machine: Machine): void {
+    const { sim } = this.world;
+    if (sim.now < machine.upAt) return;
+    machine.agentEpoch += 1;
+    machine.tasks = [];
+    machine.pendingHeartbeat = null;
+    machine.upAt = sim.now + sim.int(50, 900);
+    machine.leaseStart = machine.upAt;
+    machine.nextHeartbeatAt = machine.upAt;
+  }
+
+  private heartbeatOf(machine: Machine): Heartbeat {
+    machine.heartbeatSequence += 1;
+    const { id, heartbeatSequence, fencingToken, reclaimAt } = machine;
+    const statuses = machine.tasks.map((t) => task(t.job, t.index, t.attempt, t.state, t.cause));
+    return report(id, heartbeatSequence, fencingToken, statuses, {
+      agentEpoch: machine.agentEpoch,
+      zone: machine.zone as ZoneName,
+      spot: machine.spot,
+      type: 'c8' as MachineTypeName,
+      reclaimNoticeS: reclaimAt === null ? null : (reclaimAt - this.world.sim.now) / 1000,
+    });
+  }
+
+  private sendHeartbeat(machine: Machine): void {
+    const { sim, fleet, leaders } = this.world;
+    const heartbeat = this.heartbeatOf(machine);
+    const pending = { sentAt: sim.now, agentEpoch: machine.agentEpoch };
+    machine.pendingHeartbeat = pending;
+    machine.lastHeartbeatAt = sim.now;
+    machine.nextHeartbeatAt = sim.now + HEARTBEAT_MS + sim.int(-500, 500);
+    const cutOffWith =
+      machine.cutOffWith && sim.now < machine.cutOffUntil ? machine.cutOffWith : null;
+    const stale = this.drawStaleLeader();
+    const first = cutOffWith ?? stale ?? leaders.current();
+    const deliver = (to: Leader | null) => {
+      if (!to || leaders.authority(to) === 'none' || heartbeat.fencingToken > to.fencingToken)
+        return;
+      const ticket = sim.nextTicket();
+      this.replyHandlers.set(ticket, (commands) => {
+        if (commands) this.sendReply(machine, pending, to, commands);
+      });
+      to.queue.push({ kind: 'heartbeat', heartbeat, ticket });
+    };
+    if (sim.now < machine.muteUntil) return;
+    sim.after(fleet.linkDelay(machine), () => deliver(first));
+    this.drawCopies(deliver, cutOffWith !== null);
+  }
+
+  /** Mostly none; now and then a leader that has been replaced and does not know it yet. */
+  private drawStaleLeader(): Leader | null {
+    const { sim, leaders } = this.world;
+    const stale = leaders.list.filter((l) => !l.isCurrent);
+    return stale.length > 0 && sim.chance(15) ? stale[sim.int(0, stale.length - 1)]! : null;
+  }
+
+  /**
+   * Copies that the network held back reach whoever leads by then, also of machines that are long
+   * gone, of earlier epochs, and well over a lease late; a new leader may see a machine first by
+   * such a copy.
+   */
+  private drawCopies(deliver: (to: Leader | null) => void, isCutOff: boolean): void {
+    const { sim, leaders } = this.world;
+    const deliverCopy = () => {
+      sim.reached.delayedCopies += 1;
+      deliver(leaders.current());
+    };
+    if (sim.chance(1) && !isCutOff) {
+      sim.reached.compoundFaults.keptForNext += 1;
+      // To every controller that takes heartbeats, those that have been replaced too.
+      leaders.heldHeartbeats.push(() => {
+        for (const l of leaders.list) deliver(l);
+      });
+    }
+    if (sim.chance(5) && !isCutOff) sim.after(sim.int(50, 15_000), deliverCopy);
+    if (sim.chance(2)) sim.after(sim.int(WORKER_LEASE_MS, 4 * WORKER_LEASE_MS), deliverCopy);
+  }
+
+  /** A leader answers a heartbeat. */
+  receiveReply(ticket: number, commands: readonly WorkerCommand[] | null): void {
+    const handle = this.replyHandlers.get(ticket);
+    this.replyHandlers.delete(ticket);
+    handle?.(commands);
+  }
+
+  /** The worker gives an answer up after a while, and drops one that is fenced or of an old epoch. */
+  private sendReply(
+    machine: Machine,
+    pending: { readonly sentAt: number; readonly agentEpoch: number },
+    leader: Leader,
+    commands: readonly WorkerCommand[],
+  ): void {
+    const { sim, fleet, tasks } = this.world;
+    const { fencingToken } = leader;
+    if (sim.chance(5)) {
+      sim.reached.lostReplies += 1;
+      return;
+    }
+    sim.after(fleet.linkDelay(machine), () => {
+      const isGivenUp =
+        machine.isGone ||
+        machine.pendingHeartbeat !== pending ||
+        sim.now - pending.sentAt > ANSWER_TIMEOUT_MS;
+      if (isGivenUp || sim.now < machine.hungUntil || sim.now < machine.deafUntil) return;
+      machine.pendingHeartbeat = null;
+      if (fencingToken < machine.fencingToken || machine.agentEpoch !== pending.agentEpoch) return;
+      if (fencingToken > machine.fencingToken)
+        machine.nextHeartbeatAt = Math.min(machine.nextHeartbeatAt, sim.now + EARLY_HEARTBEAT_MS);
+      machine.fencingToken = fencingToken;
+      machine.leaseStart = pending.sentAt;
+      tasks.execute(machine, commands, leader.isOldVersion);
+    });
+  }
+
+  /** A leader sends commands outside of replies; the worker answers with a heartbeat. */
+  receiveCommands(leader: Leader, effect: SendCommandsEffect): void {
+    const { sim, fleet, tasks } = this.world;
+    const target = fleet.machines.get(effect.machine);
+    sim.after(target ? fleet.linkDelay(target) : sim.delay(), () => {
+      const machine = fleet.machines.get(effect.machine);
+      if (!machine || !this.isReachable(machine, leader)) return;
+      if (leader.fencingToken < machine.fencingToken || effect.agentEpoch !== machine.agentEpoch)
+        return;
+      machine.fencingToken = leader.fencingToken;
+      tasks.execute(machine, effect.commands, leader.isOldVersion);
+      const heartbeat = this.heartbeatOf(machine);
+      // Held up for seconds: the command was carried out, and its answer comes late.
+      const heldUpMs = sim.chance(3) ? sim.int(2000, 12_000) : 0;
+      sim.after(heldUpMs + fleet.linkDelay(machine), () =>
+        leader.queue.push({ kind: 'heartbeat', heartbeat, ticket: null }),
+      );
+    });
+  }
+
+  private isReachable(machine: Machine, leader: Leader): boolean {
+    const { now } = this.world.sim;
+    if (machine.hungUntil > now || machine.upAt > now || machine.deafUntil > now) return false;
+    return now >= machine.cutOffUntil || machine.cutOffWith === leader;
+  }
+}
--- /dev/null
+++ b/test/support/simulated-world/rule-checks.ts
@@ -0,0 +1,114 @@
+/** The users' rules, checked against what really runs: each broken one is a problem of the world. */
+import type { Effect } from '../../../src/core/model/effect.js';
+import type { MachineId } from '../../../src/core/model/ids.js';
+import type { JobSpec } from '../../../src/core/model/job.js';
+import type { Fleet, Machine } from './fleet.js';
+import type { Interruptions } from './interruptions.js';
+import type { StoredData } from './key-value-store.js';
+import type { Leader } from './leaders.js';
+import { CANCEL_MS, TEAMS } from './settings.js';
+import type { Simulation } from './simulation.js';
+
+/** `ran_twice`, `quota`, `wrong_place`, `ran_cancelled`, `not_done` and what else must not be. */
+export class RuleChecks {
+  private readonly attempts = new Set<string>();
+  /** When the end of a cancelled job was stored: from then on any controller may tell it. */
+  private readonly cancelledAt = new Map<string, number>();
+
+  constructor(
+    private readonly sim: Simulation,
+    private readonly fleet: Fleet,
+    private readonly stored: StoredData,
+    private readonly interruptions: Interruptions,
+  ) {}
+
+  /** A worker starts a task. */
+  checkStart(machine: Machine, id: string, index: number, attempt: number): void {
+    const { sim } = this;
+    const name = `${id}/${index}`;
+    const spec = sim.specOf(id);
+    sim.reached.starts += 1;
+    this.interruptions.byTask.delete(name);
+    if (spec.shape === 'service') sim.reached.services.starts += 1;
+    this.checkRunsOnce(machine, id, index);
+    if (this.attempts.has(`${name}#${attempt}`))
+      sim.problems.push(`attempt given twice ${name}#${attempt}`);
+    this.attempts.add(`${name}#${attempt}`);
+    this.checkPlace(machine, name, spec);
+  }
+
+  private checkRunsOnce(machine: Machine, id: string, index: number): void {
+    const { sim } = this;
+    for (const other of this.fleet.machines.values()) {
+      if (other === machine) continue;
+      if (other.tasks.some((t) => t.job === id && t.index === index && t.state !== 'ended')) {
+        sim.problems.push(
+          `ran_twice ${id}/${index} on ${machine.id} and ${other.id} at ${sim.now}`,
+        );
+      }
+    }
+  }
+
+  private checkPlace(machine: Machine, name: string, spec: JobSpec): void {
+    const { problems } = this.sim;
+    if (spec.zone !== null && spec.zone !== machine.zone) problems.push(`wrong_place zone ${name}`);
+    if (machine.spot && !spec.allowsSpot) problems.push(`wrong_place spot ${name}`);
+    const zones = this.fleet.zonesOf(spec.id);
+    if (spec.singleZone && zones.some((zone) => zone !== machine.zone))
+      problems.push(`wrong_place one zone ${name}`);
+    const most = Math.ceil(spec.tasks / 2);
+    if (spec.spreadZones && zones.filter((zone) => zone === machine.zone).length >= most)
+      problems.push(`wrong_place scatter ${name}`);
+  }
+
+  /** What must hold at every moment. */
+  checkNow(): void {
+    const { sim } = this;
+    for (const { name, cpusMax } of TEAMS) {
+      const cpus = this.fleet.cpusOf(name);
+      if (cpus > cpusMax) sim.problems.push(`quota ${name} ${cpus} at ${sim.now}`);
+    }
+    for (const [id, at] of this.cancelledAt) {
+      if (sim.now > at + CANCEL_MS && this.fleet.zonesOf(id).length > 0)
+        sim.problems.push(`ran_cancelled ${id}`);
+    }
+  }
+
+  /** The leader ends a job. */
+  checkJobEnded({ job, outcome }: Extract<Effect, { kind: 'job-ended' }>): void {
+    const { problems, reached } = this.sim;
+    const { shape, tasks } = this.sim.specOf(job);
+    if (outcome === 'done' && shape === 'service') problems.push(`not_done ${job}`);
+    if (outcome === 'cancelled' && shape === 'service') reached.services.cancelled += 1;
+    if (outcome !== 'done') return;
+    for (let i = 0; i < tasks; i += 1) {
+      if (!this.interruptions.doneTasks.has(`${job}/${i}`)) problems.push(`not_done ${job}/${i}`);
+    }
+  }
+
+  /** A user is told how a cancellation ended. */
+  checkSettled({ ticket, outcome }: Extract<Effect, { kind: 'cancellation-settled' }>): void {
+    const id = this.interruptions.cancelRequests.get(ticket)!;
+    if (outcome !== null && this.stored.completions.get(id) !== outcome)
+      this.sim.problems.push(`told before it was stored ${id}`);
+  }
+
+  /** The end of a cancelled job is stored, though the leader has not learnt of it yet. */
+  noteCancelled(job: string): void {
+    const { sim } = this;
+    this.cancelledAt.set(job, sim.now);
+    if (sim.now < sim.faultTimes.refusalGapUntil) sim.reached.compoundFaults.cancelledInGap += 1;
+    if (!this.interruptions.isCancelRequested(job)) sim.problems.push(`cancelled by nobody ${job}`);
+  }
+
+  /** Machines that are not lost go back empty. */
+  checkReturns(leader: Leader, ids: readonly MachineId[]): void {
+    for (const id of ids) {
+      const known = leader.state.machines.get(id);
+      const isGivenUp =
+        !known || known.lostAt !== null || known.isUnreachable || !known.hasReported;
+      if (!isGivenUp && this.fleet.machines.get(id)?.isBusy())
+        this.sim.problems.push(`returned with work ${id}`);
+    }
+  }
+}
--- /dev/null
+++ b/test/support/simulated-world/task-execution.ts
@@ -0,0 +1,94 @@
+/** What workers do with tasks: they start, run, end and stop them, and drop ended ones. */
+import type { WorkerCommand } from '../../../src/core/model/worker-command.js';
+import type { Machine, MachineTask } from './fleet.js';
+import type { Interruptions } from './interruptions.js';
+import type { StoredData } from './key-value-store.js';
+import type { RuleChecks } from './rule-checks.js';
+import { MACHINE_TYPE } from './settings.js';
+import type { Simulation } from './simulation.js';
+import type { Users } from './users.js';
+
+type StartCommand = Extract<WorkerCommand, { op: 'start' }>;
+
+/** The parts of the world that tasks touch. */
+export interface TaskSurroundings {
+  readonly sim: Simulation;
+  readonly stored: StoredData;
+  readonly checks: RuleChecks;
+  readonly interruptions: Interruptions;
+  readonly users: Users;
+}
+
+/** Runs tasks on machines. */
+export class TaskExecution {
+  constructor(private readonly world: TaskSurroundings) {}
+
+  /** Carries out commands of a leader. */
+  execute(machine: Machine, commands: readonly WorkerCommand[], byOldVersion: boolean): void {
+    for (const command of commands) {
+      const { job, index, attempt } = command;
+      const isMeant = (t: MachineTask) =>
+        t.job === job && t.index === index && t.attempt === attempt;
+      if (command.op === 'start') this.start(machine, command);
+      else if (command.op === 'kill') this.stop(machine, machine.tasks.find(isMeant), byOldVersion);
+      else machine.tasks = machine.tasks.filter((t) => !(t.state === 'ended' && isMeant(t)));
+    }
+  }
+
+  private start(machine: Machine, { job, index, attempt }: StartCommand): void {
+    const { sim, checks } = this.world;
+    const held = machine.tasks.find((t) => t.job === job && t.index === index);
+    if (held?.attempt === attempt) return;
+    const spec = sim.specOf(job);
+    if (held || machine.usedCpus(sim.specs) + spec.cpus > MACHINE_TYPE.cpus) {
+      machine.tasks.push({ job, index, attempt, state: 'ended', cause: 'error', leftMs: 0 });
+      return;
+    }
+    checks.checkStart(machine, job, index, attempt);
+    const isEndless = spec.shape === 'service' && sim.chance(70);
+    // Some run for longer than a cancellation may take.
+    const runMs = sim.chance(6) ? sim.int(20_000, 120_000) : sim.int(500, 20_000);
+    const leftMs = isEndless ? Number.POSITIVE_INFINITY : runMs;
+    machine.tasks.push({ job, index, attempt, state: 'running', cause: null, leftMs });
+  }
+
+  private stop(machine: Machine, t: MachineTask | undefined, byOldVersion: boolean): void {
+    const { sim, stored, interruptions } = this.world;
+    if (!t || t.state === 'ended') return;
+    if (machine.reclaimAt !== null && stored.jobs.has(t.job) && sim.isService(t.job))
+      sim.reached.services.moves += 1;
+    interruptions.noteStop(machine, t, byOldVersion);
+    t.state = 'ended';
+    t.cause = 'stopped';
+  }
+
+  /** Plays some time on a machine's tasks; returns whether one has ended. */
+  advance(machine: Machine, passedMs: number): boolean {
+    let hasEnded = false;
+    for (const t of machine.tasks) {
+      if (t.state !== 'running') continue;
+      t.leftMs -= passedMs;
+      if (t.leftMs > 0 && !machine.isFaulty) continue;
+      this.end(machine, t);
+      hasEnded = true;
+    }
+    return hasEnded;
+  }
+
+  private end(machine: Machine, t: MachineTask): void {
+    const { sim, interruptions, users } = this.world;
+    t.state = 'ended';
+    t.cause = machine.isFaulty || sim.failingJobs.has(t.job) ? 'error' : 'done';
+    if (sim.isService(t.job)) {
+      sim.reached.services.ends += 1;
+      if (sim.chance(50)) t.cause = 'error';
+    } else if (t.cause === 'done') {
+      interruptions.doneTasks.add(`${t.job}/${t.index}`);
+      // A cancellation meets the end of a task, of the last one too.
+      if (sim.chance(2)) {
+        sim.reached.compoundFaults.cancelledAtEnd += 1;
+        sim.after(sim.int(0, 1500), () => users.cancel(t.job));
+      }
+    }
+  }
+}
