--- a/packages/drain/measure/drain-load.ts
+++ b/packages/drain/measure/drain-load.ts
@@ -6,8 +6,8 @@
 import { join } from 'node:path';
 import { randomExponential, randomLcg, randomLogNormal } from 'd3-random';
 import { build as buildHistogram } from 'hdr-histogram-js';
-import { post } from '../../../test/stand-ins/cloud.js';
 import { body, cleanUp, until } from '../../../test/stand-ins/cluster.js';
+import { post } from '../../../test/stand-ins/http.js';
 import { buildProgram, startProcesses } from '../../../test/stand-ins/processes.js';
 import { lostWithMachines, mostStoppedAtOnce, ranTwice } from '../test/support/history-checker.js';
 
@@ -62,7 +62,7 @@
 
   constructor(private readonly fleet: Fleet) {
     fleet.cloud.runMsOf = (task) => this.runMsByJob.get(jobOf(task)) ?? null;
-    fleet.cloud.savesOf = (task) => this.runMsByJob.get(jobOf(task)) === LONG_TASK_MS;
+    fleet.cloud.writesCheckpoints = (task) => this.runMsByJob.get(jobOf(task)) === LONG_TASK_MS;
   }
 
   teamOf(task: string): string {
@@ -114,7 +114,7 @@
     ],
     quota: { cores: 1, mem_mb: 1000, max_connections: machines * 4 + 500 },
   });
-  fleet.cloud.checkInMs = HEARTBEAT_MS;
+  fleet.cloud.heartbeatMs = HEARTBEAT_MS;
   return fleet;
 };
 
--- a/packages/drain/test/loopback.test.ts
+++ b/packages/drain/test/loopback.test.ts
@@ -5,8 +5,8 @@
 import { writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { afterAll, afterEach, beforeAll, describe, expect, it } from 'vitest';
-import { post } from '../../../test/stand-ins/cloud.js';
 import { body, cleanUp, status, until } from '../../../test/stand-ins/cluster.js';
+import { post } from '../../../test/stand-ins/http.js';
 import { buildProgram, runCommand, startProcesses } from '../../../test/stand-ins/processes.js';
 import { lostWithMachines, mostStoppedAtOnce, ranTwice } from './support/history-checker.js';
 
@@ -195,7 +195,7 @@
       'team blue: 0 disrupted of 2\nteam green: 0 disrupted of 1\n',
     );
     // Without the key-value store nobody leads: answered at once, with another exit code.
-    state.down = true;
+    state.isDown = true;
     const later = await until(async () => {
       const answer = await run('list', '--at', at);
       return answer.code === 4 ? answer : null;
--- a/packages/drain/test/plain-model.test.ts
+++ b/packages/drain/test/plain-model.test.ts
@@ -14,7 +14,7 @@
 } from '@robinspread/extension-api';
 import * as fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { entry, job } from '../../../test/support/builders.js';
+import { job, ledgerEntry } from '../../../test/support/builders.js';
 import { BudgetLedger } from '../src/core/budget-ledger.js';
 import { rankCandidates } from '../src/core/machine-selection.js';
 import {
@@ -112,7 +112,7 @@
   run(index: number): void {
     this.attempts += 1;
     const view: Omit<AttemptView, 'machine'> = {
-      entry: entry(index, this.attempts),
+      entry: ledgerEntry(index, this.attempts),
       job: this.jobs.get('job-1' as JobId) ?? null,
       phase: 'running',
       startedAt: null,
--- a/packages/drain/test/support/history-checker.ts
+++ b/packages/drain/test/support/history-checker.ts
@@ -1,5 +1,5 @@
 /** Checks the machines' own history against the budgets, not what the code under test believes. */
-import type { TaskEvent } from '../../../../test/stand-ins/cloud.js';
+import type { TaskEvent } from '../../../../test/stand-ins/worker.js';
 
 /** The most tasks of each team that were stopped at a time and did not run again yet. */
 export const mostStoppedAtOnce = (
--- a/packages/drain/test/support/model-workers.ts
+++ b/packages/drain/test/support/model-workers.ts
@@ -2,7 +2,7 @@
 import type { Heartbeat, TaskStatus } from '../../../../src/core/model/heartbeat.js';
 import type { JobId, ZoneName } from '../../../../src/core/model/ids.js';
 import type { WorkerCommand } from '../../../../src/core/model/worker-command.js';
-import { report, task } from '../../../../test/support/builders.js';
+import { heartbeatOf, task } from '../../../../test/support/builders.js';
 import { type Clock, STEP_MS } from './faults.js';
 
 const HEARTBEAT_MS = 1000;
@@ -155,7 +155,7 @@
     worker.heartbeatSequence += 1;
     const { id, heartbeatSequence, fencingToken, reclaimedAt } = worker;
     const tasks = [...worker.tasks.values()];
-    const heartbeat = report(id, heartbeatSequence, fencingToken, tasks, {
+    const heartbeat = heartbeatOf(id, heartbeatSequence, fencingToken, tasks, {
       zone: worker.zone as ZoneName,
       spot: worker.spot,
       agentEpoch: worker.agentEpoch,
--- a/test/api-limits.test.ts
+++ b/test/api-limits.test.ts
@@ -9,8 +9,8 @@
 import type { Instant } from '../src/core/model/time.js';
 import type { ControllerApi } from '../src/ports/controller-api.js';
 import { CommandLoop } from '../src/service/command-loop.js';
-import { post } from './stand-ins/cloud.js';
 import { cleanUp, cleanups, freePort, log, until } from './stand-ins/cluster.js';
+import { post } from './stand-ins/http.js';
 import { settingsText } from './stand-ins/settings.js';
 import { core } from './support/builders.js';
 
--- a/test/batch-writer.test.ts
+++ b/test/batch-writer.test.ts
@@ -7,7 +7,7 @@
 import type { StoreOperation } from '../src/core/model/ledger-record.js';
 import { BatchWriter } from '../src/service/batch-writer.js';
 import { cleanUp, cleanups, log } from './stand-ins/cluster.js';
-import { StateService } from './stand-ins/key-value-store.js';
+import { KeyValueStoreServer } from './stand-ins/key-value-store.js';
 
 afterEach(cleanUp);
 
@@ -16,7 +16,7 @@
 describe('the batch writer', () => {
   const RATES = { rps: 1000, writeRps: 1000 };
   const setUp = async () => {
-    const state = new StateService();
+    const state = new KeyValueStoreServer();
     cleanups.push(() => state.close());
     const at = await state.listen();
     const [host, port] = at.split(':');
@@ -25,8 +25,8 @@
       { ...RATES, lowered: RATES },
     );
     cleanups.push(() => client.close());
-    state.multi({ Apply: [{ Write: 'leader', Data: {} }] });
-    const fencingToken = state.epoch as FencingToken;
+    state.commit({ Apply: [{ Write: 'leader', Data: {} }] });
+    const fencingToken = state.revision as FencingToken;
     const writer = new BatchWriter({ store: client, fencingToken, log, jitter: new Jitter(3) });
     return { state, writer };
   };
@@ -40,25 +40,25 @@
 
   it('finds out by reading back that an unanswered transaction was executed', async () => {
     const { state, writer } = await setUp();
-    state.swallow = 1;
+    state.answersToLose = 1;
     expect(await writer.storeBatch([segment(1)])).toEqual(STORED);
     expect(state.transactions).toBe(1);
     const dropped: StoreOperation = { kind: 'delete-segment', key: key(1) };
     expect(await writer.storeBatch([segment(3), dropped])).toEqual(STORED);
-    expect(state.keys.get(key(3))?.data).toMatchObject({ d: [['job-1', 0, 'Aw==']] });
+    expect(state.keys.get(key(3))?.value).toMatchObject({ d: [['job-1', 0, 'Aw==']] });
     expect(state.keys.has(key(1))).toBe(false);
   });
 
   it('retries what was not executed', async () => {
     const { state, writer } = await setUp();
-    state.drop = 2;
+    state.requestsToDrop = 2;
     expect(await writer.storeBatch([segment(1)])).toEqual(STORED);
     expect(state.transactions).toBe(3);
   });
 
   it('gives up once another node leads, and changes nothing', async () => {
     const { state, writer } = await setUp();
-    state.multi({ Apply: [{ Write: 'leader', Data: { node: 'other' } }] });
+    state.commit({ Apply: [{ Write: 'leader', Data: { node: 'other' } }] });
     const gone: StoreOperation = { kind: 'delete-segment', key: key(9) };
     expect(await writer.storeBatch([segment(1), gone])).toEqual({ kind: 'leadership-lost' });
     expect(state.keys.has(key(1))).toBe(false);
@@ -72,6 +72,6 @@
       Apply: [{ Write: key(1), Data: 'old' }],
     };
     await writer.storeBatch([segment(3)]);
-    expect(state.multi(late).status).toBe(409);
+    expect(state.commit(late).status).toBe(409);
   });
 });
--- a/test/compound-failures.test.ts
+++ b/test/compound-failures.test.ts
@@ -13,7 +13,15 @@
 } from '../src/core/model/ids.js';
 import type { StoreOperation } from '../src/core/model/ledger-record.js';
 import type { Instant } from '../src/core/model/time.js';
-import { core, entry, job, recordedAt, report, task, type } from './support/builders.js';
+import {
+  core,
+  heartbeatOf,
+  job,
+  ledgerEntry,
+  recordedAttributes,
+  task,
+  type,
+} from './support/builders.js';
 import { CoreDriver, ended, running } from './support/core-driver.js';
 
 const id = 'job-1' as JobId;
@@ -23,15 +31,15 @@
 const driveToLastTask = () => {
   const driver = new CoreDriver();
   driver.submit('job-1', { tasks: 2 });
-  const starts = driver.starts(driver.up('n-1'));
-  driver.checkIn('n-1', [ended(starts[0]!, 'done'), running(starts[1]!)]);
-  driver.pass(2000);
+  const starts = driver.startsIn(driver.bringUp('n-1'));
+  driver.sendHeartbeat('n-1', [ended(starts[0]!, 'done'), running(starts[1]!)]);
+  driver.advance(2000);
   let seq = 100;
   const send = (...commands: Parameters<typeof applyCommands>[1][number][]) =>
     applyCommands(driver.state, commands, driver.now as Instant, 'lead');
   const lastTaskEnded = () => {
     seq += 1;
-    const reported = report('n-1', seq, 7, [ended(starts[1]!, 'done')]);
+    const reported = heartbeatOf('n-1', seq, 7, [ended(starts[1]!, 'done')]);
     return { kind: 'heartbeat', heartbeat: reported, ticket: seq as ReplyTicket } as const;
   };
   return { driver, send, lastTaskEnded };
@@ -96,7 +104,7 @@
     run(3700, { kind: 'provision-result', request, result: 'ok', machines: ['n-1' as MachineId] });
     const first = run(4500, {
       kind: 'heartbeat',
-      heartbeat: report('n-1', 1, 0, []),
+      heartbeat: heartbeatOf('n-1', 1, 0, []),
       ticket: 1 as ReplyTicket,
     });
     const save = first.find((effect) => effect.kind === 'store-batch');
@@ -111,7 +119,7 @@
     run(6000, { kind: 'batch-stored', batch: save.batch });
     const second = run(6100, {
       kind: 'heartbeat',
-      heartbeat: report('n-1', 2, 7, []),
+      heartbeat: heartbeatOf('n-1', 2, 7, []),
       ticket: 2 as ReplyTicket,
     });
     const sent = second.flatMap((effect) =>
@@ -134,7 +142,7 @@
     let starts = 0;
     // A second machine has capacity for all of them; the first sends no heartbeat.
     for (let i = 1; i < 12; i += 1) {
-      const reported = report('n-2', i, i < 2 ? 7 : 8, []);
+      const reported = heartbeatOf('n-2', i, i < 2 ? 7 : 8, []);
       const effects = applyCommands(
         next,
         [{ kind: 'heartbeat', heartbeat: reported, ticket: i as ReplyTicket }, { kind: 'tick' }],
@@ -212,7 +220,7 @@
               index < ends ? 'done' : null,
             ),
           );
-        const reported = report('n-1', term * 100 + i, i < 1 ? term - 1 : term, tasks);
+        const reported = heartbeatOf('n-1', term * 100 + i, i < 1 ? term - 1 : term, tasks);
         const effects = storeBatches(
           applyCommands(
             state,
@@ -260,16 +268,16 @@
     const row = {
       segment: segmentKey(7 as FencingToken, 1),
       machine: 'n-2' as MachineId,
-      attributes: recordedAt,
+      attributes: recordedAttributes,
     };
     run(
       0,
       { kind: 'machine-types', types: [type('c8')] },
       { kind: 'job', spec: job('job-1', { tasks: 2 }), submittedAt: 0 as Instant },
-      { kind: 'recovered-attempts', ...row, entries: [entry(0, 7_000_002)] },
+      { kind: 'recovered-attempts', ...row, entries: [ledgerEntry(0, 7_000_002)] },
       { kind: 'recovery-completed' },
     );
-    const copy = report('n-1', 9, 7, [task('job-1', 0, 7_000_001, 'ended', 'done')]);
+    const copy = heartbeatOf('n-1', 9, 7, [task('job-1', 0, 7_000_001, 'ended', 'done')]);
     const effects = run(500, { kind: 'heartbeat', heartbeat: copy, ticket: 1 as ReplyTicket });
     return { state, run, effects };
   };
@@ -290,7 +298,7 @@
       const shown = task('job-1', 0, 7_000_002, phase, phase === 'ended' ? 'stopped' : null);
       return run(now, {
         kind: 'heartbeat',
-        heartbeat: report('n-2', seq, term, [shown]),
+        heartbeat: heartbeatOf('n-2', seq, term, [shown]),
         ticket: (seq + 10) as ReplyTicket,
       });
     };
@@ -317,7 +325,7 @@
       firstTask: 0,
       bits,
     });
-    const commands = driver.checkIn('n-2', [task('job-1', 0, 6_000_002)]) ?? [];
+    const commands = driver.sendHeartbeat('n-2', [task('job-1', 0, 6_000_002)]) ?? [];
     expect(commands).toMatchObject([{ op: 'kill', attempt: 6_000_002 }]);
   });
 });
--- a/test/duplicated-messages.test.ts
+++ b/test/duplicated-messages.test.ts
@@ -12,7 +12,14 @@
   TeamName,
 } from '../src/core/model/ids.js';
 import type { Instant } from '../src/core/model/time.js';
-import { core, entry, job, recordedAt, report, type } from './support/builders.js';
+import {
+  core,
+  heartbeatOf,
+  job,
+  ledgerEntry,
+  recordedAttributes,
+  type,
+} from './support/builders.js';
 import { CoreDriver, running } from './support/core-driver.js';
 
 const hasRequestedDeletion = (effects: readonly Effect[], id: string) =>
@@ -23,15 +30,15 @@
 describe('late copies of messages', () => {
   it('prove and release nothing when heartbeats are stale or of deleted machines', () => {
     const driver = new CoreDriver();
-    driver.up('n-1');
+    driver.bringUp('n-1');
     driver.submit('job-1', { tasks: 3 });
-    const starts = driver.starts(driver.checkIn('n-1'));
-    driver.checkIn('n-1', starts.map(running));
+    const starts = driver.startsIn(driver.sendHeartbeat('n-1'));
+    driver.sendHeartbeat('n-1', starts.map(running));
     const { teamUsage: usage } = driver.state;
     for (const copy of [
-      report('n-1', 1, 7, []),
-      report('n-1', 2, 6, []),
-      report('n-1', 99, 7, [], { agentEpoch: 0 }),
+      heartbeatOf('n-1', 1, 7, []),
+      heartbeatOf('n-1', 2, 6, []),
+      heartbeatOf('n-1', 99, 7, [], { agentEpoch: 0 }),
     ]) {
       const lastSeen = driver.state.machines.get('n-1' as MachineId)!.lastHeartbeatAt;
       driver.now += 3000;
@@ -42,7 +49,7 @@
     driver.send({ kind: 'deletion-result', machines: ['n-1' as MachineId], ok: true });
     driver.send({
       kind: 'heartbeat',
-      heartbeat: report('n-1', 200, 7, starts.map(running)),
+      heartbeat: heartbeatOf('n-1', 200, 7, starts.map(running)),
       ticket: 501 as ReplyTicket,
     });
     expect(driver.state.machines.size).toBe(0);
@@ -62,13 +69,21 @@
         kind: 'recovered-attempts',
         segment,
         machine: 'n-1' as MachineId,
-        attributes: recordedAt,
-        entries: [entry(0, 5), entry(1, 6)],
+        attributes: recordedAttributes,
+        entries: [ledgerEntry(0, 5), ledgerEntry(1, 6)],
       },
       { kind: 'recovery-completed' },
     );
-    send(1000, { kind: 'heartbeat', heartbeat: report('n-1', 1, 6, []), ticket: 1 as ReplyTicket });
-    send(9000, { kind: 'heartbeat', heartbeat: report('n-1', 2, 6, []), ticket: 2 as ReplyTicket });
+    send(1000, {
+      kind: 'heartbeat',
+      heartbeat: heartbeatOf('n-1', 1, 6, []),
+      ticket: 1 as ReplyTicket,
+    });
+    send(9000, {
+      kind: 'heartbeat',
+      heartbeat: heartbeatOf('n-1', 2, 6, []),
+      ticket: 2 as ReplyTicket,
+    });
     expect(state.teamUsage.get('blue' as TeamName)?.cpus).toBe(2);
     let deleted = false;
     for (let now = 9500; now < 30_000; now += 500)
--- a/test/extensions.test.ts
+++ b/test/extensions.test.ts
@@ -38,13 +38,13 @@
 
 /** Two machines, tasks that end, one that fails, a reclaim notice: every effect of that day. */
 const playDay = (driver: CoreDriver): Effect[] => {
-  for (const id of ['n-1', 'n-2']) driver.up(id);
+  for (const id of ['n-1', 'n-2']) driver.bringUp(id);
   driver.submit('job-1', { tasks: 6, cpus: 2 });
   driver.submit('job-2', { shape: 'service', tasks: 2, priority: 'critical', allowsSpot: false });
   for (let i = 0; i < 12; i += 1) {
     for (const id of ['n-1', 'n-2']) {
-      const starts = driver.starts(driver.checkIn(id));
-      driver.checkIn(
+      const starts = driver.startsIn(driver.sendHeartbeat(id));
+      driver.sendHeartbeat(
         id,
         starts.map(running),
         i === 9 && id === 'n-1' ? { reclaimNoticeS: 20 } : {},
@@ -52,11 +52,11 @@
       const done = starts.map((command) =>
         ended(command, command.job === 'job-2' ? null : i === 3 ? 'error' : 'done'),
       );
-      driver.checkIn(id, done);
+      driver.sendHeartbeat(id, done);
     }
-    driver.pass(3000);
+    driver.advance(3000);
   }
-  driver.pass(400_000);
+  driver.advance(400_000);
   return driver.effects;
 };
 
@@ -114,10 +114,10 @@
       }),
     );
     driver.submit('job-1');
-    const starts = driver.starts(driver.up('n-1'));
+    const starts = driver.startsIn(driver.bringUp('n-1'));
     expect(starts).toHaveLength(1);
-    driver.checkIn('n-1', starts.map(running));
-    driver.checkIn(
+    driver.sendHeartbeat('n-1', starts.map(running));
+    driver.sendHeartbeat(
       'n-1',
       starts.map((command) => ended(command, 'done')),
     );
@@ -137,17 +137,17 @@
         },
       }),
     );
-    for (const id of ['n-1', 'n-2']) driver.up(id);
+    for (const id of ['n-1', 'n-2']) driver.bringUp(id);
     driver.submit('job-1', { shape: 'service', priority: 'critical' });
     const holder = ['n-1', 'n-2'].find((id) => {
-      const starts = driver.starts(driver.checkIn(id));
-      if (starts.length > 0) driver.checkIn(id, starts.map(running));
+      const starts = driver.startsIn(driver.sendHeartbeat(id));
+      if (starts.length > 0) driver.sendHeartbeat(id, starts.map(running));
       return starts.length > 0;
     })!;
     const machine = driver.state.machines.get(holder as MachineId)!;
     machine.isDraining = true;
     const held = [...machine.placements.values()][0]!;
-    driver.pass(4000);
+    driver.advance(4000);
     expect(held.stopRequest).toBeNull();
   });
 
@@ -189,7 +189,7 @@
         },
       }),
     );
-    driver.pass(30_000);
+    driver.advance(30_000);
     const batches = driver.effects.flatMap((effect) =>
       effect.kind === 'store-batch' ? [effect.operations] : [],
     );
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -5,25 +5,32 @@
 import type { Command } from '../src/core/model/command.js';
 import type { FencingToken, MachineId, ReplyTicket } from '../src/core/model/ids.js';
 import type { Instant } from '../src/core/model/time.js';
-import { core, entry, job, recordedAt, report, type } from './support/builders.js';
+import {
+  core,
+  heartbeatOf,
+  job,
+  ledgerEntry,
+  recordedAttributes,
+  type,
+} from './support/builders.js';
 import { CoreDriver, running } from './support/core-driver.js';
 
 describe('a leader that has lost the key-value store and its peers, but not its workers', () => {
   it('sends no commands; its successor starts nothing twice, in time for cancelled jobs too', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 2 });
-    const starts = driver.starts(driver.up('n-1'));
+    const starts = driver.startsIn(driver.bringUp('n-1'));
     const runningAttempts = starts.map(running);
-    driver.checkIn('n-1', runningAttempts);
+    driver.sendHeartbeat('n-1', runningAttempts);
     driver.submit('job-2', { tasks: 2 });
     for (let i = 0; i < 3; i += 1)
-      expect(driver.checkIn('n-1', runningAttempts, {}, 'keep-alive')).toEqual([]);
-    expect(driver.checkIn('n-1', runningAttempts, {}, 'none')).toBeNull();
+      expect(driver.sendHeartbeat('n-1', runningAttempts, {}, 'keep-alive')).toEqual([]);
+    expect(driver.sendHeartbeat('n-1', runningAttempts, {}, 'none')).toBeNull();
     // The successor gets no heartbeat from n-1, and the cloud does not answer its deletion.
     const successor = core({ fencingToken: 8 as FencingToken });
     const apply = (now: number, ...commands: Command[]) =>
       applyCommands(successor, commands, now as Instant, 'lead');
-    const entries = starts.map((start) => entry(start.index, start.attempt));
+    const entries = starts.map((start) => ledgerEntry(start.index, start.attempt));
     apply(
       0,
       { kind: 'machine-types', types: [type('c8')] },
@@ -32,7 +39,7 @@
         kind: 'recovered-attempts',
         segment: segmentKey(7 as FencingToken, 1),
         machine: 'n-1' as MachineId,
-        attributes: recordedAt,
+        attributes: recordedAttributes,
         entries,
       },
       { kind: 'recovery-completed' },
@@ -44,7 +51,7 @@
       sequence += 1;
       const effects = apply(now, {
         kind: 'heartbeat',
-        heartbeat: report('n-2', sequence, sequence < 3 ? 7 : 8),
+        heartbeat: heartbeatOf('n-2', sequence, sequence < 3 ? 7 : 8),
         ticket: sequence as ReplyTicket,
       });
       for (const effect of effects) {
@@ -55,7 +62,7 @@
             ...apply(now, { kind: 'deletion-result', machines: effect.machines, ok: false }),
           );
         if (effect.kind !== 'reply-to-heartbeat') continue;
-        for (const start of driver.starts(effect.commands))
+        for (const start of driver.startsIn(effect.commands))
           if (!firstSentAt.has(start.attempt)) firstSentAt.set(start.attempt, now);
       }
     }
@@ -82,8 +89,8 @@
         kind: 'recovered-attempts',
         segment,
         machine,
-        attributes: recordedAt,
-        entries: [entry(i, 50 + i)],
+        attributes: recordedAttributes,
+        entries: [ledgerEntry(i, 50 + i)],
       });
     }
     apply(0, { kind: 'recovery-completed' });
--- a/test/fault-handling.test.ts
+++ b/test/fault-handling.test.ts
@@ -6,7 +6,7 @@
 import type { Effect } from '../src/core/model/effect.js';
 import type { FencingToken, JobId, MachineId, ReplyTicket } from '../src/core/model/ids.js';
 import type { Instant } from '../src/core/model/time.js';
-import { core, job, report, task, type } from './support/builders.js';
+import { core, heartbeatOf, job, task, type } from './support/builders.js';
 import { CoreDriver, ended, running } from './support/core-driver.js';
 
 const SEGMENT = segmentKey(6 as FencingToken, 1);
@@ -16,17 +16,17 @@
     const driver = new CoreDriver();
     driver.submit('job-1');
     driver.submit('job-2');
-    const starts = driver.starts(driver.up('n-1'));
+    const starts = driver.startsIn(driver.bringUp('n-1'));
     expect(starts).toHaveLength(2);
-    driver.checkIn(
+    driver.sendHeartbeat(
       'n-1',
       starts.map((command) => ended(command, 'error')),
     );
     expect(driver.state.machines.get('n-1' as MachineId)?.isDraining).toBe(true);
-    driver.checkIn('n-1');
+    driver.sendHeartbeat('n-1');
     expect(
       driver
-        .pass(1000)
+        .advance(1000)
         .some(
           (effect) =>
             effect.kind === 'delete-machines' && effect.machines.includes('n-1' as MachineId),
@@ -38,13 +38,13 @@
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 1 });
     let tries = 0;
-    for (const id of ['n-1', 'n-2', 'n-3']) driver.up(id);
+    for (const id of ['n-1', 'n-2', 'n-3']) driver.bringUp(id);
     for (let round = 0; round < 40; round += 1) {
       for (const id of ['n-1', 'n-2', 'n-3']) {
-        const starts = driver.starts(driver.checkIn(id));
+        const starts = driver.startsIn(driver.sendHeartbeat(id));
         tries += starts.length;
         if (starts.length > 0)
-          driver.checkIn(
+          driver.sendHeartbeat(
             id,
             starts.map((command) => ended(command, 'error')),
           );
@@ -63,41 +63,47 @@
 
   it('have their tasks started elsewhere only once the cloud has deleted them', () => {
     const driver = new CoreDriver();
-    for (const id of ['n-1', 'n-2', 'n-3']) driver.up(id);
+    for (const id of ['n-1', 'n-2', 'n-3']) driver.bringUp(id);
     driver.submit('job-1');
     const holder = ['n-1', 'n-2', 'n-3'].find(
-      (id) => driver.starts(driver.checkIn(id)).length > 0,
+      (id) => driver.startsIn(driver.sendHeartbeat(id)).length > 0,
     )!;
     const others = ['n-1', 'n-2', 'n-3'].filter((id) => id !== holder);
     for (let i = 0; i < 3; i += 1) {
-      driver.pass(2500);
-      for (const id of others) expect(driver.starts(driver.checkIn(id))).toEqual([]);
+      driver.advance(2500);
+      for (const id of others) expect(driver.startsIn(driver.sendHeartbeat(id))).toEqual([]);
     }
     const asked = driver.effects.flatMap((effect) =>
       effect.kind === 'delete-machines' ? effect.machines : [],
     );
     expect(asked).toContain(holder);
     driver.send({ kind: 'deletion-result', machines: [holder as MachineId], ok: true });
-    const again = others.flatMap((id) => driver.starts(driver.checkIn(id)));
+    const again = others.flatMap((id) => driver.startsIn(driver.sendHeartbeat(id)));
     expect(again).toHaveLength(1);
     // Late heartbeats of the deleted machine change nothing.
-    expect(driver.checkIn(holder, [])).toBeNull();
+    expect(driver.sendHeartbeat(holder, [])).toBeNull();
     expect(driver.state.machines.has(holder as MachineId)).toBe(false);
   });
 
   it('are not deleted at once when most fall silent together', () => {
     const driver = new CoreDriver();
     const ids = ['n-1', 'n-2', 'n-3', 'n-4'];
-    for (const id of ids) driver.up(id);
+    for (const id of ids) driver.bringUp(id);
     // Their last heartbeats come a moment apart.
     for (const id of ids) {
-      driver.send({ kind: 'heartbeat', heartbeat: report(id, 50, 7), ticket: 800 as ReplyTicket });
+      driver.send({
+        kind: 'heartbeat',
+        heartbeat: heartbeatOf(id, 50, 7),
+        ticket: 800 as ReplyTicket,
+      });
       driver.now += 400;
     }
-    expect(driver.pass(20_000).filter((effect) => effect.kind === 'delete-machines')).toEqual([]);
-    expect(driver.pass(20_000).filter((effect) => effect.kind === 'delete-machines')).not.toEqual(
+    expect(driver.advance(20_000).filter((effect) => effect.kind === 'delete-machines')).toEqual(
       [],
     );
+    expect(
+      driver.advance(20_000).filter((effect) => effect.kind === 'delete-machines'),
+    ).not.toEqual([]);
   });
 
   it('are drained on a reclaim notice: tasks are checkpointed, or killed if too long', () => {
@@ -110,12 +116,13 @@
     });
     driver.submit('job-2', { tasks: 1, estimateS: 100 });
     driver.submit('job-3', { tasks: 1, estimateS: 2 });
-    const starts = driver.starts(driver.up('n-1'));
+    const starts = driver.startsIn(driver.bringUp('n-1'));
     expect(starts).toHaveLength(3);
-    driver.checkIn('n-1', starts.map(running));
-    driver.checkIn('n-1', starts.map(running), { reclaimNoticeS: 9 });
-    driver.pass(500);
-    const commands = driver.checkIn('n-1', starts.map(running), { reclaimNoticeS: 8.5 }) ?? [];
+    driver.sendHeartbeat('n-1', starts.map(running));
+    driver.sendHeartbeat('n-1', starts.map(running), { reclaimNoticeS: 9 });
+    driver.advance(500);
+    const commands =
+      driver.sendHeartbeat('n-1', starts.map(running), { reclaimNoticeS: 8.5 }) ?? [];
     const kills = new Map(
       commands
         .filter((command) => command.op === 'kill')
@@ -140,7 +147,9 @@
       },
     ];
     driver.send({ kind: 'machines-listed', askedAt: driver.now as Instant, machines });
-    expect(driver.pass(10_000).filter((effect) => effect.kind === 'delete-machines')).toEqual([]);
+    expect(driver.advance(10_000).filter((effect) => effect.kind === 'delete-machines')).toEqual(
+      [],
+    );
   });
 
   it('are replaced when they never come up', () => {
@@ -154,8 +163,12 @@
       result: 'ok',
       machines: ['n-1' as MachineId],
     });
-    expect(driver.pass(60_000).filter((effect) => effect.kind === 'delete-machines')).toEqual([]);
-    expect(driver.pass(10_000).find((effect) => effect.kind === 'delete-machines')).toMatchObject({
+    expect(driver.advance(60_000).filter((effect) => effect.kind === 'delete-machines')).toEqual(
+      [],
+    );
+    expect(
+      driver.advance(10_000).find((effect) => effect.kind === 'delete-machines'),
+    ).toMatchObject({
       machines: ['n-1'],
     });
   });
@@ -165,14 +178,14 @@
   it('kills a reported task that its job does not have, and does not count it for the job', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 2 });
-    const starts = driver.starts(driver.up('n-1'));
+    const starts = driver.startsIn(driver.bringUp('n-1'));
     const unknownTask = task('job-1', 999_999_999, 3);
-    const commands = driver.checkIn('n-1', [...starts.map(running), unknownTask]);
+    const commands = driver.sendHeartbeat('n-1', [...starts.map(running), unknownTask]);
     expect(commands).toMatchObject([{ op: 'kill', index: 999_999_999 }]);
-    driver.checkIn('n-1', starts.map(running));
+    driver.sendHeartbeat('n-1', starts.map(running));
     expect(driver.state.jobs.get('job-1' as JobId)?.pendingTasks).toBe(0);
     expect(
-      driver.starts(driver.checkIn('n-1', []) ?? []).every((command) => command.index < 2),
+      driver.startsIn(driver.sendHeartbeat('n-1', []) ?? []).every((command) => command.index < 2),
     ).toBe(true);
   });
 
@@ -245,13 +258,13 @@
   it('keeps workers alive with empty replies without a lease, and then turns them away', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 4 });
-    const starts = driver.starts(driver.up('n-1'));
+    const starts = driver.startsIn(driver.bringUp('n-1'));
     expect(starts).toHaveLength(4);
     driver.submit('job-2', { tasks: 4 });
-    expect(driver.checkIn('n-1', starts.map(running), {}, 'keep-alive')).toEqual([]);
+    expect(driver.sendHeartbeat('n-1', starts.map(running), {}, 'keep-alive')).toEqual([]);
     const silent = driver.run('keep-alive', [{ kind: 'tick' }]);
     expect(silent.filter((effect) => effect.kind !== 'log')).toEqual([]);
-    expect(driver.checkIn('n-1', starts.map(running), {}, 'none')).toBeNull();
+    expect(driver.sendHeartbeat('n-1', starts.map(running), {}, 'none')).toBeNull();
   });
 
   it('keeps a recovered attempt until an authoritative heartbeat proves it absent', () => {
@@ -288,17 +301,25 @@
       'lead',
     );
     const driver = new CoreDriver(state);
-    driver.up('n-2');
-    expect(driver.starts(driver.checkIn('n-2'))).toEqual([]);
+    driver.bringUp('n-2');
+    expect(driver.startsIn(driver.sendHeartbeat('n-2'))).toEqual([]);
     // A heartbeat with an older fencing token and a direct response prove no absence.
-    driver.send({ kind: 'heartbeat', heartbeat: report('n-1', 1, 6), ticket: 900 as ReplyTicket });
-    driver.send({ kind: 'heartbeat', heartbeat: report('n-1', 2, 7), ticket: null });
-    expect(driver.starts(driver.checkIn('n-2'))).toEqual([]);
-    driver.send({ kind: 'heartbeat', heartbeat: report('n-1', 3, 7), ticket: 901 as ReplyTicket });
-    const starts = [...driver.starts(driver.checkIn('n-2'))];
+    driver.send({
+      kind: 'heartbeat',
+      heartbeat: heartbeatOf('n-1', 1, 6),
+      ticket: 900 as ReplyTicket,
+    });
+    driver.send({ kind: 'heartbeat', heartbeat: heartbeatOf('n-1', 2, 7), ticket: null });
+    expect(driver.startsIn(driver.sendHeartbeat('n-2'))).toEqual([]);
+    driver.send({
+      kind: 'heartbeat',
+      heartbeat: heartbeatOf('n-1', 3, 7),
+      ticket: 901 as ReplyTicket,
+    });
+    const starts = [...driver.startsIn(driver.sendHeartbeat('n-2'))];
     for (const effect of driver.effects)
       if (effect.kind === 'reply-to-heartbeat' && effect.ticket === 901)
-        starts.push(...driver.starts(effect.commands));
+        starts.push(...driver.startsIn(effect.commands));
     expect(starts).toHaveLength(1);
     expect(starts[0]?.attempt).toBeGreaterThan(7_000_000 - 1);
   });
@@ -306,14 +327,14 @@
   it('commands the worker to reap a result only once its progress is stored', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 2 });
-    const starts = driver.starts(driver.up('n-1'));
+    const starts = driver.startsIn(driver.bringUp('n-1'));
     const reported = [ended(starts[0]!, 'done'), running(starts[1]!)];
     const held: Effect[] = applyCommands(
       driver.state,
       [
         {
           kind: 'heartbeat',
-          heartbeat: report('n-1', 50, 7, reported),
+          heartbeat: heartbeatOf('n-1', 50, 7, reported),
           ticket: 700 as ReplyTicket,
         },
       ],
@@ -322,10 +343,10 @@
     );
     const answer = held.find((effect) => effect.kind === 'reply-to-heartbeat');
     expect(answer).toMatchObject({ commands: [] });
-    driver.pass(2000);
+    driver.advance(2000);
     const later = driver.state.machines.get('n-1' as MachineId)!;
     later.heartbeatSequence = 0;
-    expect(driver.checkIn('n-1', reported)).toMatchObject([
+    expect(driver.sendHeartbeat('n-1', reported)).toMatchObject([
       { op: 'reap', index: starts[0]!.index },
     ]);
   });
@@ -333,8 +354,8 @@
   it('kills a cancelled job at once, also starts under way, and confirms it once stored', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 2 });
-    const starts = driver.starts(driver.up('n-1'));
-    driver.checkIn('n-1', [running(starts[0]!)]);
+    const starts = driver.startsIn(driver.bringUp('n-1'));
+    driver.sendHeartbeat('n-1', [running(starts[0]!)]);
     const effects = driver.send({
       kind: 'cancel-job',
       job: 'job-1' as JobId,
@@ -346,7 +367,7 @@
       commands: [{ op: 'kill' }, { op: 'kill' }],
     });
     // The worker received the second start after all: the kills are sent again.
-    expect(driver.checkIn('n-1', starts.map(running))).toMatchObject([
+    expect(driver.sendHeartbeat('n-1', starts.map(running))).toMatchObject([
       { op: 'kill' },
       { op: 'kill' },
     ]);
--- a/test/heartbeat-http.test.ts
+++ b/test/heartbeat-http.test.ts
@@ -12,8 +12,8 @@
 import type { AttemptId, FencingToken, JobId, NodeId, TaskIndex } from '../src/core/model/ids.js';
 import type { ControllerApi } from '../src/ports/controller-api.js';
 import type { HeartbeatDecision } from '../src/ports/heartbeat-service.js';
-import { post } from './stand-ins/cloud.js';
 import { cleanUp, cleanups, freePort, log, until } from './stand-ins/cluster.js';
+import { post } from './stand-ins/http.js';
 import { settingsText } from './stand-ins/settings.js';
 
 afterEach(cleanUp);
--- a/test/isolated-leader.test.ts
+++ b/test/isolated-leader.test.ts
@@ -5,7 +5,7 @@
 import type { MachineTypeName, ProvisionRequestId, ZoneName } from '../src/core/model/ids.js';
 import type { ProvisionRequest } from '../src/core/model/machine.js';
 import type { Controller } from '../src/service/controller.js';
-import { Cloud, post } from './stand-ins/cloud.js';
+import { Cloud } from './stand-ins/cloud.js';
 import {
   body,
   cleanUp,
@@ -16,6 +16,7 @@
   status,
   until,
 } from './stand-ins/cluster.js';
+import { post } from './stand-ins/http.js';
 
 afterEach(cleanUp);
 
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -74,15 +74,15 @@
     );
     const counting = new CountingMap(s.state.machines);
     Object.assign(s.state, { machines: counting });
-    s.checkInAll(new Map(names.map((name) => [name, []])));
-    s.checkInAll(new Map(names.map((name) => [name, []])));
+    s.sendHeartbeats(new Map(names.map((name) => [name, []])));
+    s.sendHeartbeats(new Map(names.map((name) => [name, []])));
     expect(s.state.machines.size).toBe(FLEET);
     for (let i = 0; i < 100; i += 1) s.submit(`job-${i}`, { tasks: 500, cpus: 1 });
     const told = new Map(names.map((name): [string, TaskStatus[]] => [name, []]));
     let started = 0;
     for (let round = 0; round < 40 && started < FLEET * 8; round += 1) {
-      for (const [name, orders] of s.checkInAll(told)) {
-        const starts = s.starts(orders);
+      for (const [name, orders] of s.sendHeartbeats(told)) {
+        const starts = s.startsIn(orders);
         told.get(name)!.push(...starts.map(running));
         started += starts.length;
       }
@@ -90,12 +90,12 @@
     expect(started).toBe(FLEET * 8);
     // A tick and a round look at each machine a bounded number of times (16 when this was written).
     counting.visited = 0;
-    s.pass(2000);
+    s.advance(2000);
     expect(counting.visited / (4 * FLEET)).toBeLessThan(24);
     counting.visited = 0;
     s.send({
       kind: 'heartbeat',
-      heartbeat: { ...s.lastReport('n-000001'), sequence: 1_000_000 },
+      heartbeat: { ...s.currentHeartbeat('n-000001'), sequence: 1_000_000 },
       ticket: null,
     });
     expect(counting.visited).toBe(0);
@@ -103,15 +103,15 @@
 
   it('does not run out of attempt numbers: revisions stored under the token add theirs', () => {
     const s = new CoreDriver();
-    s.up('n-1');
+    s.bringUp('n-1');
     s.state.nextAttemptOffset = ATTEMPTS_PER_REVISION - 1;
     s.submit('job-1', { tasks: 3 });
-    const first = s.starts(s.checkIn('n-1'));
+    const first = s.startsIn(s.sendHeartbeat('n-1'));
     expect(first).toHaveLength(1);
     const term = s.state.config.fencingToken;
     s.send({ kind: 'batch-stored', batch: -1, revision: (term + 3) as Revision });
-    s.pass(2500);
-    const more = s.starts(s.checkIn('n-1', first.map(running)));
+    s.advance(2500);
+    const more = s.startsIn(s.sendHeartbeat('n-1', first.map(running)));
     expect(more).toHaveLength(2);
     for (const { attempt } of more) {
       expect(attempt).toBeGreaterThanOrEqual((term + 1) * ATTEMPTS_PER_REVISION);
--- a/test/ledger.test.ts
+++ b/test/ledger.test.ts
@@ -14,7 +14,16 @@
 import type { StoreOperation } from '../src/core/model/ledger-record.js';
 import type { Instant } from '../src/core/model/time.js';
 import { decodeSegment, encodeSegment } from '../src/service/stored-records.js';
-import { core, entry, job, recordedAt, report, task, team, type } from './support/builders.js';
+import {
+  core,
+  heartbeatOf,
+  job,
+  ledgerEntry,
+  recordedAttributes,
+  task,
+  team,
+  type,
+} from './support/builders.js';
 import { CoreDriver, ended, running } from './support/core-driver.js';
 
 describe('the placement ledger', () => {
@@ -33,15 +42,15 @@
       for (const [i, id] of ids.entries()) {
         driver.send({
           kind: 'heartbeat',
-          heartbeat: report(id, seq, term),
+          heartbeat: heartbeatOf(id, seq, term),
           ticket: (seq * 100 + i) as ReplyTicket,
         });
       }
-      driver.pass(2000);
+      driver.advance(2000);
     }
     driver.effects = [];
     driver.submit('job-1', { tasks: 480 });
-    driver.pass(1000);
+    driver.advance(1000);
     const records = storeOperations(driver.effects).filter((op) => op.kind === 'write-segment');
     expect(
       records.flatMap((segment) => segment.machines.flatMap((machine) => machine.entries)).length,
@@ -60,7 +69,7 @@
     run(0, { kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
     for (let seq = 1; seq < 3; seq += 1) {
       for (let i = 0; i < 60; i += 1) {
-        const heartbeat = report(`n-${i}`, seq, seq < 2 ? 6 : 7);
+        const heartbeat = heartbeatOf(`n-${i}`, seq, seq < 2 ? 6 : 7);
         run(1000 * seq, {
           kind: 'heartbeat',
           heartbeat,
@@ -95,26 +104,26 @@
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 4 });
     driver.submit('job-2', { tasks: 4 });
-    const starts = driver.starts(driver.up('n-1'));
-    driver.checkIn('n-1', starts.map(running));
+    const starts = driver.startsIn(driver.bringUp('n-1'));
+    driver.sendHeartbeat('n-1', starts.map(running));
     const progress = () =>
       storeOperations(driver.effects).flatMap((op) =>
         op.kind === 'write-segment' ? op.progress : [],
       );
     driver.effects = [];
     const tasks = starts.map((command, i) => (i === 0 ? ended(command, 'done') : running(command)));
-    const heartbeat = report('n-1', 50, 7, tasks);
+    const heartbeat = heartbeatOf('n-1', 50, 7, tasks);
     driver.send({ kind: 'heartbeat', heartbeat, ticket: 900 as ReplyTicket });
     driver.now += 300;
     driver.send({ kind: 'tick' });
     expect(progress()).toEqual([]);
-    driver.pass(1000);
+    driver.advance(1000);
     expect(progress()).toHaveLength(1);
     // The segment of a start has room left: the next end is stored with it at once.
     driver.effects = [];
     const more = starts.map((command, i) => (i <= 1 ? ended(command, 'done') : running(command)));
     driver.send(
-      { kind: 'heartbeat', heartbeat: report('n-1', 51, 7, more), ticket: 901 as ReplyTicket },
+      { kind: 'heartbeat', heartbeat: heartbeatOf('n-1', 51, 7, more), ticket: 901 as ReplyTicket },
       { kind: 'job', spec: job('job-3'), submittedAt: driver.now as Instant },
     );
     expect(progress()).toHaveLength(1);
@@ -125,8 +134,8 @@
       machines: [
         {
           machine: 'n-1' as MachineId,
-          attributes: recordedAt,
-          entries: [entry(0, 5), entry(3, 6, 'job-2')],
+          attributes: recordedAttributes,
+          entries: [ledgerEntry(0, 5), ledgerEntry(3, 6, 'job-2')],
         },
       ],
       progress: [{ job: 'job-1' as JobId, firstTask: 0, bits: Uint8Array.of(5, 1) }],
@@ -161,7 +170,7 @@
     let dropped = 0;
     for (let now = 500; now < 40_000; now += 500) {
       seq += 1;
-      const heartbeat = report('n-1', seq, seq < 3 ? 6 : 7, []);
+      const heartbeat = heartbeatOf('n-1', seq, seq < 3 ? 6 : 7, []);
       for (const effect of send(now, {
         kind: 'heartbeat',
         heartbeat,
@@ -172,7 +181,7 @@
           send(now, { kind: 'batch-stored', batch: effect.batch });
         }
         if (effect.kind === 'reply-to-heartbeat')
-          starts.push(...driver.starts(effect.commands).map(() => now));
+          starts.push(...driver.startsIn(effect.commands).map(() => now));
       }
     }
     // Grace after lease loss 10 s, worker lease 16 s, and the margins of both.
@@ -183,9 +192,9 @@
   it('keeps few segments while a few long tasks outlive many short ones', () => {
     const driver = new CoreDriver();
     const records = new Set<string>();
-    for (const id of ['n-1', 'n-2']) driver.up(id);
+    for (const id of ['n-1', 'n-2']) driver.bringUp(id);
     driver.submit('job-999', { tasks: 1, estimateS: 9999 });
-    const held = new Map<string, ReturnType<CoreDriver['starts']>>([
+    const held = new Map<string, ReturnType<CoreDriver['startsIn']>>([
       ['n-1', []],
       ['n-2', []],
     ]);
@@ -195,13 +204,13 @@
         const tasks = now.map((command) =>
           command.job === 'job-999' ? running(command) : ended(command, 'done'),
         );
-        const commands = driver.checkIn(id, tasks) ?? [];
+        const commands = driver.sendHeartbeat(id, tasks) ?? [];
         held.set(id, [
           ...now.filter((command) => command.job === 'job-999'),
-          ...driver.starts(commands),
+          ...driver.startsIn(commands),
         ]);
       }
-      driver.pass(500);
+      driver.advance(500);
     }
     for (const op of storeOperations(driver.effects)) {
       if (op.kind === 'write-segment') records.add(op.key);
@@ -221,10 +230,10 @@
   it('is written where this leader never placed it, so that the next leader knows of it', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 1 });
-    driver.pass(100);
+    driver.advance(100);
     const unknownTask = task('job-1', 0, 123);
-    driver.checkIn('n-9', [unknownTask]);
-    driver.pass(500);
+    driver.sendHeartbeat('n-9', [unknownTask]);
+    driver.advance(500);
     const ops = driver.effects.flatMap((effect) =>
       effect.kind === 'store-batch' ? [...effect.operations] : [],
     );
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -21,9 +21,18 @@
 import type { Instant } from '../src/core/model/time.js';
 import { BatchWriter } from '../src/service/batch-writer.js';
 import { decodeSegment, encodeSegment } from '../src/service/stored-records.js';
-import { StateService } from './stand-ins/key-value-store.js';
+import { KeyValueStoreServer } from './stand-ins/key-value-store.js';
 import { settingsText } from './stand-ins/settings.js';
-import { core, entry, job, recordedAt, report, task, team, type } from './support/builders.js';
+import {
+  core,
+  heartbeatOf,
+  job,
+  ledgerEntry,
+  recordedAttributes,
+  task,
+  team,
+  type,
+} from './support/builders.js';
 
 const cleanups: (() => void)[] = [];
 afterEach(() => {
@@ -110,7 +119,7 @@
         drive(
           state,
           store,
-          [{ kind: 'heartbeat', heartbeat: report(`n-${i}`, 1, 7, ended), ticket: null }],
+          [{ kind: 'heartbeat', heartbeat: heartbeatOf(`n-${i}`, 1, 7, ended), ticket: null }],
           now,
         );
       }
@@ -160,7 +169,7 @@
     };
     const unknownTaskOn = (n: number): Command => ({
       kind: 'heartbeat',
-      heartbeat: report(`n-${n}`, 1, 7, [task(`job-${n}`, 0, n)]),
+      heartbeat: heartbeatOf(`n-${n}`, 1, 7, [task(`job-${n}`, 0, n)]),
       ticket: null,
     });
     run({ kind: 'recovery-completed' }, ...Array.from({ length: 100 }, (_, n) => unknownTaskOn(n)));
@@ -172,7 +181,7 @@
   const log = pino({ level: 'silent' });
   const STORED = { kind: 'stored', refused: [] };
   const setUp = async () => {
-    const state = new StateService();
+    const state = new KeyValueStoreServer();
     cleanups.push(() => state.close());
     const [host, port] = (await state.listen()).split(':');
     const rates = { rps: 1000, writeRps: 1000 };
@@ -181,8 +190,8 @@
       { ...rates, lowered: rates },
     );
     cleanups.push(() => client.close());
-    state.multi({ Apply: [{ Write: 'leader', Data: {} }] });
-    const fencingToken = state.epoch as FencingToken;
+    state.commit({ Apply: [{ Write: 'leader', Data: {} }] });
+    const fencingToken = state.revision as FencingToken;
     const writer = new BatchWriter({ store: client, fencingToken, log, jitter: new Jitter(3) });
     return { state, writer };
   };
@@ -195,15 +204,15 @@
     key: key(n),
     machines: Array.from({ length: 3 }, (_, m) => ({
       machine: `n-${m}` as MachineId,
-      attributes: recordedAt,
-      entries: Array.from({ length: entries }, (_, i) => entry(i, n * 1000 + m * 100 + i)),
+      attributes: recordedAttributes,
+      entries: Array.from({ length: entries }, (_, i) => ledgerEntry(i, n * 1000 + m * 100 + i)),
     })),
     progress: [{ job: 'job-2' as JobId, firstTask: 0, bits: Uint8Array.of(n) }],
   });
-  const stored = (state: StateService) => {
+  const stored = (state: KeyValueStoreServer) => {
     const attempts: number[] = [];
     let progress = 0;
-    for (const [k, { data }] of state.keys) {
+    for (const [k, { value: data }] of state.keys) {
       if (!k.startsWith('l/')) continue;
       const record = decodeSegment(JSON.parse(JSON.stringify(data)))!;
       for (const { entries } of record.machines) attempts.push(...entries.map((e) => e.attempt));
@@ -271,7 +280,7 @@
     for (let now = 1000, seq = 1; now < 60_000; now += 1000, seq += 1) {
       send(now, {
         kind: 'heartbeat',
-        heartbeat: report('n-1', seq, 7),
+        heartbeat: heartbeatOf('n-1', seq, 7),
         ticket: seq as ReplyTicket,
       });
     }
--- a/test/model/overloaded-day.ts
+++ b/test/model/overloaded-day.ts
@@ -10,7 +10,7 @@
 import type { Policy } from '../../src/core/model/policy.js';
 import type { Instant } from '../../src/core/model/time.js';
 import type { WorkerCommand } from '../../src/core/model/worker-command.js';
-import { core, job, report, task, team, type } from '../support/builders.js';
+import { core, heartbeatOf, job, task, team, type } from '../support/builders.js';
 
 const STEP_MS = 1000;
 const ARRIVALS_MS = 400_000;
@@ -90,7 +90,7 @@
         const ticket = (seq * 100 + i) as ReplyTicket;
         const effects = this.send(now, {
           kind: 'heartbeat',
-          heartbeat: report(`n-${i}`, seq, 7, statuses),
+          heartbeat: heartbeatOf(`n-${i}`, seq, 7, statuses),
           ticket,
         });
         const answer = effects.find(
--- a/test/one-task-jobs.test.ts
+++ b/test/one-task-jobs.test.ts
@@ -6,7 +6,7 @@
 import type { JobId, ReplyTicket, TeamName } from '../src/core/model/ids.js';
 import type { Instant } from '../src/core/model/time.js';
 import type { WorkerCommand } from '../src/core/model/worker-command.js';
-import { core, job, report, task, team, type } from './support/builders.js';
+import { core, heartbeatOf, job, task, team, type } from './support/builders.js';
 
 const MACHINES = 12;
 const TASK_MS = 9000;
@@ -94,7 +94,7 @@
           });
           send({
             kind: 'heartbeat',
-            heartbeat: report(`n-${i}`, seq, seq < 2 ? 0 : 7, reported),
+            heartbeat: heartbeatOf(`n-${i}`, seq, seq < 2 ? 0 : 7, reported),
             ticket: (seq * 100 + i + 100_000) as ReplyTicket,
           });
         }
--- a/test/one-way-partitions.test.ts
+++ b/test/one-way-partitions.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import type { Effect } from '../src/core/model/effect.js';
 import type { JobId, MachineId, ReplyTicket, TeamName } from '../src/core/model/ids.js';
-import { core, report, team } from './support/builders.js';
+import { core, heartbeatOf, team } from './support/builders.js';
 import { CoreDriver, running } from './support/core-driver.js';
 
 const hasRequestedDeletion = (effects: readonly Effect[], id: string) =>
@@ -15,63 +15,63 @@
   const loseReplies = (driver: CoreDriver, id: string, reports: number) => {
     const effects: Effect[] = [];
     for (let i = 0; i < reports; i += 1) {
-      driver.checkIn(id);
-      effects.push(...driver.pass(500));
+      driver.sendHeartbeat(id);
+      effects.push(...driver.advance(500));
     }
     return effects;
   };
 
   it('gets no more work, is replaced, and its tasks run elsewhere once it is deleted', () => {
     const driver = new CoreDriver();
-    for (const id of ['n-1', 'n-2', 'n-3']) driver.up(id);
+    for (const id of ['n-1', 'n-2', 'n-3']) driver.bringUp(id);
     driver.submit('job-1', { tasks: 1 });
     const holder = ['n-1', 'n-2', 'n-3'].find(
-      (id) => driver.starts(driver.checkIn(id)).length > 0,
+      (id) => driver.startsIn(driver.sendHeartbeat(id)).length > 0,
     )!;
     const others = ['n-1', 'n-2', 'n-3'].filter((id) => id !== holder);
     const effects = loseReplies(driver, holder, 6);
     expect(hasRequestedDeletion(effects, holder)).toBe(true);
     driver.submit('job-2', { tasks: 1 });
-    expect(driver.starts(driver.checkIn(holder))).toEqual([]);
+    expect(driver.startsIn(driver.sendHeartbeat(holder))).toEqual([]);
     const meanwhile = others
-      .flatMap((id) => driver.starts(driver.checkIn(id)))
+      .flatMap((id) => driver.startsIn(driver.sendHeartbeat(id)))
       .map((command) => command.job);
     expect(meanwhile).toEqual(['job-2']);
     driver.send({ kind: 'deletion-result', machines: [holder as MachineId], ok: true });
     const after = others
-      .flatMap((id) => driver.starts(driver.checkIn(id)))
+      .flatMap((id) => driver.startsIn(driver.sendHeartbeat(id)))
       .map((command) => command.job);
     expect(after).toContain('job-1');
   });
 
   it('is detected by rising agent epochs, and gets no start of an ended epoch again', () => {
     const driver = new CoreDriver();
-    for (const id of ['n-1', 'n-2', 'n-3', 'n-4', 'n-5']) driver.up(id);
+    for (const id of ['n-1', 'n-2', 'n-3', 'n-4', 'n-5']) driver.bringUp(id);
     driver.submit('job-1', { tasks: 40 });
-    const first = driver.starts(driver.checkIn('n-1'));
+    const first = driver.startsIn(driver.sendHeartbeat('n-1'));
     expect(first.length).toBeGreaterThan(0);
     const attempts = new Set(first.map((command) => command.attempt));
     // Its lease ran out though it was replied to: heartbeats of the new epoch list nothing.
-    driver.checkIn('n-1', [], { agentEpoch: 2 });
-    const again = driver.starts(driver.checkIn('n-1', [], { agentEpoch: 2 }));
+    driver.sendHeartbeat('n-1', [], { agentEpoch: 2 });
+    const again = driver.startsIn(driver.sendHeartbeat('n-1', [], { agentEpoch: 2 }));
     for (const command of again) expect(attempts.has(command.attempt)).toBe(false);
-    for (const agentEpoch of [3, 4, 5, 6]) driver.checkIn('n-1', [], { agentEpoch });
+    for (const agentEpoch of [3, 4, 5, 6]) driver.sendHeartbeat('n-1', [], { agentEpoch });
     expect(driver.state.machines.get('n-1' as MachineId)?.isUnreachable).toBe(true);
   });
 
   it('gets work again a lease later when no more replies are lost', () => {
     const driver = new CoreDriver();
-    driver.up('n-1');
+    driver.bringUp('n-1');
     driver.submit('job-1', { tasks: 1 });
-    for (let i = 0; i < 3; i += 1) driver.checkIn('n-1');
+    for (let i = 0; i < 3; i += 1) driver.sendHeartbeat('n-1');
     driver.send({ kind: 'cancel-job', job: 'job-1' as JobId, ticket: 5 as ReplyTicket });
     driver.submit('job-2', { tasks: 1 });
-    expect(driver.starts(driver.checkIn('n-1'))).toEqual([]);
+    expect(driver.startsIn(driver.sendHeartbeat('n-1'))).toEqual([]);
     for (let i = 0; i < 12; i += 1) {
-      driver.pass(1500);
-      const starts = driver.starts(driver.checkIn('n-1'));
+      driver.advance(1500);
+      const starts = driver.startsIn(driver.sendHeartbeat('n-1'));
       if (starts.length === 0) continue;
-      driver.checkIn('n-1', starts.map(running));
+      driver.sendHeartbeat('n-1', starts.map(running));
       break;
     }
     expect(driver.state.jobs.get('job-2' as JobId)?.attemptsByTask.size).toBe(1);
@@ -83,26 +83,26 @@
 
   it('counts a cancelled task until a heartbeat proves it absent', () => {
     const driver = new CoreDriver();
-    driver.up('n-1');
+    driver.bringUp('n-1');
     driver.submit('job-1', { tasks: 8 });
-    const starts = driver.starts(driver.checkIn('n-1'));
-    driver.checkIn('n-1', starts.map(running));
+    const starts = driver.startsIn(driver.sendHeartbeat('n-1'));
+    driver.sendHeartbeat('n-1', starts.map(running));
     driver.send({ kind: 'cancel-job', job: 'job-1' as JobId, ticket: 5 as ReplyTicket });
-    for (let i = 0; i < 3; i += 1) driver.checkIn('n-1', starts.map(running));
+    for (let i = 0; i < 3; i += 1) driver.sendHeartbeat('n-1', starts.map(running));
     expect(driver.state.teamUsage.get('blue' as TeamName)?.cpus).toBe(8);
-    driver.checkIn('n-1', []);
+    driver.sendHeartbeat('n-1', []);
     expect(driver.state.teamUsage.get('blue' as TeamName)?.cpus).toBe(0);
   });
 
   it('is not replaced when many seem unreachable, since the leader is more likely at fault', () => {
     const driver = new CoreDriver();
     const ids = Array.from({ length: 10 }, (_, i) => `n-${i}`);
-    for (const id of ids) driver.up(id);
+    for (const id of ids) driver.bringUp(id);
     driver.submit('job-1', { tasks: 80, team: 'blue' });
     const effects: Effect[] = [];
     for (let i = 0; i < 8; i += 1) {
-      for (const id of ids) driver.checkIn(id);
-      effects.push(...driver.pass(250));
+      for (const id of ids) driver.sendHeartbeat(id);
+      effects.push(...driver.advance(250));
     }
     expect(
       new Set(
@@ -130,10 +130,10 @@
         for (const [i, id] of ids.entries())
           driver.send({
             kind: 'heartbeat',
-            heartbeat: report(id, seq, term),
+            heartbeat: heartbeatOf(id, seq, term),
             ticket: (seq * 100 + i) as ReplyTicket,
           });
-        driver.pass(1500);
+        driver.advance(1500);
       }
       driver.submit('job-1', { tasks: 50, cpus: 8, estimateS: 500 });
     }
@@ -149,10 +149,14 @@
         seq += 1;
         const ticket = (seq * 100 + i) as ReplyTicket;
         effects.push(
-          ...driver.send({ kind: 'heartbeat', heartbeat: report(id, seq, 7, reported), ticket }),
+          ...driver.send({
+            kind: 'heartbeat',
+            heartbeat: heartbeatOf(id, seq, 7, reported),
+            ticket,
+          }),
         );
       }
-      effects.push(...driver.pass(1000));
+      effects.push(...driver.advance(1000));
     }
     return { driver, effects };
   };
@@ -193,11 +197,11 @@
 
   it('get no more work until the next heartbeat, and then at once', () => {
     const driver = new CoreDriver();
-    driver.up('n-1');
-    driver.pass(2 * driver.state.config.heartbeatIntervalMs + 500);
+    driver.bringUp('n-1');
+    driver.advance(2 * driver.state.config.heartbeatIntervalMs + 500);
     driver.submit('job-1', { tasks: 1 });
-    driver.pass(1000);
+    driver.advance(1000);
     expect(driver.state.jobs.get('job-1' as JobId)?.attemptsByTask.size).toBe(0);
-    expect(driver.starts(driver.checkIn('n-1'))).toHaveLength(1);
+    expect(driver.startsIn(driver.sendHeartbeat('n-1'))).toHaveLength(1);
   });
 });
--- a/test/pinned-http.test.ts
+++ b/test/pinned-http.test.ts
@@ -23,9 +23,10 @@
 import { Controller } from '../src/service/controller.js';
 import { pinsIn } from './fixtures/pins.js';
 import * as frozen from './fixtures/schemas-90313a6.js';
-import { Cloud, post } from './stand-ins/cloud.js';
+import { Cloud } from './stand-ins/cloud.js';
 import { body, cleanUp, cleanups, freePort, log, until } from './stand-ins/cluster.js';
-import { StateService } from './stand-ins/key-value-store.js';
+import { post } from './stand-ins/http.js';
+import { KeyValueStoreServer } from './stand-ins/key-value-store.js';
 import { settingsText } from './stand-ins/settings.js';
 
 afterEach(cleanUp);
@@ -116,7 +117,7 @@
 };
 
 const startNode = async (peer: string | null, capacity = 0) => {
-  const state = new StateService();
+  const state = new KeyValueStoreServer();
   const cloud = new Cloud(capacity);
   cleanups.push(
     () => state.close(),
@@ -126,7 +127,7 @@
   const back = `127.0.0.1:${await freePort()}`;
   const outside = { cloud: await cloud.listen(), state: await state.listen() };
   if (peer)
-    state.multi({ Apply: [{ Write: 'leader', Data: { node: 'node-1', life: 'x', lease: 1 } }] });
+    state.commit({ Apply: [{ Write: 'leader', Data: { node: 'node-1', life: 'x', lease: 1 } }] });
   const seeds = peer ? [{ node: 'node-1', zone: 'a', endpoint: peer }] : [];
   const { params } = JSON.parse(settingsText()) as { params: object };
   // Frequent reports: a new leader waits for a few of them.
@@ -199,7 +200,7 @@
     await check('own team', 'GET', '/api/jobs/job-2?team=green');
     await check('other team', 'GET', '/api/jobs/job-2?team=blue');
     // Known from the state service alone.
-    state.multi({
+    state.commit({
       Apply: [
         { Write: 'j/job-000412', Data: records.of('job array') },
         { Write: 'j/job-413', Data: records.of('job service') },
@@ -221,9 +222,9 @@
     for (const [name, sent] of Object.entries(submissions))
       await check(name, 'POST', '/api/jobs', sent);
     pins.check('stored by a submission', [
-      Object.keys(state.keys.get('j/job-10')!.data as object),
-      (state.keys.get('j/job-10')!.data as { spec: unknown }).spec,
-      (state.keys.get('j/job-11')!.data as { service: unknown }).service,
+      Object.keys(state.keys.get('j/job-10')!.value as object),
+      (state.keys.get('j/job-10')!.value as { spec: unknown }).spec,
+      (state.keys.get('j/job-11')!.value as { service: unknown }).service,
     ]);
     await check('start a drain', 'POST', '/api/drains', inputs.of('drain'));
     await check('plan a drain', 'POST', '/api/drains/plan', inputs.of('drain of all'));
@@ -254,7 +255,7 @@
     const { state, api } = await startNode(leader.at);
     const check = async (name: string, method: string, path: string, sent?: unknown) =>
       pins.check(`cut off: ${name}`, await call(api, method, path, sent));
-    state.down = true;
+    state.isDown = true;
     await until(async () => (await post(api, '/api/jobs', body('job-20')))?.status === 201);
     leader.asked.splice(0);
     leader.control.silent.add('status');
@@ -327,11 +328,11 @@
       if (schema) expect(v.parse(schema, is)).toEqual(is);
     };
     const leaderRecord = state.keys.get('leader')!;
-    pins.check('leader record', Object.keys(leaderRecord.data as object));
-    expect(leaderRecord.data).toMatchObject({
+    pins.check('leader record', Object.keys(leaderRecord.value as object));
+    expect(leaderRecord.value).toMatchObject({
       node: 'node-0',
       life: expect.any(String),
-      lease: leaderRecord.hold,
+      lease: leaderRecord.lease,
     });
     const record = { ...records.of<{ at: number; spec: object }>('job array') };
     const plain = {
@@ -383,7 +384,7 @@
     await told('abort', { ask: 'abort', job: 'job-1' }, frozen.view);
     await told('abort again', { ask: 'abort', job: 'job-1' }, frozen.view);
     await told('abort of no job', { ask: 'abort', job: 'job-900' });
-    pins.check('stored by an abort', state.keys.get('f/job-1')!.data);
+    pins.check('stored by an abort', state.keys.get('f/job-1')!.value);
   });
 });
 
--- a/test/refusal-then-outage.test.ts
+++ b/test/refusal-then-outage.test.ts
@@ -13,9 +13,17 @@
 import type { FencingToken, JobId, MachineId, ReplyTicket } from '../src/core/model/ids.js';
 import { isService } from '../src/core/model/job.js';
 import type { Instant, Millis } from '../src/core/model/time.js';
-import { post } from './stand-ins/cloud.js';
 import { body, cleanUp, cluster, status, until } from './stand-ins/cluster.js';
-import { core, entry, job, recordedAt, report, task, type } from './support/builders.js';
+import { post } from './stand-ins/http.js';
+import {
+  core,
+  heartbeatOf,
+  job,
+  ledgerEntry,
+  recordedAttributes,
+  task,
+  type,
+} from './support/builders.js';
 import { CoreDriver, running } from './support/core-driver.js';
 
 afterEach(cleanUp);
@@ -51,13 +59,13 @@
       kind: 'recovered-attempts',
       segment: segmentKey(7 as FencingToken, 1),
       machine: 'n-1' as MachineId,
-      attributes: recordedAt,
-      entries: [entry(0, 7_000_001)],
+      attributes: recordedAttributes,
+      entries: [ledgerEntry(0, 7_000_001)],
     },
     { kind: 'recovery-completed' },
   );
   const sendHeartbeat = (now: number, authority: Authority, seq: number) => {
-    const reported = report('n-1', seq, 7, [task('job-1', 0, 7_000_001)]);
+    const reported = heartbeatOf('n-1', seq, 7, [task('job-1', 0, 7_000_001)]);
     const effects = run(now, authority, {
       kind: 'heartbeat',
       heartbeat: reported,
@@ -115,14 +123,14 @@
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 2 });
     driver.submit('job-2', { tasks: 3 });
-    const starts = driver.starts(driver.up('n-1'));
+    const starts = driver.startsIn(driver.bringUp('n-1'));
     const reported = starts.map((command) =>
       command.job === 'job-2' && command.index === 0
         ? task('job-2', 0, command.attempt, 'ended', 'done')
         : running(command),
     );
     driver.send(cancelCommand);
-    const commands = driver.checkIn('n-1', reported, {}, 'keep-alive') ?? [];
+    const commands = driver.sendHeartbeat('n-1', reported, {}, 'keep-alive') ?? [];
     expect(commands.map((command) => [command.op, command.job])).toEqual([
       ['kill', 'job-1'],
       ['kill', 'job-1'],
@@ -131,7 +139,7 @@
       .run('keep-alive', [{ kind: 'tick' }])
       .filter((effect) => effect.kind !== 'log');
     expect(others.every((effect) => effect.kind === 'send-commands')).toBe(true);
-    expect(driver.checkIn('n-1', reported, {}, 'none')).toBeNull();
+    expect(driver.sendHeartbeat('n-1', reported, {}, 'none')).toBeNull();
   });
 });
 
@@ -158,7 +166,7 @@
       const answer = await post(next.at, '/api/jobs/job-1/abort', {});
       return (answer?.body as { Status?: string } | null)?.Status === 'withdrawn';
     });
-    state.down = true;
+    state.isDown = true;
     await until(() => next.controller.authority() === 'keep-alive');
     expect(of('job-1')).toHaveLength(3);
     cloud.nodes = nodes.map((n) => n.at);
@@ -167,7 +175,7 @@
     expect(of('job-2')).toHaveLength(3);
     expect((await status(next.at, 'job-1'))?.body.Status).toBe('withdrawn');
     // Nothing was started meanwhile, and afterwards the other tasks go on where they are.
-    state.down = false;
+    state.isDown = false;
     for (const front of fronts) front.refuse = false;
     await until(() => nodes.some((n) => n.controller.authority() === 'lead'));
     await until(async () => (await status(nodes[0]!.at, 'job-2'))?.body.running === 3);
@@ -179,8 +187,8 @@
   it('kills the tasks and starts no more before the end is stored', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 3 });
-    const starts = driver.starts(driver.up('n-1'));
-    driver.checkIn('n-1', starts.map(running));
+    const starts = driver.startsIn(driver.bringUp('n-1'));
+    driver.sendHeartbeat('n-1', starts.map(running));
     const effects = applyCommands(driver.state, [cancelCommand], driver.now as Instant, 'lead');
     const kinds = effects.map((effect) => effect.kind);
     expect(kinds.indexOf('send-commands')).toBeGreaterThanOrEqual(0);
@@ -192,7 +200,7 @@
     );
     for (let i = 0; i < 20; i += 1) {
       driver.now += 500;
-      const reported = report('n-1', 100 + i, 7, i < 2 ? ended : []);
+      const reported = heartbeatOf('n-1', 100 + i, 7, i < 2 ? ended : []);
       const more = applyCommands(
         driver.state,
         [
@@ -204,7 +212,7 @@
       );
       for (const effect of more)
         if (effect.kind === 'reply-to-heartbeat')
-          expect(driver.starts(effect.commands)).toEqual([]);
+          expect(driver.startsIn(effect.commands)).toEqual([]);
     }
   });
 });
@@ -246,17 +254,17 @@
   it('do not take it up again: from its admission, a watch or a read', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 2 });
-    const starts = driver.starts(driver.up('n-1'));
+    const starts = driver.startsIn(driver.bringUp('n-1'));
     driver.send(cancelCommand);
     expect(driver.state.jobs.size).toBe(0);
     driver.submit('job-1', { tasks: 2 });
-    driver.pass(3000);
+    driver.advance(3000);
     expect(driver.state.jobs.size).toBe(0);
     const ended = starts.map((command) =>
       task('job-1', command.index, command.attempt, 'ended', 'stopped'),
     );
     for (let i = 0; i < 4; i += 1)
-      expect(driver.starts(driver.checkIn('n-1', i === 0 ? ended : []))).toEqual([]);
+      expect(driver.startsIn(driver.sendHeartbeat('n-1', i === 0 ? ended : []))).toEqual([]);
     // Ids come back in no other way, so ended jobs need not be remembered for good.
     for (let i = 2; i < 60; i += 1) {
       driver.submit(`job-${i}`);
@@ -265,7 +273,7 @@
         job: `job-${i}` as JobId,
         ticket: (200 + i) as ReplyTicket,
       });
-      driver.pass(5000);
+      driver.advance(5000);
     }
     expect(driver.state.recentlyEndedJobs.size).toBeLessThan(30);
   });
--- a/test/service-jobs.test.ts
+++ b/test/service-jobs.test.ts
@@ -3,9 +3,9 @@
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { parseEndpoint } from '../src/adapters/configuration/settings.js';
 import { KeyValueStoreClient } from '../src/adapters/key-value-store/key-value-store-client.js';
-import { post } from './stand-ins/cloud.js';
 import { body, cleanUp, cleanups, cluster, status, until } from './stand-ins/cluster.js';
-import { StateService } from './stand-ins/key-value-store.js';
+import { post } from './stand-ins/http.js';
+import { KeyValueStoreServer } from './stand-ins/key-value-store.js';
 
 afterEach(cleanUp);
 
@@ -136,7 +136,7 @@
     const hrtime = (): [number, number] => [Math.floor(now / 1000), (now % 1000) * 1e6];
     const clock = vi.spyOn(process, 'hrtime').mockImplementation(hrtime);
     cleanups.push(() => clock.mockRestore());
-    const state = new StateService();
+    const state = new KeyValueStoreServer();
     cleanups.push(() => state.close());
     const at = parseEndpoint(await state.listen());
     const client = new KeyValueStoreClient(at, {
@@ -158,10 +158,10 @@
       return out;
     };
     expect(await most()).toBe(8);
-    state.limited = true;
+    state.isRateLimited = true;
     now += 1000;
     expect(await write()).toEqual({ kind: 'refused' });
-    state.limited = false;
+    state.isRateLimited = false;
     expect(client.isLowered).toBe(true);
     for (let i = 0; i < 3; i += 1) expect(await most()).toBe(4);
     now += 20_000;
@@ -179,14 +179,14 @@
     const { at } = nodes[0]!;
     // The list of machines has been read by then; before, nothing would be rented.
     await until(() => cloud.workers.size > 0);
-    cloud.odd = true;
-    state.multi({ Apply: [{ Write: 'j/job-000077', Data: { odd: true } }] });
+    cloud.answersMalformed = true;
+    state.commit({ Apply: [{ Write: 'j/job-000077', Data: { odd: true } }] });
     const told = () => lines.filter((l) => l.includes('malformed answer'));
     // More than the machines that may have been rented before the cloud became odd can do in that time.
     cloud.taskMs = 500;
     await post(at, '/api/jobs', body('job-1', { Pieces: 300, Cpus: 8 }));
     await until(() => told().some((l) => l.includes('provision')));
-    cloud.odd = false;
+    cloud.answersMalformed = false;
     await until(async () => (await post(at, '/api/jobs/job-1/abort', {}))?.status === 200);
     await post(at, '/api/jobs', body('job-2', { Pieces: 1 }));
     await until(async () => (await status(at, 'job-2'))?.body.Status === 'done');
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -1,8 +1,8 @@
 /** Controllers in this process, against stand-ins of the outside: what users are answered. */
 import { afterEach, describe, expect, it } from 'vitest';
 import { HttpClient } from '../src/adapters/outbound/http-client.js';
-import { post } from './stand-ins/cloud.js';
 import { body, cleanUp, cluster, type Node, status, until } from './stand-ins/cluster.js';
+import { post } from './stand-ins/http.js';
 
 afterEach(cleanUp);
 
@@ -104,11 +104,11 @@
     const leader = nodes.find((n) => n.controller.authority() === 'lead')!;
     for (const id of ids)
       await until(async () => (await status(leader.at, id))?.body.running === 1);
-    state.limited = true;
+    state.isRateLimited = true;
     for (const node of nodes) {
       for (const id of ids) expect((await status(node.at, id))?.body.Status, id).toBe('running');
     }
-    state.limited = false;
+    state.isRateLimited = false;
     leader.stop();
     const others = nodes.filter((n) => n !== leader);
     await until(() => others.some((n) => n.controller.authority() === 'lead'));
@@ -121,7 +121,7 @@
 
   it('knows a job whose record is unreadable at every node, also when it is submitted again', async () => {
     const { nodes, state } = await cluster(2);
-    state.multi({ Apply: [{ Write: 'j/job-000077', Data: { odd: true } }] });
+    state.commit({ Apply: [{ Write: 'j/job-000077', Data: { odd: true } }] });
     for (const node of nodes) {
       expect((await status(node.at, 'job-000077'))?.status).toBe(200);
       expect((await post(node.at, '/api/jobs', body('job-000077')))?.status).toBe(200);
@@ -140,10 +140,10 @@
       return r?.status === 200 ? r : null;
     });
     expect((answer.body as { Status: string }).Status).toBe('withdrawn');
-    expect(state.keys.get('f/job-5')?.data).toMatchObject({ o: 'cancelled' });
+    expect(state.keys.get('f/job-5')?.value).toMatchObject({ o: 'cancelled' });
     await until(() => [...cloud.workers.values()].every((w) => w.running().length === 0));
     // Repeats at any node change nothing: neither of the cancellation nor of the submission.
-    const { epoch } = state;
+    const { revision: epoch } = state;
     for (const node of nodes) {
       const again = [
         await post(node.at, '/api/jobs/job-5/abort', {}),
@@ -154,16 +154,16 @@
       expect((await status(node.at, 'job-5'))?.body.Status).toBe('withdrawn');
     }
     expect(state.keys.has('j/job-5')).toBe(false);
-    expect(state.keys.get('f/job-5')!.stamp).toBeLessThanOrEqual(epoch);
+    expect(state.keys.get('f/job-5')!.revision).toBeLessThanOrEqual(epoch);
     expect(cloud.starts).toHaveLength(3);
   });
 
   it('answers 503 with Retry-After while the key-value store is down, and recovers with it', async () => {
     const { nodes, state } = await cluster(1);
-    state.down = true;
+    state.isDown = true;
     const unavailable = await post(nodes[0]!.at, '/api/jobs', body('job-8'));
     expect([unavailable?.status, unavailable?.headers['retry-after']]).toEqual([503, '1']);
-    state.down = false;
+    state.isDown = false;
     await until(async () => (await post(nodes[0]!.at, '/api/jobs', body('job-8')))?.status === 201);
     await until(async () => (await status(nodes[0]!.at, 'job-8'))?.body.Status === 'done');
   });
@@ -194,11 +194,11 @@
     cloud.taskMs = 10_000_000;
     await post(nodes[0]!.at, '/api/jobs', body('job-41'));
     await until(async () => (await status(nodes[0]!.at, 'job-41'))?.body.running === 3);
-    const before = state.keys.get('leader')?.stamp ?? 0;
+    const before = state.keys.get('leader')?.revision ?? 0;
     nodes[0]!.stop();
     const again = start(0);
     await until(() => again.controller.authority() === 'lead');
-    expect(state.keys.get('leader')?.stamp).toBeGreaterThan(before);
+    expect(state.keys.get('leader')?.revision).toBeGreaterThan(before);
     await until(async () => (await status(again.at, 'job-41'))?.body.running === 3);
     expect(cloud.starts).toHaveLength(3);
   });
@@ -247,7 +247,7 @@
     const { nodes, cloud, state, start } = await cluster(1);
     await until(() => state.keys.has('c/types'));
     nodes[0]!.stop();
-    cloud.silent = true;
+    cloud.isSilent = true;
     const again = start(0);
     await until(async () => (await post(again.at, '/up', undefined, 'GET'))?.status === 200);
     // The request to the cloud is still under way: none has timed out yet.
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -11,7 +11,15 @@
 import type { Instant, Millis } from '../src/core/model/time.js';
 import type { WorkerCommand } from '../src/core/model/worker-command.js';
 import { runSchedulingRound } from '../src/core/scheduling/backfill.js';
-import { core, entry, type JobChange, job, recordedAt, report, type } from './support/builders.js';
+import {
+  core,
+  heartbeatOf,
+  type JobChange,
+  job,
+  ledgerEntry,
+  recordedAttributes,
+  type,
+} from './support/builders.js';
 import { CoreDriver, ended, running } from './support/core-driver.js';
 
 const service = (change: JobChange = {}): JobChange => ({
@@ -68,7 +76,7 @@
       };
       statuses.set(id, held.map(say));
     }
-    for (const [id, commands] of this.driver.checkInAll(statuses, this.attributes)) {
+    for (const [id, commands] of this.driver.sendHeartbeats(statuses, this.attributes)) {
       const held = this.heldByMachine.get(id)!;
       const after = held.filter((command) => end(command, id) === null);
       for (const command of commands ?? []) {
@@ -100,7 +108,7 @@
     // They have run for long: an end then says nothing against the service.
     for (let i = 0; i < 30; i += 1) {
       fleet.round();
-      driver.pass(1000);
+      driver.advance(1000);
     }
     for (const cause of ['done', 'error'] as const) {
       const before = fleet.started.length;
@@ -110,7 +118,7 @@
       expect(view(driver, 'job-1')).toMatchObject({ status: 'running', running: 2, done: 0 });
       for (let i = 0; i < 40; i += 1) {
         fleet.round();
-        driver.pass(1000);
+        driver.advance(1000);
       }
     }
     const attempts = fleet.started.map(({ command }) => command.attempt);
@@ -133,7 +141,7 @@
     for (let i = 0; i < 3; i += 1) fleet.round();
     driver.effects = [];
     driver.send({ kind: 'cancel-job', job: 'job-1' as JobId, ticket: 900 as ReplyTicket });
-    driver.pass(500);
+    driver.advance(500);
     expect(driver.effects).toContainEqual({
       kind: 'cancellation-settled',
       ticket: 900,
@@ -174,7 +182,7 @@
     driver.submit('job-2', { tasks: 8, estimateS: 5 });
     for (let i = 0; i < 120; i += 1) {
       fleet.round((command) => (command.job === 'job-1' ? 'error' : 'done'));
-      driver.pass(500);
+      driver.advance(500);
     }
     const tries = fleet.started
       .filter(({ command }) => command.job === 'job-1')
@@ -219,13 +227,13 @@
       effects.find((effect) => effect.kind === 'reply-to-heartbeat' && effect.ticket === 990) as
         | { commands: WorkerCommand[] }
         | undefined;
-    const sent = report('n-1', 900, driver.state.config.fencingToken, statuses);
+    const sent = heartbeatOf('n-1', 900, driver.state.config.fencingToken, statuses);
     driver.effects = [];
     driver.send({ kind: 'heartbeat', heartbeat: sent, ticket: 990 as ReplyTicket });
-    driver.pass(500);
+    driver.advance(500);
     expect(answer(driver.effects)).toBeUndefined();
     driver.submit('job-2', service({ tasks: 1 }));
-    driver.pass(250);
+    driver.advance(250);
     expect(answer(driver.effects)?.commands).toMatchObject([{ op: 'start', job: 'job-2' }]);
   });
 
@@ -239,13 +247,13 @@
     notice['n-1'].reclaimNoticeS = 30;
     driver.effects = [];
     fleet.round();
-    driver.pass(1000);
+    driver.advance(1000);
     // Nowhere to go: it runs on for as long as it can.
     const there = [...driver.state.machines.get('n-1' as MachineId)!.placements.values()];
     expect(there.map((placement) => placement.stopRequest)).toEqual([null]);
     const before = fleet.started.length;
     fleet.add('n-2');
-    driver.pass(1000);
+    driver.advance(1000);
     expect(kills(driver.effects)[0]).toMatchObject({ op: 'kill', job: 'job-1', index: 0 });
     // It is still there as far as anybody knows.
     fleet.round();
@@ -296,7 +304,7 @@
     for (let i = 0; i < 3; i += 1) fleet.round();
     driver.effects = [];
     driver.submit('job-9', service({ tasks: 2, cpus: 1 }));
-    driver.pass(750);
+    driver.advance(750);
     const stopped = kills(driver.effects);
     // One processor is free, reserved for the head.
     expect(new Set(stopped.map((command) => command.attempt)).size).toBe(1);
@@ -318,7 +326,7 @@
     driver.submit('job-3', { tasks: 30, estimateS: 1, allowsSpot: false });
     for (let i = 0; i < 60; i += 1) {
       fleet.round((command) => (command.job === 'job-3' ? 'done' : null));
-      driver.pass(300);
+      driver.advance(300);
     }
     expect(fleet.on('n-1', 'job-1')).toBe(1);
     expect(driver.state.jobs.has('job-3' as JobId)).toBe(false);
@@ -387,7 +395,7 @@
     fleet.add('n-3');
     for (let i = 0; i < 60; i += 1) {
       fleet.round();
-      driver.pass(500);
+      driver.advance(500);
     }
     const deleted = driver.effects.flatMap((effect) =>
       effect.kind === 'delete-machines' ? [...effect.machines] : [],
@@ -457,7 +465,7 @@
     for (let i = 0; i < 60; i += 1) {
       driver.submit(`job-${i}`, { tasks: 6, allowsSpot: false });
       fleet.round((command) => (command.job === 'job-900' ? null : 'done'));
-      driver.pass(500);
+      driver.advance(500);
     }
     const ops: StoreOperation[] = driver.effects.flatMap((effect) =>
       effect.kind === 'store-batch' ? [...effect.operations] : [],
@@ -500,7 +508,7 @@
         send(0, { kind: 'job', spec, submittedAt: 0 as Instant });
       send(0, { kind: 'recovery-completed' });
       for (let now = 200, seq = 1; now < 40_000; now += 200, seq += 1) {
-        const said = report('n-1', seq, seq < 3 ? 7 : 8, [...statuses]);
+        const said = heartbeatOf('n-1', seq, seq < 3 ? 7 : 8, [...statuses]);
         send(now, { kind: 'heartbeat', heartbeat: said, ticket: seq as ReplyTicket });
       }
       // 1.3 report periods; keep-alive and lease.
@@ -516,8 +524,8 @@
     const spec = job('job-1', service({ tasks: 2 }));
     const at = {
       machine: 'n-1' as MachineId,
-      attributes: recordedAt,
-      entries: [entry(0, 70), entry(1, 71)],
+      attributes: recordedAttributes,
+      entries: [ledgerEntry(0, 70), ledgerEntry(1, 71)],
     };
     applyCommands(
       state,
@@ -540,7 +548,7 @@
     );
     const placed: number[] = [];
     for (let now = 500, seq = 1; now < 10_000; now += 500, seq += 1) {
-      const told = report('n-2', seq, seq < 3 ? 7 : 8);
+      const told = heartbeatOf('n-2', seq, seq < 3 ? 7 : 8);
       applyCommands(
         state,
         [{ kind: 'heartbeat', heartbeat: told, ticket: seq as ReplyTicket }],
--- a/test/stand-ins/cluster.ts
+++ b/test/stand-ins/cluster.ts
@@ -8,8 +8,9 @@
 import { servePeers } from '../../src/adapters/peers/peer-server.js';
 import { Jitter } from '../../src/adapters/runtime/random.js';
 import { Controller } from '../../src/service/controller.js';
-import { Cloud, post } from './cloud.js';
-import { StateService } from './key-value-store.js';
+import { Cloud } from './cloud.js';
+import { post } from './http.js';
+import { KeyValueStoreServer } from './key-value-store.js';
 import { settingsText } from './settings.js';
 
 export const log = pino({ level: 'silent' });
@@ -53,7 +54,7 @@
   reportS = 0.2,
   change: { state?: object; log?: Log } = {},
 ) => {
-  const state = new StateService();
+  const state = new KeyValueStoreServer();
   const cloud = new Cloud(capacity);
   const fronts = await Promise.all(Array.from({ length: count }, () => state.front()));
   const cloudAt = await cloud.listen();
--- a/test/stand-ins/key-value-store.ts
+++ b/test/stand-ins/key-value-store.ts
@@ -1,59 +1,69 @@
-/** Our own stand-in for the state service, written to the protocol: keys, transactions, leases, watches. */
+/**
+ * A stand-in for the key-value store, written to the protocol: keys, guarded transactions, leases
+ * and watches, with outages, limits, lost answers and late transactions on request.
+ */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
+import { readJson, sendJson } from './http.js';
 
+/** What is stored under a key. */
 interface Entry {
-  data: unknown;
-  stamp: number;
-  hold?: number | undefined;
+  readonly value: unknown;
+  readonly revision: number;
+  readonly lease: number | undefined;
 }
 
+/** A change of a key, for watches. */
 interface Change {
-  key: string;
-  stamp: number;
-  data?: unknown;
-  deleted: boolean;
+  readonly key: string;
+  readonly revision: number;
+  readonly value?: unknown;
+  readonly deleted: boolean;
 }
 
-type Multi = {
-  Guards?: { Path: string; Stamp: number }[];
-  Apply?: { Write?: string; Delete?: string; Data?: unknown; Hold?: number }[];
-};
+/** A transaction, in the protocol's words. */
+interface Multi {
+  readonly Guards?: readonly { readonly Path: string; readonly Stamp: number }[];
+  readonly Apply?: readonly {
+    readonly Write?: string;
+    readonly Delete?: string;
+    readonly Data?: unknown;
+    readonly Hold?: number;
+  }[];
+}
 
-export const readJson = async (req: IncomingMessage): Promise<unknown> => {
-  let text = '';
-  for await (const part of req) text += part;
-  return text === '' ? null : JSON.parse(text);
-};
+interface Answer {
+  readonly status: number;
+  readonly body: unknown;
+}
 
-export const sendJson = (res: ServerResponse, status: number, body: unknown): void => {
-  const text = JSON.stringify(body);
-  res
-    .writeHead(status, {
-      'content-type': 'application/json',
-      'content-length': Buffer.byteLength(text),
-    })
-    .end(text);
-};
+/** How soon the connection is cut of a transaction that is carried out late. */
+const CUT_AFTER_MS = 20;
+/** The largest page of a list. */
+const PAGE_SIZE = 1000;
 
-export class StateService {
-  epoch = 0;
+/** An HTTP server with one store, at several addresses. */
+export class KeyValueStoreServer {
+  revision = 0;
   readonly keys = new Map<string, Entry>();
-  private readonly holds = new Map<number, { lifeMs: number; timer: NodeJS.Timeout }>();
-  private nextHold = 1;
+  private readonly leases = new Map<number, { lifeMs: number; timer: NodeJS.Timeout }>();
+  private nextLease = 1;
   private readonly changes: Change[] = [];
   private waiting: (() => void)[] = [];
   /** Answers 503 to everything, as in an outage. */
-  down = false;
+  isDown = false;
   /** Answers 429 to reads and transactions, as at its request limit; leases are renewed. */
-  limited = false;
+  isRateLimited = false;
   /** Carries the next transactions out but never answers them. */
-  swallow = 0;
+  answersToLose = 0;
   /** Drops the next transactions without carrying them out. */
-  drop = 0;
+  requestsToDrop = 0;
   /** Of every so many transactions one is carried out at once and its answer is lost; 0: none. */
   loseEvery = 0;
-  /** Of every so many transactions one gets no answer and is carried out this much later, after newer ones; 0: none. */
+  /**
+   * Of every so many transactions one gets no answer and is carried out `lateMs` later, after newer
+   * ones; 0: none.
+   */
   lateEvery = 0;
   lateMs = 400;
   /** How many such transactions there were, and how many of the late ones were still carried out. */
@@ -66,7 +76,7 @@
   /** Transactions that were refused with 400, as they came. */
   readonly refused: string[] = [];
   /** Transactions that were refused with 429. */
-  tooMany = 0;
+  rateLimitedCount = 0;
   private tokens = { left: Number.POSITIVE_INFINITY, at: Date.now() };
   private readonly fronts: Server[] = [];
   private readonly server: Server;
@@ -77,6 +87,7 @@
     });
   }
 
+  /** Starts to serve; returns the address. */
   async listen(): Promise<string> {
     await new Promise<void>((resolve) => this.server.listen(0, '127.0.0.1', resolve));
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
@@ -95,48 +106,49 @@
     return front;
   }
 
+  /** Ends the server and all leases. */
   close(): void {
     for (const server of this.fronts) {
       server.closeAllConnections();
       server.close();
     }
-    for (const { timer } of this.holds.values()) clearTimeout(timer);
+    for (const { timer } of this.leases.values()) clearTimeout(timer);
     this.server.closeAllConnections();
     this.server.close();
   }
 
-  private note(key: string, deleted: boolean, data?: unknown): void {
-    this.changes.push({ key, stamp: this.epoch, data, deleted });
+  private recordChange(key: string, deleted: boolean, value?: unknown): void {
+    this.changes.push({ key, revision: this.revision, value, deleted });
   }
 
-  private wake(): void {
+  private wakeWatches(): void {
     const waiting = this.waiting;
     this.waiting = [];
     for (const resolve of waiting) resolve();
   }
 
-  private end(hold: number): void {
-    const known = this.holds.get(hold);
+  private endLease(lease: number): void {
+    const known = this.leases.get(lease);
     if (!known) return;
     clearTimeout(known.timer);
-    this.holds.delete(hold);
-    const attached = [...this.keys].filter(([, e]) => e.hold === hold);
-    if (attached.length > 0) this.epoch += 1;
+    this.leases.delete(lease);
+    const attached = [...this.keys].filter(([, entry]) => entry.lease === lease);
+    if (attached.length > 0) this.revision += 1;
     for (const [key] of attached) {
       this.keys.delete(key);
-      this.note(key, true);
+      this.recordChange(key, true);
     }
-    this.wake();
+    this.wakeWatches();
   }
 
-  private keep(hold: number, lifeMs: number): void {
-    const old = this.holds.get(hold);
+  private renewLease(lease: number, lifeMs: number): void {
+    const old = this.leases.get(lease);
     if (old) clearTimeout(old.timer);
-    this.holds.set(hold, { lifeMs, timer: setTimeout(() => this.end(hold), lifeMs) });
+    this.leases.set(lease, { lifeMs, timer: setTimeout(() => this.endLease(lease), lifeMs) });
   }
 
   /** The fault of a transaction that is larger than the limits, or null. */
-  private fault(body: Multi): string | null {
+  private sizeFault(body: Multi): string | null {
     const { valueBytes, txnOps } = this.limits;
     const apply = body.Apply ?? [];
     if (apply.length > txnOps) return `${apply.length} changes`;
@@ -145,8 +157,8 @@
     return large ? `value of ${large.Write} too large` : null;
   }
 
-  /** A bucket of one second's worth. */
-  private withinRate(changes: number): boolean {
+  /** Takes tokens for mutations, from a bucket of one second's worth; false: too few are left. */
+  private takeTokens(changes: number): boolean {
     const { writeRps } = this.limits;
     const now = Date.now();
     this.tokens.left = Math.min(
@@ -159,123 +171,139 @@
     return true;
   }
 
-  multi(body: Multi): { status: number; body: unknown } {
+  /** Carries out a transaction, unless a guard fails or a lease of it has ended. */
+  commit(body: Multi): Answer {
     const failed = (body.Guards ?? []).filter(
-      (g) => (this.keys.get(g.Path)?.stamp ?? 0) !== g.Stamp,
+      (g) => (this.keys.get(g.Path)?.revision ?? 0) !== g.Stamp,
     );
     if (failed.length > 0)
-      return { status: 409, body: { failed: failed.map((g) => g.Path), Epoch: this.epoch } };
+      return { status: 409, body: { failed: failed.map((g) => g.Path), Epoch: this.revision } };
     const apply = body.Apply ?? [];
-    if (apply.some((a) => a.Hold !== undefined && !this.holds.has(a.Hold))) {
+    if (apply.some((a) => a.Hold !== undefined && !this.leases.has(a.Hold))) {
       return { status: 400, body: { error: 'no such lease' } };
     }
-    if (apply.length > 0) this.epoch += 1;
+    if (apply.length > 0) this.revision += 1;
     for (const a of apply) {
       if (a.Write !== undefined) {
-        this.keys.set(a.Write, { data: a.Data, stamp: this.epoch, hold: a.Hold });
-        this.note(a.Write, false, a.Data);
-      } else if (a.Delete !== undefined && this.keys.delete(a.Delete)) this.note(a.Delete, true);
+        this.keys.set(a.Write, { value: a.Data, revision: this.revision, lease: a.Hold });
+        this.recordChange(a.Write, false, a.Data);
+      } else if (a.Delete !== undefined && this.keys.delete(a.Delete))
+        this.recordChange(a.Delete, true);
     }
-    this.wake();
-    return { status: 200, body: { Epoch: this.epoch } };
+    this.wakeWatches();
+    return { status: 200, body: { Epoch: this.revision } };
   }
 
   private async serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const url = new URL(req.url ?? '/', 'http://x');
+    const { pathname } = url;
     const body = await readJson(req);
-    if (this.down) return sendJson(res, 503, { error: 'trouble' });
-    if (this.limited && (url.pathname.startsWith('/kv') || url.pathname === '/multi')) {
+    if (this.isDown) return sendJson(res, 503, { error: 'trouble' });
+    if (this.isRateLimited && (pathname.startsWith('/kv') || pathname === '/multi'))
       return sendJson(res, 429, { error: 'too many' });
+    const [, resource, ...rest] = pathname.split('/');
+    if (pathname === '/multi') return this.serveTransaction(req, res, body as Multi);
+    if (pathname === '/kv') return this.serveList(url, res);
+    if (resource === 'kv') return this.serveKey(rest.join('/'), res);
+    if (resource === 'holds') return this.serveLease(req, res, rest[0], body);
+    if (pathname === '/follow') return this.serveWatch(url, res);
+    return sendJson(res, 404, {});
+  }
+
+  private serveTransaction(req: IncomingMessage, res: ServerResponse, body: Multi): void {
+    this.transactions += 1;
+    if (this.requestsToDrop > 0) {
+      this.requestsToDrop -= 1;
+      req.socket.destroy();
+      return;
     }
-    const parts = url.pathname.split('/');
-    if (url.pathname === '/multi') {
-      this.transactions += 1;
-      if (this.drop > 0) {
-        this.drop -= 1;
-        req.socket.destroy();
-        return;
-      }
-      const fault = this.fault(body as Multi);
-      if (fault) {
-        this.refused.push(JSON.stringify(body));
-        return sendJson(res, 400, { error: fault });
-      }
-      if (!this.withinRate((body as Multi).Apply?.length ?? 0)) {
-        this.tooMany += 1;
-        return sendJson(res, 429, { error: 'too many' });
-      }
-      if (this.lateEvery > 0 && this.transactions % this.lateEvery === 0) {
-        this.late += 1;
-        setTimeout(() => {
-          if (this.multi(body as Multi).status === 200) this.lateDone += 1;
-        }, this.lateMs);
-        setTimeout(() => req.socket.destroy(), 20);
-        return;
-      }
-      const result = this.multi(body as Multi);
-      if (this.loseEvery > 0 && this.transactions % this.loseEvery === 0) {
-        this.lost += 1;
-        req.socket.destroy();
-        return;
-      }
-      if (this.swallow > 0) {
-        this.swallow -= 1;
-        req.socket.destroy();
-        return;
-      }
-      return sendJson(res, result.status, result.body);
+    const fault = this.sizeFault(body);
+    if (fault) {
+      this.refused.push(JSON.stringify(body));
+      return sendJson(res, 400, { error: fault });
     }
-    if (url.pathname === '/kv') {
-      const under = url.searchParams.get('Under') ?? '';
-      const since = url.searchParams.get('Since') ?? '';
-      const limit = Number(url.searchParams.get('Limit') ?? 1000);
-      const all = [...this.keys]
-        .filter(([k]) => k.startsWith(under) && k > since)
-        .sort((a, b) => (a[0] < b[0] ? -1 : 1));
-      const Items = all
-        .slice(0, limit)
-        .map(([Path, e]) => ({ Path, Data: e.data, Stamp: e.stamp }));
-      return sendJson(res, 200, { Items, More: all.length > limit, Epoch: this.epoch });
+    if (!this.takeTokens(body.Apply?.length ?? 0)) {
+      this.rateLimitedCount += 1;
+      return sendJson(res, 429, { error: 'too many' });
     }
-    if (parts[1] === 'kv') {
-      const key = parts.slice(2).join('/');
-      const entry = this.keys.get(key);
-      if (!entry) return sendJson(res, 404, { Epoch: this.epoch });
-      return sendJson(res, 200, { Path: key, Data: entry.data, Stamp: entry.stamp });
+    if (this.lateEvery > 0 && this.transactions % this.lateEvery === 0) {
+      this.late += 1;
+      setTimeout(() => {
+        if (this.commit(body).status === 200) this.lateDone += 1;
+      }, this.lateMs);
+      setTimeout(() => req.socket.destroy(), CUT_AFTER_MS);
+      return;
     }
-    if (parts[1] === 'holds') {
-      const hold = Number(parts[2]);
-      if (parts.length === 2) {
-        this.keep(this.nextHold, (body as { LifeMs: number }).LifeMs);
-        return sendJson(res, 200, { Hold: this.nextHold++ });
-      }
-      const known = this.holds.get(hold);
-      if (!known) return sendJson(res, 404, {});
-      if (req.method === 'DELETE') this.end(hold);
-      else this.keep(hold, known.lifeMs);
-      return sendJson(res, 200, { Hold: hold });
+    const answer = this.commit(body);
+    if (this.isAnswerLost()) req.socket.destroy();
+    else sendJson(res, answer.status, answer.body);
+  }
+
+  private isAnswerLost(): boolean {
+    if (this.loseEvery > 0 && this.transactions % this.loseEvery === 0) {
+      this.lost += 1;
+      return true;
     }
-    if (url.pathname === '/follow') {
-      const under = url.searchParams.get('Under') ?? '';
-      const since = Number(url.searchParams.get('Since') ?? 0);
-      const until = Date.now() + Number(url.searchParams.get('HoldMs') ?? 0);
-      for (;;) {
-        const news = this.changes.filter((c) => c.stamp > since && c.key.startsWith(under));
-        if (news.length > 0 || Date.now() >= until || this.down) {
-          const News = news.map((c) =>
-            c.deleted
-              ? { Delete: c.key, Stamp: c.stamp }
-              : { Write: c.key, Data: c.data, Stamp: c.stamp },
-          );
-          return sendJson(res, 200, { Epoch: this.epoch, News });
-        }
-        await new Promise<void>((resolve) => {
-          this.waiting.push(resolve);
-          setTimeout(resolve, Math.max(1, until - Date.now()));
-        });
-        if (res.destroyed) return;
+    if (this.answersToLose === 0) return false;
+    this.answersToLose -= 1;
+    return true;
+  }
+
+  private serveList(url: URL, res: ServerResponse): void {
+    const under = url.searchParams.get('Under') ?? '';
+    const since = url.searchParams.get('Since') ?? '';
+    const limit = Number(url.searchParams.get('Limit') ?? PAGE_SIZE);
+    const all = [...this.keys]
+      .filter(([key]) => key.startsWith(under) && key > since)
+      .sort((a, b) => (a[0] < b[0] ? -1 : 1));
+    const Items = all
+      .slice(0, limit)
+      .map(([Path, { value, revision }]) => ({ Path, Data: value, Stamp: revision }));
+    sendJson(res, 200, { Items, More: all.length > limit, Epoch: this.revision });
+  }
+
+  private serveKey(key: string, res: ServerResponse): void {
+    const entry = this.keys.get(key);
+    if (!entry) return sendJson(res, 404, { Epoch: this.revision });
+    sendJson(res, 200, { Path: key, Data: entry.value, Stamp: entry.revision });
+  }
+
+  private serveLease(
+    req: IncomingMessage,
+    res: ServerResponse,
+    name: string | undefined,
+    body: unknown,
+  ): void {
+    if (name === undefined) {
+      this.renewLease(this.nextLease, (body as { LifeMs: number }).LifeMs);
+      return sendJson(res, 200, { Hold: this.nextLease++ });
+    }
+    const lease = Number(name);
+    const known = this.leases.get(lease);
+    if (!known) return sendJson(res, 404, {});
+    if (req.method === 'DELETE') this.endLease(lease);
+    else this.renewLease(lease, known.lifeMs);
+    sendJson(res, 200, { Hold: lease });
+  }
+
+  /** Answers once there are changes, or when the time that the client gave is over. */
+  private async serveWatch(url: URL, res: ServerResponse): Promise<void> {
+    const under = url.searchParams.get('Under') ?? '';
+    const since = Number(url.searchParams.get('Since') ?? 0);
+    const until = Date.now() + Number(url.searchParams.get('HoldMs') ?? 0);
+    for (;;) {
+      const news = this.changes.filter((c) => c.revision > since && c.key.startsWith(under));
+      if (news.length > 0 || Date.now() >= until || this.isDown) {
+        const News = news.map(({ key, revision, value, deleted }) =>
+          deleted ? { Delete: key, Stamp: revision } : { Write: key, Data: value, Stamp: revision },
+        );
+        return sendJson(res, 200, { Epoch: this.revision, News });
       }
+      await new Promise<void>((resolve) => {
+        this.waiting.push(resolve);
+        setTimeout(resolve, Math.max(1, until - Date.now()));
+      });
+      if (res.destroyed) return;
     }
-    return sendJson(res, 404, {});
   }
 }
--- a/test/stand-ins/processes.ts
+++ b/test/stand-ins/processes.ts
@@ -4,9 +4,10 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { promisify } from 'node:util';
-import { Cloud, post } from './cloud.js';
+import { Cloud } from './cloud.js';
 import { cleanups, freePort, until } from './cluster.js';
-import { StateService } from './key-value-store.js';
+import { post } from './http.js';
+import { KeyValueStoreServer } from './key-value-store.js';
 import { settingsText } from './settings.js';
 
 const execute = promisify(execFile);
@@ -49,7 +50,7 @@
   return { code, out, error };
 };
 
-export interface Process {
+export interface ControllerProcess {
   readonly node: string;
   readonly api: string;
   child: ChildProcess;
@@ -63,7 +64,7 @@
   args: readonly string[] = [],
   params: Record<string, unknown> = {},
 ) => {
-  const state = new StateService();
+  const state = new KeyValueStoreServer();
   const cloud = new Cloud(capacity);
   cleanups.push(
     () => state.close(),
@@ -103,7 +104,7 @@
     cleanups.push(() => child.kill('SIGKILL'));
     return child;
   };
-  const processes: Process[] = [];
+  const processes: ControllerProcess[] = [];
   for (const [i, { api }] of ports.entries()) {
     processes.push({ node: `node-${i}`, api, child: await spawnNode(i) });
   }
@@ -111,12 +112,12 @@
     await until(async () => (await post(api, '/up', undefined, 'GET'))?.status === 200);
   }
   const leader = () => {
-    const data = state.keys.get('leader')?.data as { node?: string } | undefined;
+    const data = state.keys.get('leader')?.value as { node?: string } | undefined;
     return processes.find(({ node }) => node === data?.node) ?? null;
   };
   await until(leader);
   /** Ends a process with no signal that it could see, and starts it again. */
-  const killAndRestart = async (which: Process): Promise<void> => {
+  const killAndRestart = async (which: ControllerProcess): Promise<void> => {
     which.child.kill('SIGKILL');
     which.child = await spawnNode(processes.indexOf(which));
   };
--- a/test/stand-ins/recorder.ts
+++ b/test/stand-ins/recorder.ts
@@ -1,6 +1,7 @@
 /** Users that ask at all nodes and compare what they are told: no answer may be older than one that was there before the question. */
-import { post } from './cloud.js';
+
 import { body } from './cluster.js';
+import { post } from './http.js';
 
 const RANK: Record<string, number> = { absent: 0, queued: 1, running: 1, done: 2, withdrawn: 2 };
 
--- a/test/start-up.test.ts
+++ b/test/start-up.test.ts
@@ -7,9 +7,10 @@
 import { basename, join } from 'node:path';
 import { promisify } from 'node:util';
 import { afterAll, afterEach, beforeAll, describe, expect, it } from 'vitest';
-import { Cloud, post } from './stand-ins/cloud.js';
+import { Cloud } from './stand-ins/cloud.js';
 import { body, cleanUp, cleanups, freePort, until } from './stand-ins/cluster.js';
-import { StateService } from './stand-ins/key-value-store.js';
+import { post } from './stand-ins/http.js';
+import { KeyValueStoreServer } from './stand-ins/key-value-store.js';
 import { buildProgram } from './stand-ins/processes.js';
 import { settingsText } from './stand-ins/settings.js';
 
@@ -35,7 +36,7 @@
 
 /** One controller as a process of its own, beside a key-value store and a cloud. */
 const startProcess = async (...more: string[]) => {
-  const state = new StateService();
+  const state = new KeyValueStoreServer();
   const cloud = new Cloud(2);
   cleanups.push(
     () => state.close(),
--- a/test/starvation.test.ts
+++ b/test/starvation.test.ts
@@ -14,7 +14,7 @@
   while (driver.now - from < 240_000) {
     for (const id of ids) {
       const tasks = reported.get(id) ?? [];
-      for (const command of driver.starts(driver.checkIn(id, tasks))) {
+      for (const command of driver.startsIn(driver.sendHeartbeat(id, tasks))) {
         if (command.job === job) return driver.now - from;
         tasks.push(running(command));
       }
@@ -29,10 +29,10 @@
   it('gets capacity that is reserved for the queue head before 90 s, but not at once', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 1, cpus: 4, estimateS: 1000 });
-    const first = driver.starts(driver.up('n-1'));
+    const first = driver.startsIn(driver.bringUp('n-1'));
     const reported = new Map([['n-1', first.map(running)]]);
     driver.submit('job-2', { tasks: 1, cpus: 8, estimateS: 10, priority: 'critical' });
-    driver.checkIn('n-1', reported.get('n-1')!);
+    driver.sendHeartbeat('n-1', reported.get('n-1')!);
     driver.submit('job-3', { tasks: 3, cpus: 1, estimateS: 5000, priority: 'best_effort' });
     const after = waitForStart(driver, ['n-1'], 'job-3', reported);
     expect(driver.state.queueHead).toBe('job-2');
@@ -43,13 +43,13 @@
   it('gets capacity again in time after it lost all its attempts, with tasks done', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 1, cpus: 4, estimateS: 1000 });
-    const first = driver.starts(driver.up('n-1'));
+    const first = driver.startsIn(driver.bringUp('n-1'));
     driver.submit('job-3', { tasks: 3, cpus: 1, estimateS: 5000, priority: 'best_effort' });
-    driver.checkIn('n-1', first.map(running));
-    const three = driver.starts(driver.checkIn('n-1', first.map(running)));
+    driver.sendHeartbeat('n-1', first.map(running));
+    const three = driver.startsIn(driver.sendHeartbeat('n-1', first.map(running)));
     driver.submit('job-2', { tasks: 1, cpus: 8, estimateS: 10, priority: 'critical' });
     const parts = three.map((command, i) => ended(command, i === 0 ? 'done' : 'stopped'));
-    driver.checkIn('n-1', [...first.map(running), ...parts]);
+    driver.sendHeartbeat('n-1', [...first.map(running), ...parts]);
     const after = waitForStart(driver, ['n-1'], 'job-3', new Map([['n-1', first.map(running)]]));
     expect(after).toBeLessThan(90_000);
   });
@@ -57,7 +57,7 @@
   it('gets capacity that is kept for services before 90 s where there is no other', () => {
     const driver = new CoreDriver(core());
     const ordinary = { spot: false };
-    driver.up('n-1', ordinary);
+    driver.bringUp('n-1', ordinary);
     driver.submit('job-9', {
       shape: 'service',
       tasks: 1,
@@ -65,9 +65,9 @@
       estimateS: 0,
       allowsSpot: false,
     });
-    const replica = driver.starts(driver.checkIn('n-1', [], ordinary));
+    const replica = driver.startsIn(driver.sendHeartbeat('n-1', [], ordinary));
     const reported = new Map([['n-1', replica.map(running)]]);
-    driver.checkIn('n-1', reported.get('n-1')!, ordinary);
+    driver.sendHeartbeat('n-1', reported.get('n-1')!, ordinary);
     driver.submit('job-1', { tasks: 2, cpus: 1, estimateS: 50 });
     const after = waitForStart(driver, ['n-1'], 'job-1', reported);
     expect(after).toBeGreaterThan(60_000);
@@ -77,8 +77,8 @@
   it('is placed again on the only feasible machine after that failed it once', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 1 });
-    const first = driver.starts(driver.up('n-1'));
-    driver.checkIn(
+    const first = driver.startsIn(driver.bringUp('n-1'));
+    driver.sendHeartbeat(
       'n-1',
       first.map((command) => ended(command, 'error')),
     );
--- a/test/support/builders.ts
+++ b/test/support/builders.ts
@@ -132,7 +132,7 @@
   checkpointSaved: false,
 });
 
-export const report = (
+export const heartbeatOf = (
   id: string,
   seq: number,
   term: number,
@@ -156,7 +156,7 @@
   );
 
 /** A row of a ledger record. */
-export const entry = (index: number, attempt: number, id = 'job-1'): LedgerEntry => ({
+export const ledgerEntry = (index: number, attempt: number, id = 'job-1'): LedgerEntry => ({
   job: id as JobId,
   index: index as TaskIndex,
   attempt: attempt as AttemptId,
@@ -166,7 +166,7 @@
   memoryGb: 1,
 });
 /** What a ledger record says of a machine. */
-export const recordedAt: MachineAttributes = {
+export const recordedAttributes: MachineAttributes = {
   type: 'c8' as MachineTypeName,
   zone: 'a' as ZoneName,
   spot: false,
--- a/test/support/core-driver.ts
+++ b/test/support/core-driver.ts
@@ -8,7 +8,7 @@
 import type { ReplyTicket } from '../../src/core/model/ids.js';
 import type { Instant } from '../../src/core/model/time.js';
 import type { WorkerCommand } from '../../src/core/model/worker-command.js';
-import { core, type JobChange, job, report, task, type } from './builders.js';
+import { core, heartbeatOf, type JobChange, job, task, type } from './builders.js';
 
 /** Drives a core by hand; saves are stored at once, so that a test states only what matters to it. */
 export class CoreDriver {
@@ -16,13 +16,13 @@
   readonly state: CoreState;
   effects: Effect[] = [];
   private ticket = 1;
-  private readonly seqs = new Map<string, number>();
+  private readonly sequences = new Map<string, number>();
 
   constructor(state: CoreState = core()) {
     this.state = state;
     this.send({ kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
     this.send({ kind: 'machines-listed', askedAt: 0 as Instant, machines: [] });
-    this.pass(3000);
+    this.advance(3000);
   }
 
   send(...commands: Command[]): Effect[] {
@@ -40,7 +40,7 @@
     return all;
   }
 
-  pass(ms: number): Effect[] {
+  advance(ms: number): Effect[] {
     const all: Effect[] = [];
     for (const end = this.now + ms; this.now < end; ) {
       this.now += Math.min(250, end - this.now);
@@ -50,16 +50,16 @@
   }
 
   /** A check-in with our term; returns the orders it is answered with. */
-  checkIn(
+  sendHeartbeat(
     id: string,
     tasks: TaskStatus[] = [],
     change: Partial<Heartbeat> = {},
     authority: Authority = 'lead',
   ) {
-    const seq = (this.seqs.get(id) ?? 0) + 1;
-    this.seqs.set(id, seq);
+    const seq = (this.sequences.get(id) ?? 0) + 1;
+    this.sequences.set(id, seq);
     const ticket = this.ticket++ as ReplyTicket;
-    const told = report(id, seq, this.state.config.fencingToken, tasks, change);
+    const told = heartbeatOf(id, seq, this.state.config.fencingToken, tasks, change);
     let effects = this.run(authority, [{ kind: 'heartbeat', heartbeat: told, ticket }]);
     for (let i = 0; i < 12; i += 1) {
       const answer = effects.find((e) => e.kind === 'reply-to-heartbeat' && e.ticket === ticket);
@@ -71,7 +71,7 @@
   }
 
   /** Check-ins of many machines at a time; the orders with which each is answered. */
-  checkInAll(
+  sendHeartbeats(
     told: ReadonlyMap<string, TaskStatus[]>,
     change: Record<string, Partial<Heartbeat>> = {},
   ): Map<string, readonly WorkerCommand[] | null> {
@@ -79,11 +79,11 @@
     const answers = new Map<string, readonly WorkerCommand[] | null>();
     let effects: Effect[] = [];
     for (const [id, tasks] of told) {
-      const seq = (this.seqs.get(id) ?? 0) + 1;
-      this.seqs.set(id, seq);
+      const seq = (this.sequences.get(id) ?? 0) + 1;
+      this.sequences.set(id, seq);
       const ticket = this.ticket++ as ReplyTicket;
       asked.set(ticket, id);
-      const sent = report(id, seq, this.state.config.fencingToken, tasks, change[id] ?? {});
+      const sent = heartbeatOf(id, seq, this.state.config.fencingToken, tasks, change[id] ?? {});
       effects.push(...this.send({ kind: 'heartbeat', heartbeat: sent, ticket }));
     }
     for (let i = 0; i < 16 && answers.size < told.size; i += 1) {
@@ -98,9 +98,9 @@
   }
 
   /** Two check-ins: after the second the machine is known to obey this term. */
-  up(id: string, change: Partial<Heartbeat> = {}): readonly WorkerCommand[] | null {
-    this.checkIn(id, [], change);
-    return this.checkIn(id, [], change);
+  bringUp(id: string, change: Partial<Heartbeat> = {}): readonly WorkerCommand[] | null {
+    this.sendHeartbeat(id, [], change);
+    return this.sendHeartbeat(id, [], change);
   }
 
   submit(id: string, change: JobChange = {}): void {
@@ -108,15 +108,20 @@
   }
 
   /** What a machine would report if it were asked now. */
-  lastReport(id: string): Heartbeat {
+  currentHeartbeat(id: string): Heartbeat {
     const m = this.state.machines.get(id as Heartbeat['machine'])!;
     const tasks = [...m.placements.values()].map((p) =>
       task(p.entry.job, p.entry.index, p.entry.attempt),
     );
-    return report(id, (this.seqs.get(id) ?? 0) + 1, this.state.config.fencingToken, tasks);
+    return heartbeatOf(
+      id,
+      (this.sequences.get(id) ?? 0) + 1,
+      this.state.config.fencingToken,
+      tasks,
+    );
   }
 
-  starts(orders: readonly WorkerCommand[] | null): WorkerCommand[] {
+  startsIn(orders: readonly WorkerCommand[] | null): WorkerCommand[] {
     return (orders ?? []).filter((o) => o.op === 'start');
   }
 }
--- a/test/support/simulated-world/model-workers.ts
+++ b/test/support/simulated-world/model-workers.ts
@@ -3,7 +3,7 @@
 import type { Heartbeat } from '../../../src/core/model/heartbeat.js';
 import type { MachineTypeName, ZoneName } from '../../../src/core/model/ids.js';
 import type { WorkerCommand } from '../../../src/core/model/worker-command.js';
-import { report, task } from '../builders.js';
+import { heartbeatOf, task } from '../builders.js';
 import type { Fleet, Machine } from './fleet.js';
 import type { Leader, Leaders } from './leaders.js';
 import type { ModelCloud } from './model-cloud.js';
@@ -84,7 +84,7 @@
     machine.heartbeatSequence += 1;
     const { id, heartbeatSequence, fencingToken, reclaimAt } = machine;
     const statuses = machine.tasks.map((t) => task(t.job, t.index, t.attempt, t.state, t.cause));
-    return report(id, heartbeatSequence, fencingToken, statuses, {
+    return heartbeatOf(id, heartbeatSequence, fencingToken, statuses, {
       agentEpoch: machine.agentEpoch,
       zone: machine.zone as ZoneName,
       spot: machine.spot,
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -36,7 +36,14 @@
   oldTypes,
   oldView,
 } from './fixtures/production-schemas.js';
-import { core, entry, job, recordedAt, report, task } from './support/builders.js';
+import {
+  core,
+  heartbeatOf,
+  job,
+  ledgerEntry,
+  recordedAttributes,
+  task,
+} from './support/builders.js';
 
 interface Stored {
   key: string;
@@ -131,7 +138,7 @@
       let dropped = false;
       for (let now = 500; now < 15_000; now += 500) {
         // Something to write each time, as on any day.
-        const told = report('n-new', now, 50, [task('job-77', now, now)]);
+        const told = heartbeatOf('n-new', now, 50, [task('job-77', now, now)]);
         for (const e of applyCommands(
           state,
           [{ kind: 'heartbeat', heartbeat: told, ticket: null }],
@@ -209,8 +216,8 @@
       machines: [
         {
           machine: 'n-1' as MachineId,
-          attributes: recordedAt,
-          entries: [entry(0, 41_000_001, 'job-9')],
+          attributes: recordedAttributes,
+          entries: [ledgerEntry(0, 41_000_001, 'job-9')],
         },
       ],
       progress: [
