--- a/test/isolated-leader.test.ts
+++ b/test/isolated-leader.test.ts
@@ -8,11 +8,11 @@
 import { Cloud } from './stand-ins/cloud.js';
 import {
   body,
+  type ClusterNode,
   cleanUp,
   cleanups,
-  cluster,
   freePort,
-  type Node,
+  startCluster,
   status,
   until,
 } from './stand-ins/cluster.js';
@@ -21,11 +21,11 @@
 afterEach(cleanUp);
 
 describe('an isolated leader', () => {
-  const leaderOf = (nodes: Node[]) => nodes.find((n) => n.controller.authority() === 'lead');
+  const leaderOf = (nodes: ClusterNode[]) => nodes.find((n) => n.controller.authority() === 'lead');
 
   it('without the key-value store learns of the next leader from a peer, and keeps no workers', async () => {
     // Machines count as silent after four heartbeat intervals: longer than a peer's word takes.
-    const { nodes, fronts, cloud } = await cluster(3, 3, 600, -1, 0.5);
+    const { nodes, fronts, cloud } = await startCluster(3, { heartbeatIntervalS: 0.5 });
     cloud.taskMs = 10_000_000;
     const old = leaderOf(nodes)!;
     await post(old.at, '/api/jobs', body('job-31'));
@@ -40,7 +40,7 @@
   });
 
   it('without the key-value store has a peer admit and look up jobs, and says no more', async () => {
-    const { nodes, fronts, state } = await cluster(3);
+    const { nodes, fronts, state } = await startCluster(3);
     const isolated = nodes.find((n) => n !== leaderOf(nodes))!;
     fronts[nodes.indexOf(isolated)]!.refuse = true;
     await until(async () => (await post(isolated.at, '/api/jobs', body('job-34')))?.status === 201);
@@ -52,7 +52,7 @@
   });
 
   it('without the key-value store and all peers is not ready until either is back', async () => {
-    const { nodes, fronts } = await cluster(2);
+    const { nodes, fronts } = await startCluster(2);
     nodes[1]!.stop();
     fronts[0]!.refuse = true;
     const readyStatus = async () => (await post(nodes[0]!.at, '/up', undefined, 'GET'))?.status;
@@ -66,8 +66,11 @@
   });
 
   it('without the key-value store and its peers redirects its workers to the next leader', async () => {
-    const { nodes, fronts, cloud } = await cluster(2, 3, 600, 0, 2);
-    const [old, next] = nodes as [Node, Node];
+    const { nodes, fronts, cloud } = await startCluster(2, {
+      isolatedNode: 0,
+      heartbeatIntervalS: 2,
+    });
+    const [old, next] = nodes as [ClusterNode, ClusterNode];
     if (next.controller.authority() === 'lead') next.controller.election.resign(2000);
     await until(() => old.controller.authority() === 'lead');
     cloud.taskMs = 10_000_000;
@@ -85,7 +88,7 @@
   });
 
   it('without its workers resigns for a peer that hears from them', async () => {
-    const { nodes, cloud } = await cluster(2);
+    const { nodes, cloud } = await startCluster(2);
     const old = leaderOf(nodes)!;
     const next = nodes.find((n) => n !== old)!;
     await post(old.at, '/api/jobs', body('job-32'));
@@ -107,7 +110,7 @@
 
 describe('a leader that stood still after a decision', () => {
   it('sends no start it decided before: its authority is checked as the reply goes out', async () => {
-    const { nodes, cloud } = await cluster(1);
+    const { nodes, cloud } = await startCluster(1);
     const { at, controller } = nodes[0]!;
     const { leaderTerm, effectRunner } = internalsOf(controller);
     let frozen = false;
--- a/test/monotonic-reads.test.ts
+++ b/test/monotonic-reads.test.ts
@@ -4,29 +4,30 @@
  * answer something older, whatever the key-value store and the controllers do meanwhile.
  */
 import { afterEach, describe, expect, it } from 'vitest';
-import { cleanUp, cluster, type Node, until } from './stand-ins/cluster.js';
+import { type ClusterNode, cleanUp, startCluster, until } from './stand-ins/cluster.js';
 import { Recorder } from './stand-ins/recorder.js';
 
 afterEach(cleanUp);
 
-const leaderOf = (nodes: readonly Node[]) => nodes.find((n) => n.controller.authority() === 'lead');
+const leaderOf = (nodes: readonly ClusterNode[]) =>
+  nodes.find((n) => n.controller.authority() === 'lead');
 
 /** Follows a job by frequent queries: accepted, cancelled or not, ended, and long after. */
 const followJob = async (users: Recorder, id: string, cancel: boolean): Promise<void> => {
-  await users.untilTold((at) => users.submission(id, at));
-  const looks = users.look(id);
+  await users.untilAnswered((at) => users.submit(id, at));
+  const looks = users.askEverywhere(id);
   if (cancel) {
-    await users.untilTold((at) => users.cancellation(id, at));
-    await users.look(id);
+    await users.untilAnswered((at) => users.cancel(id, at));
+    await users.askEverywhere(id);
   }
   await looks;
   await until(async () => {
-    const told = await users.untilTold((at) => users.question(id, at));
+    const told = await users.untilAnswered((at) => users.lookUp(id, at));
     return told === 'done' || told === 'withdrawn';
   });
-  await users.look(id);
-  await users.untilTold((at) => users.cancellation(id, at));
-  await users.look(id);
+  await users.askEverywhere(id);
+  await users.untilAnswered((at) => users.cancel(id, at));
+  await users.askEverywhere(id);
 };
 
 const followJobs = (users: Recorder, from: number, count: number) =>
@@ -39,7 +40,7 @@
 
 describe('reads are monotonic across all nodes', () => {
   it('while transactions lose their answers, or are executed late and after newer ones', async () => {
-    const { nodes, state } = await cluster(3);
+    const { nodes, state } = await startCluster(3);
     const users = new Recorder(() => nodes.map((n) => n.at));
     state.loseEvery = 3;
     await followJobs(users, 100, 12);
@@ -49,13 +50,15 @@
     expect(users.problems).toEqual([]);
     expect(state.lost).toBeGreaterThan(5);
     expect(state.late).toBeGreaterThan(5);
-    expect(users.said.done).toBeGreaterThan(100);
-    expect(users.said.withdrawn).toBeGreaterThan(50);
-    expect((users.said.queued ?? 0) + (users.said.running ?? 0)).toBeGreaterThan(50);
+    expect(users.answersByStatus.done).toBeGreaterThan(100);
+    expect(users.answersByStatus.withdrawn).toBeGreaterThan(50);
+    expect(
+      (users.answersByStatus.queued ?? 0) + (users.answersByStatus.running ?? 0),
+    ).toBeGreaterThan(50);
   });
 
   it('while leaders change, controllers restart, and the key-value store refuses one of them', async () => {
-    const { nodes, fronts, start, cloud } = await cluster(3);
+    const { nodes, fronts, start, cloud } = await startCluster(3);
     cloud.taskMs = 60;
     const users = new Recorder(() => nodes.map((n) => n.at));
     let changes = 0;
@@ -86,7 +89,7 @@
     await faults;
     expect(users.problems).toEqual([]);
     expect(changes).toBeGreaterThan(1);
-    expect(users.said.done).toBeGreaterThan(100);
-    expect(users.said.withdrawn).toBeGreaterThan(50);
+    expect(users.answersByStatus.done).toBeGreaterThan(100);
+    expect(users.answersByStatus.withdrawn).toBeGreaterThan(50);
   });
 });
--- a/test/pinned-commands.test.ts
+++ b/test/pinned-commands.test.ts
@@ -11,7 +11,7 @@
 import { run } from '../src/cli/main.js';
 import { pinsIn } from './fixtures/pins.js';
 import { cleanUp, freePort } from './stand-ins/cluster.js';
-import { recordingServer } from './stand-ins/recording-server.js';
+import { startRecordingServer } from './stand-ins/recording-server.js';
 import { settingsText } from './stand-ins/settings.js';
 
 const pins = pinsIn('commands');
@@ -89,7 +89,7 @@
 describe('the commands', () => {
   it('ask, print and exit as pinned', async () => {
     let answer: readonly [number, unknown] | null = null;
-    const { sent, at } = await recordingServer(({ method, path }) => {
+    const { sent, at } = await startRecordingServer(({ method, path }) => {
       if (answer) return answer;
       if (path === '/api/drains/plan') return [200, plan];
       if (path === '/api/budgets') return [200, { budgets }];
--- a/test/pinned-requests.test.ts
+++ b/test/pinned-requests.test.ts
@@ -25,7 +25,7 @@
 import type { LeaseId } from '../src/ports/key-value-store.js';
 import { pinsIn } from './fixtures/pins.js';
 import { cleanUp, cleanups, until } from './stand-ins/cluster.js';
-import { recordingServer } from './stand-ins/recording-server.js';
+import { startRecordingServer } from './stand-ins/recording-server.js';
 
 afterEach(cleanUp);
 
@@ -36,8 +36,8 @@
 const LEASE = 7 as LeaseId;
 
 describe('the client of the key-value store', () => {
-  const clientOf = async (answer: Parameters<typeof recordingServer>[0]) => {
-    const { sent, at } = await recordingServer(answer);
+  const clientOf = async (answer: Parameters<typeof startRecordingServer>[0]) => {
+    const { sent, at } = await startRecordingServer(answer);
     const client = new KeyValueStoreClient(at, { ...RATES, lowered: RATES });
     cleanups.push(() => client.close());
     return { sent, client };
@@ -143,7 +143,7 @@
 describe('the client of the cloud', () => {
   it('sends its requests in the pinned form, and reads the answers of the protocol', async () => {
     const listed = { Endpoint: '127.0.0.1:4100', Hull: 'c8', Yard: 'a' };
-    const { sent, at } = await recordingServer(({ method, path }) => {
+    const { sent, at } = await startRecordingServer(({ method, path }) => {
       if (path === '/machine_types') return [200, inputs.of('types')];
       if (path === '/machines' && method === 'POST')
         return [200, { Berths: ['n-000001', 'n-000002'] }];
@@ -236,7 +236,7 @@
 
 describe('direct commands', () => {
   it('are sent in the pinned form, and the heartbeat in the answer is read', async () => {
-    const { sent, at } = await recordingServer(() => [200, inputs.of('report')]);
+    const { sent, at } = await startRecordingServer(() => [200, inputs.of('report')]);
     const task = {
       job: 'job-000412' as JobId,
       index: 8 as TaskIndex,
--- a/test/refusal-then-outage.test.ts
+++ b/test/refusal-then-outage.test.ts
@@ -13,7 +13,7 @@
 import type { FencingToken, JobId, MachineId, ReplyTicket } from '../src/core/model/ids.js';
 import { isService } from '../src/core/model/job.js';
 import type { Instant, Millis } from '../src/core/model/time.js';
-import { body, cleanUp, cluster, status, until } from './stand-ins/cluster.js';
+import { body, cleanUp, startCluster, status, until } from './stand-ins/cluster.js';
 import { post } from './stand-ins/http.js';
 import {
   core,
@@ -147,7 +147,10 @@
   it('end the tasks of jobs that the next leader confirmed as cancelled', async () => {
     // A lease long enough not to be lost to a busy machine, so that the outage meets the leader
     // that confirms; a heartbeat interval so long that it does not replace unheard workers.
-    const { nodes, state, fronts, cloud } = await cluster(3, 3, 2000, -1, 4);
+    const { nodes, state, fronts, cloud } = await startCluster(3, {
+      leaderLeaseMs: 2000,
+      heartbeatIntervalS: 4,
+    });
     cloud.taskMs = 10_000_000;
     const of = (id: string) =>
       [...cloud.workers.values()]
--- a/test/service-jobs.test.ts
+++ b/test/service-jobs.test.ts
@@ -3,7 +3,7 @@
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { parseEndpoint } from '../src/adapters/configuration/settings.js';
 import { KeyValueStoreClient } from '../src/adapters/key-value-store/key-value-store-client.js';
-import { body, cleanUp, cleanups, cluster, status, until } from './stand-ins/cluster.js';
+import { body, cleanUp, cleanups, startCluster, status, until } from './stand-ins/cluster.js';
 import { post } from './stand-ins/http.js';
 import { KeyValueStoreServer } from './stand-ins/key-value-store.js';
 
@@ -14,7 +14,7 @@
 
 describe('a service', () => {
   it('runs through ends of replicas and failovers until it is cancelled, and stays withdrawn', async () => {
-    const { nodes, cloud } = await cluster(3, 4);
+    const { nodes, cloud } = await startCluster(3, { capacity: 4 });
     // Each replica ends after a moment.
     cloud.taskMs = 150;
     expect((await post(nodes[0]!.at, '/api/jobs', service('job-1')))?.status).toBe(201);
@@ -47,7 +47,7 @@
   });
 
   it('is refused with 422 when its replicas together exceed the limit of its team; an array is not', async () => {
-    const { nodes, state } = await cluster(1);
+    const { nodes, state } = await startCluster(1);
     const { at } = nodes[0]!;
     expect((await post(at, '/api/jobs', service('job-1', { Pieces: 65 })))?.status).toBe(422);
     expect((await post(at, '/api/jobs', body('job-2', { Pieces: 65 })))?.status).toBe(201);
@@ -62,7 +62,7 @@
 
 describe('a service that must be spread over zones', () => {
   it('is refused with 422 where it may use one zone only; an array is not', async () => {
-    const { nodes } = await cluster(1);
+    const { nodes } = await startCluster(1);
     const { at } = nodes[0]!;
     const spread = { Scatter: true, Pieces: 2 };
     for (const [id, change] of [
@@ -87,7 +87,7 @@
 describe('limits of the key-value store that fall', () => {
   it('interrupt nothing, neither at the announced values nor below them', async () => {
     const next = { value_kb: 1, txn_ops: 3, write_rps: 200 };
-    const { nodes, state, cloud } = await cluster(2, 6, 600, -1, 0.2, { state: { next } });
+    const { nodes, state, cloud } = await startCluster(2, { capacity: 6, storeLimits: { next } });
     state.limits = { valueBytes: 8192, txnOps: 16, writeRps: 1000 };
     const { at } = nodes[0]!;
     cloud.taskMs = 10_000_000;
@@ -115,7 +115,7 @@
   });
 
   it('refuse a job that no longer fits with its true reason, and answer 200 for an accepted one', async () => {
-    const { nodes, state } = await cluster(2);
+    const { nodes, state } = await startCluster(2);
     const { at } = nodes[0]!;
     const large = (id: string) =>
       body(id, { Hulls: ['c8', ...Array(40).fill('x'.repeat(30))], Pieces: 500 });
@@ -175,7 +175,7 @@
   it('of the cloud and the key-value store change nothing and are logged once each', async () => {
     const lines: string[] = [];
     const log = pino({ level: 'info' }, { write: (line: string) => lines.push(line) });
-    const { nodes, cloud, state } = await cluster(1, 3, 600, -1, 0.2, { log });
+    const { nodes, cloud, state } = await startCluster(1, { log });
     const { at } = nodes[0]!;
     // The list of machines has been read by then; before, nothing would be rented.
     await until(() => cloud.workers.size > 0);
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -1,15 +1,22 @@
 /** Controllers in this process, against stand-ins of the outside: what users are answered. */
 import { afterEach, describe, expect, it } from 'vitest';
 import { HttpClient } from '../src/adapters/outbound/http-client.js';
-import { body, cleanUp, cluster, type Node, status, until } from './stand-ins/cluster.js';
+import {
+  body,
+  type ClusterNode,
+  cleanUp,
+  startCluster,
+  status,
+  until,
+} from './stand-ins/cluster.js';
 import { post } from './stand-ins/http.js';
 
 afterEach(cleanUp);
 
 describe('a cluster of controllers', () => {
   it('runs a job to completion through any node, and answers alike at every node ever after', async () => {
-    const { nodes, cloud, state } = await cluster(3);
-    const [a, b, c] = nodes as [Node, Node, Node];
+    const { nodes, cloud, state } = await startCluster(3);
+    const [a, b, c] = nodes as [ClusterNode, ClusterNode, ClusterNode];
     expect((await post(a.at, '/api/jobs', body('job-000001')))?.status).toBe(201);
     // Stored before the 201.
     expect(state.keys.has('j/job-000001') || state.keys.has('f/job-000001')).toBe(true);
@@ -33,7 +40,7 @@
   });
 
   it('refuses malformed submissions with 400 and infeasible ones with 422', async () => {
-    const { nodes } = await cluster(1);
+    const { nodes } = await startCluster(1);
     const at = nodes[0]!.at;
     const refused: [unknown, number][] = [
       ['{', 400],
@@ -96,7 +103,7 @@
   });
 
   it('answers for every job at every node while the key-value store limits rates, and after a failover', async () => {
-    const { nodes, state, cloud } = await cluster(3);
+    const { nodes, state, cloud } = await startCluster(3);
     cloud.taskMs = 10_000_000;
     const ids = Array.from({ length: 12 }, (_, i) => `job-0001${String(i).padStart(2, '0')}`);
     for (const [i, id] of ids.entries())
@@ -120,7 +127,7 @@
   });
 
   it('knows a job whose record is unreadable at every node, also when it is submitted again', async () => {
-    const { nodes, state } = await cluster(2);
+    const { nodes, state } = await startCluster(2);
     state.commit({ Apply: [{ Write: 'j/job-000077', Data: { odd: true } }] });
     for (const node of nodes) {
       expect((await status(node.at, 'job-000077'))?.status).toBe(200);
@@ -130,9 +137,9 @@
   });
 
   it('reports a cancellation only once it is stored, and kills the tasks', async () => {
-    const { nodes, cloud, state } = await cluster(2);
+    const { nodes, cloud, state } = await startCluster(2);
     cloud.taskMs = 10_000_000;
-    const [a, b] = nodes as [Node, Node];
+    const [a, b] = nodes as [ClusterNode, ClusterNode];
     await post(a.at, '/api/jobs', body('job-5'));
     await until(async () => (await status(b.at, 'job-5'))?.body.running === 3);
     const answer = await until(async () => {
@@ -159,7 +166,7 @@
   });
 
   it('answers 503 with Retry-After while the key-value store is down, and recovers with it', async () => {
-    const { nodes, state } = await cluster(1);
+    const { nodes, state } = await startCluster(1);
     state.isDown = true;
     const unavailable = await post(nodes[0]!.at, '/api/jobs', body('job-8'));
     expect([unavailable?.status, unavailable?.headers['retry-after']]).toEqual([503, '1']);
@@ -169,7 +176,7 @@
   });
 
   it('fails over to another leader without losing or doubling a task', async () => {
-    const { nodes, cloud } = await cluster(3);
+    const { nodes, cloud } = await startCluster(3);
     cloud.taskMs = 10_000_000;
     const first = nodes.find((n) => n.controller.authority() === 'lead')!;
     const others = nodes.filter((n) => n !== first);
@@ -190,7 +197,7 @@
   it('replaces its earlier incarnation at once, without losing or doubling a task', async () => {
     // No other leader is elected within ten minutes of lease: only the earlier incarnation's key can
     // be replaced.
-    const { nodes, cloud, state, start } = await cluster(1, 3, 600_000);
+    const { nodes, cloud, state, start } = await startCluster(1, { leaderLeaseMs: 600_000 });
     cloud.taskMs = 10_000_000;
     await post(nodes[0]!.at, '/api/jobs', body('job-41'));
     await until(async () => (await status(nodes[0]!.at, 'job-41'))?.body.running === 3);
@@ -206,9 +213,9 @@
 
 describe('a team', () => {
   it('sees and cancels its own jobs only, and gets an explanation of why they wait', async () => {
-    const { nodes, cloud } = await cluster(2, 1);
+    const { nodes, cloud } = await startCluster(2, { capacity: 1 });
     cloud.taskMs = 10_000_000;
-    const [a, b] = nodes as [Node, Node];
+    const [a, b] = nodes as [ClusterNode, ClusterNode];
     await post(a.at, '/api/jobs', body('job-20', { Pieces: 8 }));
     await until(async () => (await status(a.at, 'job-20'))?.body.running === 8);
     await post(b.at, '/api/jobs', body('job-21', { Crew: 'green', Pieces: 2 }));
@@ -244,7 +251,7 @@
 
 describe('a controller that starts while the cloud does not answer', () => {
   it('is ready once it has read the machine types from the key-value store', async () => {
-    const { nodes, cloud, state, start } = await cluster(1);
+    const { nodes, cloud, state, start } = await startCluster(1);
     await until(() => state.keys.has('c/types'));
     nodes[0]!.stop();
     cloud.isSilent = true;
--- a/test/stand-ins/processes.ts
+++ b/test/stand-ins/processes.ts
@@ -1,4 +1,7 @@
-/** Controllers as processes of their own, from the bundle that is deployed, beside stand-ins of state service and cloud. */
+/**
+ * Controllers as processes of their own, from the bundle that is deployed, beside stand-ins of cloud
+ * and key-value store.
+ */
 import { type ChildProcess, execFile, spawn } from 'node:child_process';
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -50,6 +53,7 @@
   return { code, out, error };
 };
 
+/** A controller's process, which a restart replaces. */
 export interface ControllerProcess {
   readonly node: string;
   readonly api: string;
--- a/test/stand-ins/recorder.ts
+++ b/test/stand-ins/recorder.ts
@@ -1,15 +1,19 @@
-/** Users that ask at all nodes and compare what they are told: no answer may be older than one that was there before the question. */
+/**
+ * Users that ask at all nodes and compare what they are told: no answer may be older than one that
+ * was there before the question.
+ */
 
 import { body } from './cluster.js';
 import { post } from './http.js';
 
 const RANK: Record<string, number> = { absent: 0, queued: 1, running: 1, done: 2, withdrawn: 2 };
 
+/** Asks about jobs, and keeps the newest answer of each. */
 export class Recorder {
   readonly problems: string[] = [];
   answers = 0;
   /** Answers by what was said. */
-  readonly said: Record<string, number> = {};
+  readonly answersByStatus: Record<string, number> = {};
   /** The newest that was told of each job. */
   private readonly newest = new Map<string, string>();
 
@@ -23,7 +27,7 @@
     asked: string,
   ): void {
     this.answers += 1;
-    this.said[told] = (this.said[told] ?? 0) + 1;
+    this.answersByStatus[told] = (this.answersByStatus[told] ?? 0) + 1;
     const rank = RANK[told] ?? 0;
     if (before !== undefined) {
       const older = rank < (RANK[before] ?? 0);
@@ -61,20 +65,23 @@
     return told;
   }
 
-  question(id: string, at: string) {
+  /** Asks for a job's state. */
+  lookUp(id: string, at: string) {
     return this.ask(id, at, `/api/jobs/${id}`, undefined, 'GET');
   }
 
-  submission(id: string, at: string, change: object = {}) {
+  /** Submits a job, or repeats it. */
+  submit(id: string, at: string, change: object = {}) {
     return this.ask(id, at, '/api/jobs', body(id, change));
   }
 
-  cancellation(id: string, at: string) {
+  /** Cancels a job. */
+  cancel(id: string, at: string) {
     return this.ask(id, at, `/api/jobs/${id}/abort`, {});
   }
 
   /** Until a node takes it, as users do. */
-  async untilTold(what: (at: string) => Promise<string | null>): Promise<string> {
+  async untilAnswered(what: (at: string) => Promise<string | null>): Promise<string> {
     for (let i = 0; ; i += 1) {
       const nodes = this.nodes();
       const told = await what(nodes[i % nodes.length]!);
@@ -84,12 +91,12 @@
   }
 
   /** At all nodes at once, a few times within milliseconds, with repeats of the submission. */
-  async look(id: string, times = 3): Promise<void> {
+  async askEverywhere(id: string, times = 3): Promise<void> {
     const asked: Promise<unknown>[] = [];
     for (let i = 0; i < times; i += 1) {
       for (const at of this.nodes()) {
-        asked.push(this.question(id, at));
-        if (i === 1 && this.newest.get(id) !== undefined) asked.push(this.submission(id, at));
+        asked.push(this.lookUp(id, at));
+        if (i === 1 && this.newest.get(id) !== undefined) asked.push(this.submit(id, at));
       }
       await new Promise((resolve) => setTimeout(resolve, 3));
     }
--- a/test/stand-ins/recording-server.ts
+++ b/test/stand-ins/recording-server.ts
@@ -1,8 +1,9 @@
-/** An HTTP server that keeps what it is sent, in every byte of the body, and answers what it is told to. */
+/** An HTTP server that keeps what it is sent, the body byte for byte, and answers as it is told. */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { cleanups } from './cluster.js';
 
+/** A request as it came. */
 export interface SentRequest {
   readonly method: string;
   readonly path: string;
@@ -10,7 +11,8 @@
   readonly body: string;
 }
 
-export const recordingServer = async (
+/** Starts the server; it ends with the test. */
+export const startRecordingServer = async (
   answer: (sent: SentRequest) => readonly [number, unknown],
 ) => {
   const sent: SentRequest[] = [];
