--- a/test/model/overloaded-day.ts
+++ b/test/model/overloaded-day.ts
@@ -22,6 +22,7 @@
   readonly endsAt: number;
 }
 
+/** A job of the day, with the times in milliseconds at which it began and was done. */
 export interface DayJob {
   readonly spec: JobSpec;
   readonly submittedAt: number;
@@ -29,6 +30,7 @@
   doneAt: number | null;
 }
 
+/** Plays the day with a leader that never fails. */
 export class OverloadedDay {
   readonly jobs: DayJob[] = [];
   private readonly state: CoreState;
@@ -70,12 +72,13 @@
     return effects;
   }
 
+  /** Plays the whole day. */
   play(): void {
     this.send(0, { kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
-    let seq = 0;
+    let sequence = 0;
     for (let now = 4000; now < DAY_MS; now += STEP_MS) {
       if (now < ARRIVALS_MS && now % 5000 === 0) this.arrive(now);
-      seq += 1;
+      sequence += 1;
       for (const [i, running] of this.running.entries()) {
         const statuses = running.map(({ command, endsAt }) => {
           const hasEnded = endsAt <= now;
@@ -87,10 +90,10 @@
             hasEnded ? 'done' : null,
           );
         });
-        const ticket = (seq * 100 + i) as ReplyTicket;
+        const ticket = (sequence * 100 + i) as ReplyTicket;
         const effects = this.send(now, {
           kind: 'heartbeat',
-          heartbeat: heartbeatOf(`n-${i}`, seq, 7, statuses),
+          heartbeat: heartbeatOf(`n-${i}`, sequence, 7, statuses),
           ticket,
         });
         const answer = effects.find(
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -5,11 +5,11 @@
 describe('an overloaded day', () => {
   it.each([
     ['the machines', 60],
-    ['the limits of the teams', 34],
+    ['the quotas of the teams', 34],
   ])(
     'of %s begins each largest job within four minutes and serves half of each class, team and the largest',
-    (_, limit) => {
-      const day = new OverloadedDay({}, limit);
+    (_, quota) => {
+      const day = new OverloadedDay({}, quota);
       day.play();
       const { jobs } = day;
       const share = (of: typeof jobs) => of.filter((j) => j.doneAt !== null).length / of.length;
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,8 +1,9 @@
+/** The users' rules over drawn histories of faults, in the simulated world. */
 import { describe, expect, it } from 'vitest';
 import { addCounters, createCounters } from './support/simulated-world/counters.js';
 import { SimulatedWorld } from './support/simulated-world/world.js';
 
-describe('the rules', () => {
+describe("the users' rules", () => {
   it('hold over drawn histories of delays, repeats, lost answers, crashes and failovers', () => {
     const total = createCounters();
     const seeds = [...Array.from({ length: 200 }, (_, i) => i + 1), 1192, 1370, 1410, 1670, 1729];
@@ -37,21 +38,21 @@
     'leave no job behind once the faults are over (provisioned machines keep their zone: %s)',
     (keepZones) => {
       let services = 0;
-      let longest = 0;
+      let longestMs = 0;
       for (let seed = 101; seed <= 110; seed += 1) {
         const world = new SimulatedWorld(seed, { keepZones });
         world.play(60_000, false);
         world.heal();
-        // None waits for 90 s beside room that it could have.
-        const since = new Map<string, number>();
+        // None waits for 90 s beside room that it could have: while it waits, since when.
+        const waitsSince = new Map<string, number>();
         for (let t = 0; t < 1_200_000; t += 5000) {
           world.play(5000, true);
-          const waits = world.waitingBesideRoom();
-          for (const id of since.keys()) if (!waits.includes(id)) since.delete(id);
-          for (const id of waits) {
-            const from = since.get(id) ?? t;
-            since.set(id, from);
-            longest = Math.max(longest, t - from);
+          const waiting = world.waitingBesideRoom();
+          for (const id of waitsSince.keys()) if (!waiting.includes(id)) waitsSince.delete(id);
+          for (const id of waiting) {
+            const from = waitsSince.get(id) ?? t;
+            waitsSince.set(id, from);
+            longestMs = Math.max(longestMs, t - from);
             expect(t - from, `seed ${seed}: ${id} waits beside room at ${world.now}`).toBeLessThan(
               90_000,
             );
@@ -70,7 +71,7 @@
         services += world.serviceCount();
       }
       expect(services).toBeGreaterThan(10);
-      expect(longest).toBeGreaterThan(0);
+      expect(longestMs).toBeGreaterThan(0);
     },
   );
 });
--- a/test/support/builders.ts
+++ b/test/support/builders.ts
@@ -1,4 +1,4 @@
-/** Small builders of core records for the tests. */
+/** Small builders of core records for the tests; a name that a record does not have is refused. */
 import { DEFAULT_POLICY } from '../../src/adapters/configuration/policy.js';
 import { type CoreConfig, type CoreState, createCore } from '../../src/core/core-state.js';
 import type { Heartbeat, TaskStatus } from '../../src/core/model/heartbeat.js';
@@ -44,6 +44,7 @@
   return { ...base, ...change };
 };
 
+/** An array of one task, with the fields that a test sets. */
 export const job = (id: string, change: JobChange = {}): JobSpec =>
   override<JobSpec>(
     {
@@ -71,6 +72,7 @@
     change,
   );
 
+/** A machine type with 8 processors in two zones. */
 export const type = (name: string, change: Change<MachineType> = {}): MachineType =>
   override<MachineType>(
     {
@@ -87,6 +89,7 @@
     change,
   );
 
+/** A team whose guaranteed share is half its quota. */
 export const team = (name: string, cpusMax = 64, gpusMax = 0): Team => ({
   name: name as TeamName,
   cpus: cpusMax / 2,
@@ -95,6 +98,7 @@
   gpusMax,
 });
 
+/** The state of a leader that has recovered nothing yet. */
 export const core = (change: Partial<CoreConfig> = {}, policy: Partial<Policy> = {}): CoreState =>
   createCore(
     override<CoreConfig>(
@@ -117,6 +121,7 @@
     ),
   );
 
+/** What a worker reports of a task. */
 export const task = (
   jobId: string,
   index: number,
@@ -132,10 +137,11 @@
   checkpointSaved: false,
 });
 
+/** A heartbeat of a machine, with the fencing token that it knows. */
 export const heartbeatOf = (
   id: string,
-  seq: number,
-  term: number,
+  sequence: number,
+  fencingToken: number,
   tasks: TaskStatus[] = [],
   change: Partial<Heartbeat> = {},
 ): Heartbeat =>
@@ -147,8 +153,8 @@
       zone: 'a' as ZoneName,
       spot: false,
       agentEpoch: 1,
-      sequence: seq,
-      fencingToken: term as FencingToken,
+      sequence,
+      fencingToken: fencingToken as FencingToken,
       reclaimNoticeS: null,
       tasks,
     },
--- a/test/support/core-driver.ts
+++ b/test/support/core-driver.ts
@@ -1,5 +1,4 @@
 /** Drives a core step by step: what is sent to it, what time passes, what machines report. */
-
 import { applyCommands } from '../../src/core/apply-commands.js';
 import type { CoreState } from '../../src/core/core-state.js';
 import type { Command } from '../../src/core/model/command.js';
@@ -10,12 +9,18 @@
 import type { WorkerCommand } from '../../src/core/model/worker-command.js';
 import { core, heartbeatOf, type JobChange, job, task, type } from './builders.js';
 
-/** Drives a core by hand; saves are stored at once, so that a test states only what matters to it. */
+/** Clock steps while the driver waits for a reply, and how many it waits at most. */
+const STEP_MS = 250;
+const MAX_REPLY_STEPS = 12;
+const MAX_REPLIES_STEPS = 16;
+
+/** Drives a core by hand; batches are stored at once, so that a test states only what matters. */
 export class CoreDriver {
   now = 0;
   readonly state: CoreState;
+  /** All effects so far; a test may clear them. */
   effects: Effect[] = [];
-  private ticket = 1;
+  private nextTicket = 1;
   private readonly sequences = new Map<string, number>();
 
   constructor(state: CoreState = core()) {
@@ -25,107 +30,115 @@
     this.advance(3000);
   }
 
+  /** Applies commands as the leader; returns the effects, those of stored batches included. */
   send(...commands: Command[]): Effect[] {
     return this.run('lead', commands);
   }
 
+  /** Applies commands with some authority. */
   run(authority: Authority, commands: Command[]): Effect[] {
     const effects = applyCommands(this.state, commands, this.now as Instant, authority);
     const all = [...effects];
-    for (const e of effects) {
-      if (e.kind === 'store-batch')
-        all.push(...this.run(authority, [{ kind: 'batch-stored', batch: e.batch }]));
+    for (const effect of effects) {
+      if (effect.kind === 'store-batch')
+        all.push(...this.run(authority, [{ kind: 'batch-stored', batch: effect.batch }]));
     }
     this.effects.push(...effects);
     return all;
   }
 
+  /** Lets time pass, with ticks. */
   advance(ms: number): Effect[] {
     const all: Effect[] = [];
     for (const end = this.now + ms; this.now < end; ) {
-      this.now += Math.min(250, end - this.now);
+      this.now += Math.min(STEP_MS, end - this.now);
       all.push(...this.send({ kind: 'tick' }));
     }
     return all;
   }
 
-  /** A check-in with our term; returns the orders it is answered with. */
+  private nextHeartbeat(id: string, tasks: TaskStatus[], change: Partial<Heartbeat>): Heartbeat {
+    const sequence = (this.sequences.get(id) ?? 0) + 1;
+    this.sequences.set(id, sequence);
+    return heartbeatOf(id, sequence, this.state.config.fencingToken, tasks, change);
+  }
+
+  /** A heartbeat with our fencing token; returns the commands of its reply. */
   sendHeartbeat(
     id: string,
     tasks: TaskStatus[] = [],
     change: Partial<Heartbeat> = {},
     authority: Authority = 'lead',
   ) {
-    const seq = (this.sequences.get(id) ?? 0) + 1;
-    this.sequences.set(id, seq);
-    const ticket = this.ticket++ as ReplyTicket;
-    const told = heartbeatOf(id, seq, this.state.config.fencingToken, tasks, change);
-    let effects = this.run(authority, [{ kind: 'heartbeat', heartbeat: told, ticket }]);
-    for (let i = 0; i < 12; i += 1) {
-      const answer = effects.find((e) => e.kind === 'reply-to-heartbeat' && e.ticket === ticket);
-      if (answer?.kind === 'reply-to-heartbeat') return answer.commands;
-      this.now += 250;
+    const heartbeat = this.nextHeartbeat(id, tasks, change);
+    const ticket = this.nextTicket++ as ReplyTicket;
+    let effects = this.run(authority, [{ kind: 'heartbeat', heartbeat, ticket }]);
+    for (let i = 0; i < MAX_REPLY_STEPS; i += 1) {
+      const reply = effects.find((e) => e.kind === 'reply-to-heartbeat' && e.ticket === ticket);
+      if (reply?.kind === 'reply-to-heartbeat') return reply.commands;
+      this.now += STEP_MS;
       effects = this.run(authority, [{ kind: 'tick' }]);
     }
     throw new Error('no answer');
   }
 
-  /** Check-ins of many machines at a time; the orders with which each is answered. */
+  /** Heartbeats of many machines at a time; the commands of each reply. */
   sendHeartbeats(
-    told: ReadonlyMap<string, TaskStatus[]>,
+    tasksByMachine: ReadonlyMap<string, TaskStatus[]>,
     change: Record<string, Partial<Heartbeat>> = {},
   ): Map<string, readonly WorkerCommand[] | null> {
-    const asked = new Map<number, string>();
-    const answers = new Map<string, readonly WorkerCommand[] | null>();
+    const machineByTicket = new Map<number, string>();
+    const replies = new Map<string, readonly WorkerCommand[] | null>();
     let effects: Effect[] = [];
-    for (const [id, tasks] of told) {
-      const seq = (this.sequences.get(id) ?? 0) + 1;
-      this.sequences.set(id, seq);
-      const ticket = this.ticket++ as ReplyTicket;
-      asked.set(ticket, id);
-      const sent = heartbeatOf(id, seq, this.state.config.fencingToken, tasks, change[id] ?? {});
-      effects.push(...this.send({ kind: 'heartbeat', heartbeat: sent, ticket }));
+    for (const [id, tasks] of tasksByMachine) {
+      const heartbeat = this.nextHeartbeat(id, tasks, change[id] ?? {});
+      const ticket = this.nextTicket++ as ReplyTicket;
+      machineByTicket.set(ticket, id);
+      effects.push(...this.send({ kind: 'heartbeat', heartbeat, ticket }));
     }
-    for (let i = 0; i < 16 && answers.size < told.size; i += 1) {
-      for (const e of effects) {
-        const id = e.kind === 'reply-to-heartbeat' ? asked.get(e.ticket) : undefined;
-        if (e.kind === 'reply-to-heartbeat' && id !== undefined) answers.set(id, e.commands);
+    for (let i = 0; i < MAX_REPLIES_STEPS && replies.size < tasksByMachine.size; i += 1) {
+      for (const effect of effects) {
+        if (effect.kind !== 'reply-to-heartbeat') continue;
+        const id = machineByTicket.get(effect.ticket);
+        if (id !== undefined) replies.set(id, effect.commands);
       }
-      this.now += 250;
+      this.now += STEP_MS;
       effects = this.send({ kind: 'tick' });
     }
-    return answers;
+    return replies;
   }
 
-  /** Two check-ins: after the second the machine is known to obey this term. */
+  /** Two heartbeats: after the second the machine is known to obey this fencing token. */
   bringUp(id: string, change: Partial<Heartbeat> = {}): readonly WorkerCommand[] | null {
     this.sendHeartbeat(id, [], change);
     return this.sendHeartbeat(id, [], change);
   }
 
+  /** Submits a job. */
   submit(id: string, change: JobChange = {}): void {
     this.send({ kind: 'job', spec: job(id, change), submittedAt: this.now as Instant });
   }
 
   /** What a machine would report if it were asked now. */
   currentHeartbeat(id: string): Heartbeat {
-    const m = this.state.machines.get(id as Heartbeat['machine'])!;
-    const tasks = [...m.placements.values()].map((p) =>
-      task(p.entry.job, p.entry.index, p.entry.attempt),
-    );
-    return heartbeatOf(
-      id,
-      (this.sequences.get(id) ?? 0) + 1,
-      this.state.config.fencingToken,
-      tasks,
+    const machine = this.state.machines.get(id as Heartbeat['machine'])!;
+    const tasks = [...machine.placements.values()].map(({ entry }) =>
+      task(entry.job, entry.index, entry.attempt),
     );
+    const sequence = (this.sequences.get(id) ?? 0) + 1;
+    return heartbeatOf(id, sequence, this.state.config.fencingToken, tasks);
   }
 
-  startsIn(orders: readonly WorkerCommand[] | null): WorkerCommand[] {
-    return (orders ?? []).filter((o) => o.op === 'start');
+  /** The starts among commands. */
+  startsIn(commands: readonly WorkerCommand[] | null): WorkerCommand[] {
+    return (commands ?? []).filter(({ op }) => op === 'start');
   }
 }
 
-export const running = (o: WorkerCommand) => task(o.job, o.index, o.attempt);
-export const ended = (o: WorkerCommand, cause: TaskStatus['cause']) =>
-  task(o.job, o.index, o.attempt, 'ended', cause);
+/** The status of the attempt that a command is about, while it runs. */
+export const running = (command: WorkerCommand) =>
+  task(command.job, command.index, command.attempt);
+
+/** Its status once it has ended. */
+export const ended = (command: WorkerCommand, cause: TaskStatus['cause']) =>
+  task(command.job, command.index, command.attempt, 'ended', cause);
