--- a/test/fault-handling.test.ts
+++ b/test/fault-handling.test.ts
@@ -4,9 +4,24 @@
 import { segmentKey } from '../src/core/ledger/segments.js';
 import { explainJob, viewJob } from '../src/core/lifecycle/job-view.js';
 import type { Effect } from '../src/core/model/effect.js';
-import type { FencingToken, JobId, MachineId, ReplyTicket } from '../src/core/model/ids.js';
+import type {
+  FencingToken,
+  JobId,
+  MachineId,
+  MachineTypeName,
+  ReplyTicket,
+  ZoneName,
+} from '../src/core/model/ids.js';
 import type { Instant } from '../src/core/model/time.js';
-import { core, heartbeatOf, job, task, type } from './support/builders.js';
+import {
+  core,
+  heartbeatOf,
+  job,
+  ledgerEntry,
+  recordedAttributes,
+  task,
+  type,
+} from './support/builders.js';
 import { CoreDriver, ended, running } from './support/core-driver.js';
 
 const SEGMENT = segmentKey(6 as FencingToken, 1);
@@ -139,8 +154,8 @@
       {
         id: 'n-7' as MachineId,
         endpoint: '127.0.0.1:9',
-        type: 'c8' as never,
-        zone: 'a' as never,
+        type: 'c8' as MachineTypeName,
+        zone: 'a' as ZoneName,
         spot: true,
         status: 'running' as const,
         ageS: 900,
@@ -269,17 +284,6 @@
 
   it('keeps a recovered attempt until an authoritative heartbeat proves it absent', () => {
     const state = core();
-    const entry = {
-      job: 'job-1',
-      index: 0,
-      attempt: 5,
-      team: 'blue',
-      cpus: 1,
-      gpus: 0,
-      memoryGb: 1,
-    } as never;
-    const at = { type: 'c8', zone: 'a', spot: false } as never;
-    state.config.teams.get('blue' as never);
     applyCommands(
       state,
       [{ kind: 'job', spec: job('job-1'), submittedAt: 0 as Instant }],
@@ -293,8 +297,8 @@
           kind: 'recovered-attempts',
           segment: SEGMENT,
           machine: 'n-1' as MachineId,
-          attributes: at,
-          entries: [entry],
+          attributes: recordedAttributes,
+          entries: [ledgerEntry(0, 5)],
         },
       ],
       0 as Instant,
--- a/test/one-way-partitions.test.ts
+++ b/test/one-way-partitions.test.ts
@@ -145,7 +145,7 @@
         const held = [...driver.state.machines.get(id as MachineId)!.placements.values()];
         const reported = held
           .filter((placement) => placement.phase !== 'persisting')
-          .map((placement) => running(placement.entry as never));
+          .map((placement) => running(placement.entry));
         seq += 1;
         const ticket = (seq * 100 + i) as ReplyTicket;
         effects.push(
--- a/test/peer-connections.test.ts
+++ b/test/peer-connections.test.ts
@@ -3,6 +3,7 @@
 import { encodeFrame, FrameDecoder, MAX_FRAME_BYTES } from '../src/adapters/peers/frames.js';
 import { PeerClient } from '../src/adapters/peers/peer-client.js';
 import { servePeers } from '../src/adapters/peers/peer-server.js';
+import type { NodeId } from '../src/core/model/ids.js';
 import { cleanUp, cleanups, freePort, until } from './stand-ins/cluster.js';
 
 afterEach(cleanUp);
@@ -44,7 +45,7 @@
       socket.destroy();
     }
     expect(dropped).toHaveLength(4);
-    const peer = new PeerClient('node-1' as never, { host: '127.0.0.1', port });
+    const peer = new PeerClient('node-1' as NodeId, { host: '127.0.0.1', port });
     cleanups.push(() => peer.close());
     expect(await peer.ask({ ask: 'health' }, 5000)).toBe('fine');
   });
--- a/test/support/core-driver.ts
+++ b/test/support/core-driver.ts
@@ -135,10 +135,12 @@
   }
 }
 
-/** The status of the attempt that a command is about, while it runs. */
-export const running = (command: WorkerCommand) =>
-  task(command.job, command.index, command.attempt);
+/** What commands and ledger entries name: a task and one try at it. */
+type AttemptRef = Pick<WorkerCommand, 'job' | 'index' | 'attempt'>;
 
-/** Its status once it has ended. */
-export const ended = (command: WorkerCommand, cause: TaskStatus['cause']) =>
-  task(command.job, command.index, command.attempt, 'ended', cause);
+/** The status of an attempt that runs. */
+export const running = ({ job, index, attempt }: AttemptRef) => task(job, index, attempt);
+
+/** The status of an attempt that has ended. */
+export const ended = ({ job, index, attempt }: AttemptRef, cause: TaskStatus['cause']) =>
+  task(job, index, attempt, 'ended', cause);
