--- a/packages/drain/test/loopback.test.ts
+++ b/packages/drain/test/loopback.test.ts
@@ -169,12 +169,18 @@
     const { processes, state } = await startFleet(4);
     const at = processes[0]!.api;
     const run = (...args: string[]) => runCommand(directory, ['drain', ...args]);
+    // `list` is served as soon as there is a leader, `start` only once its machines have reported.
+    const runOnceServed = (...args: string[]) =>
+      until(async () => {
+        const result = await run(...args);
+        return result.code === TRY_LATER ? null : result;
+      });
     await until(async () => (await run('list', '--at', at)).code === 0);
     expect(await run('status', 'none', '--at', at)).toMatchObject({
       code: 1,
       error: 'robinspread: 404 no such drain\n',
     });
-    expect(await run('start', 'x', '--type', 'c9', '--at', at)).toMatchObject({
+    expect(await runOnceServed('start', 'x', '--type', 'c9', '--at', at)).toMatchObject({
       code: 2,
       error: 'robinspread: 422 field select.type: unknown machine type c9\n',
     });
