--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -254,6 +254,14 @@
     const { nodes, cloud, state, start } = await startCluster(1);
     await until(() => state.keys.has('c/types'));
     nodes[0]!.stop();
+    // A request that the stopped controller sent before may only now reach the cloud, and is then
+    // closed; it must not be counted below. Two readings: one may precede a connection's acceptance.
+    let readingsWithoutConnection = 0;
+    await until(async () => {
+      const isIdle = (await cloud.countConnections()) === 0;
+      readingsWithoutConnection = isIdle ? readingsWithoutConnection + 1 : 0;
+      return readingsWithoutConnection > 1;
+    });
     cloud.isSilent = true;
     const again = start(0);
     await until(async () => (await post(again.at, '/up', undefined, 'GET'))?.status === 200);
--- a/test/stand-ins/cloud.ts
+++ b/test/stand-ins/cloud.ts
@@ -89,6 +89,13 @@
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
+  /** How many connections are open. */
+  countConnections(): Promise<number> {
+    return new Promise((resolve, reject) => {
+      this.server.getConnections((error, count) => (error ? reject(error) : resolve(count)));
+    });
+  }
+
   /** Ends the server and all workers. */
   close(): void {
     for (const w of this.workers.values()) w.stop();
