--- a/src/core/fleet/loss-detection.ts
+++ b/src/core/fleet/loss-detection.ts
@@ -8,7 +8,7 @@
 import { workerLeaseExpiresAt } from '../lifecycle/worker-leases.js';
 import type { Machine } from '../model/entities.js';
 import type { Instant } from '../model/time.js';
-import { isReplica } from '../scheduling/services.js';
+import { isLiveReplica } from '../scheduling/services.js';
 
 /** Silent machines that are never taken for a mass outage, however small the fleet. */
 const MASS_SILENCE_MIN_MACHINES = 2;
@@ -73,7 +73,9 @@
  * deletion. Not where this leader is suspect: there the replicas most likely run.
  */
 const silenceLimitMs = (machine: Machine, limits: SilenceLimits): number =>
-  !limits.isLeaderSuspect && machine.hasReported && [...machine.placements.values()].some(isReplica)
+  !limits.isLeaderSuspect &&
+  machine.hasReported &&
+  [...machine.placements.values()].some(isLiveReplica)
     ? limits.replicaMs
     : limits.usualMs;
 
--- a/src/core/fleet/scale-out.ts
+++ b/src/core/fleet/scale-out.ts
@@ -17,7 +17,7 @@
 } from '../scheduling/capacity.js';
 import { NO_MACHINE_REASON } from '../scheduling/placement.js';
 import { computeReservedOnDemandCpus } from '../scheduling/service-reservation.js';
-import { isReplica } from '../scheduling/services.js';
+import { isLiveReplica } from '../scheduling/services.js';
 import {
   addOnDemandSupply,
   countRequestedMachines,
@@ -136,7 +136,7 @@
 const fitsBesideReplicas = ({ spec }: Job, machine: Machine, type: MachineType): boolean => {
   let { cpus, gpus, memoryGb } = type;
   for (const placement of machine.placements.values()) {
-    if (!isReplica(placement)) continue;
+    if (!isLiveReplica(placement)) continue;
     cpus -= placement.entry.cpus;
     gpus -= placement.entry.gpus;
     memoryGb -= placement.entry.memoryGb;
--- a/src/core/lifecycle/heartbeat-replies.ts
+++ b/src/core/lifecycle/heartbeat-replies.ts
@@ -7,7 +7,7 @@
 import type { AttemptId, ReplyTicket } from '../model/ids.js';
 import type { Instant } from '../model/time.js';
 import type { WorkerCommand } from '../model/worker-command.js';
-import { isReplica } from '../scheduling/services.js';
+import { isLiveReplica } from '../scheduling/services.js';
 import { commandsFor, killCommandsOfEndedJobs } from './worker-commands.js';
 
 /** A reply waits at most this long for the ledger entries of its starts. */
@@ -28,7 +28,7 @@
 
 /** A replica that runs and is to go on: its machine has as little to report as an idle one. */
 const isSteadyReplica = (placement: Placement): boolean =>
-  isReplica(placement) && placement.phase === 'running' && !placement.stopRequest;
+  isLiveReplica(placement) && placement.phase === 'running' && !placement.stopRequest;
 
 /** Whether no task on the machine is expected to end, so that its next heartbeat can wait. */
 const isIdle = ({ placements, isReservedForServices }: Machine): boolean => {
--- a/src/core/scheduling/backfill.ts
+++ b/src/core/scheduling/backfill.ts
@@ -28,7 +28,7 @@
   type PlacementLimits,
   type PlacementResult,
   placeJob,
-  TEAM_LIMIT_REASON,
+  TEAM_QUOTA_REASON,
 } from './placement.js';
 import { preemptForHead, preemptForReplicas } from './preemption.js';
 import { isFirstTaskOverdue, rankWaitingJobs } from './ranking.js';
@@ -107,7 +107,7 @@
   const critical = ranked.filter(({ job }) => hasQueuePrecedence(job));
   for (const { job } of critical) {
     const result = placeInRound(context, job, filterUsable(capacities, smallest), NO_LIMITS);
-    job.waitingReason = result.blockedBy;
+    job.waitingReason = result.waitingReason;
     const missing = countMissingTasks(state, job);
     if (missing > 0 && !failsEverywhere(job)) preemptForReplicas(job, missing, capacities, now);
   }
@@ -144,7 +144,7 @@
   const { state, now, queueHead, capacities } = context;
   if (!queueHead) return;
   const result = placeInRound(context, queueHead, context.usable, NO_LIMITS);
-  queueHead.waitingReason = result.blockedBy;
+  queueHead.waitingReason = result.waitingReason;
   const missing = countMissingTasks(state, queueHead);
   if (missing <= 0) return;
   if (mayPreempt(state, queueHead, now)) preemptForHead(queueHead, missing, capacities, now);
@@ -156,7 +156,7 @@
   !spec.singleZone && !spec.spreadZones && failedMachines.size === 0;
 
 const explainUnplaced = (state: CoreState, job: Job): string =>
-  countTasksWithinQuota(state, job) < 1 ? TEAM_LIMIT_REASON : NO_MACHINE_REASON;
+  countTasksWithinQuota(state, job) < 1 ? TEAM_QUOTA_REASON : NO_MACHINE_REASON;
 
 /** Places the other jobs by rank, around the head's reservation. */
 const backfillOthers = (context: RoundContext): void => {
@@ -171,9 +171,9 @@
       job.waitingReason = explainUnplaced(state, job);
       continue;
     }
-    const { placed, blockedBy } = placeInRound(context, job, context.usable, limits);
-    job.waitingReason = blockedBy;
-    if (isPlain && blockedBy === NO_MACHINE_REASON) unplaceable.add(job.requirementsKey);
+    const { placed, waitingReason } = placeInRound(context, job, context.usable, limits);
+    job.waitingReason = waitingReason;
+    if (isPlain && waitingReason === NO_MACHINE_REASON) unplaceable.add(job.requirementsKey);
     if (placed.length > 0) context.usable = filterUsable(context.usable, smallest);
   }
 };
--- a/src/core/scheduling/capacity.ts
+++ b/src/core/scheduling/capacity.ts
@@ -39,7 +39,7 @@
 export const EPSILON = 1e-6;
 
 /** Orders machines by power, the most powerful first. */
-export const compareByPower = (a: FreeCapacity, b: FreeCapacity): number =>
+export const compareByMachineSize = (a: FreeCapacity, b: FreeCapacity): number =>
   b.type.gpus - a.type.gpus || b.type.cpus - a.type.cpus || b.type.memoryGb - a.type.memoryGb;
 
 /** The free capacity of the machines that take work, the most powerful first. */
@@ -55,7 +55,9 @@
     const slots = state.config.maxAttemptsPerMachine - machine.placements.size;
     capacities.push({ machine, type, slots, cpus, gpus, memoryGb, ...shadow });
   }
-  return capacities.sort((a, b) => compareByPower(a, b) || (a.machine.id < b.machine.id ? -1 : 1));
+  return capacities.sort(
+    (a, b) => compareByMachineSize(a, b) || (a.machine.id < b.machine.id ? -1 : 1),
+  );
 };
 
 /**
@@ -98,7 +100,7 @@
   capacity.shadowMemoryGb + EPSILON >= job.spec.memoryGb;
 
 /** Takes a task of the job from what is free on the machine now. */
-export const takeFreeCapacity = (job: Job, capacity: FreeCapacity): void => {
+export const allocateFreeCapacity = (job: Job, capacity: FreeCapacity): void => {
   capacity.slots -= 1;
   capacity.cpus -= job.spec.cpus;
   capacity.gpus -= job.spec.gpus;
--- a/src/core/scheduling/placement.ts
+++ b/src/core/scheduling/placement.ts
@@ -11,7 +11,8 @@
 import type { LedgerEntry } from '../model/ledger-record.js';
 import type { Instant } from '../model/time.js';
 import {
-  compareByPower,
+  allocateFreeCapacity,
+  compareByMachineSize,
   countTasksWithinQuota,
   EPSILON,
   estimateImageFetchMs,
@@ -22,13 +23,12 @@
   reserveShadowCapacity,
   type SchedulingContext,
   satisfiesZoneConstraints,
-  takeFreeCapacity,
 } from './capacity.js';
 import { estimateRunMs } from './estimates.js';
 import { spreadReplicas } from './replica-spreading.js';
 
 /** Why a job waits, as users read it: its team's quota allows no more tasks. */
-export const TEAM_LIMIT_REASON = 'team limit';
+export const TEAM_QUOTA_REASON = 'team limit';
 /** Why a job waits, as users read it: no feasible machine has the capacity. */
 export const NO_MACHINE_REASON = 'no machine with room';
 
@@ -45,7 +45,7 @@
 /** What was placed of a job, and what the rest waits for: '' where nothing waits. */
 export interface PlacementResult {
   readonly placed: Placement[];
-  readonly blockedBy: string;
+  readonly waitingReason: string;
 }
 
 /**
@@ -63,7 +63,7 @@
   while (strongest) {
     const withoutImage: FreeCapacity[] = [];
     let capacity: FreeCapacity | undefined = strongest;
-    while (capacity && compareByPower(strongest, capacity) === 0) {
+    while (capacity && compareByMachineSize(strongest, capacity) === 0) {
       if (fitsFreeCapacity(job, capacity) && isFeasible(job, capacity.machine)) {
         if (capacity.machine.images.has(job.spec.image)) yield capacity;
         else withoutImage.push(capacity);
@@ -190,7 +190,7 @@
   addPlacement(state, placement);
   state.awaitingLedgerEntry.add(placement);
   capacity.machine.images.add(job.spec.image);
-  takeFreeCapacity(job, capacity);
+  allocateFreeCapacity(job, capacity);
   return placement;
 };
 
@@ -198,7 +198,7 @@
 const explainRefusal = (state: CoreState, job: Job, isSuspect: boolean): string | null => {
   // A job that fails everywhere is tried one task at a time.
   if (isSuspect && job.attemptsByTask.size > 0) return 'its tasks fail on every machine';
-  return countTasksWithinQuota(state, job) < 1 ? TEAM_LIMIT_REASON : null;
+  return countTasksWithinQuota(state, job) < 1 ? TEAM_QUOTA_REASON : null;
 };
 
 const explainNoMachine = ({ isBlockedByReservation }: MachineSearch): string =>
@@ -227,14 +227,14 @@
   };
   while (job.pendingTasks > 0 && placed.length < maxTasks) {
     const refusal = explainRefusal(state, job, isSuspect);
-    if (refusal !== null) return { placed, blockedBy: refusal };
+    if (refusal !== null) return { placed, waitingReason: refusal };
     const capacity = takeNextMachine(search);
-    if (!capacity) return { placed, blockedBy: explainNoMachine(search) };
+    if (!capacity) return { placed, waitingReason: explainNoMachine(search) };
     const outlastsShadowTime = !endsByShadowTime(search, capacity);
     const placement = placeTask(context, job, capacity);
-    if (!placement) return { placed, blockedBy: 'no attempt number left' };
+    if (!placement) return { placed, waitingReason: 'no attempt number left' };
     if (outlastsShadowTime) reserveShadowCapacity(job, capacity);
     placed.push(placement);
   }
-  return { placed, blockedBy: '' };
+  return { placed, waitingReason: '' };
 };
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -15,7 +15,7 @@
   type Resources,
   satisfiesZoneConstraints,
 } from './capacity.js';
-import { type AttemptOfJob, requestStop } from './stop-requests.js';
+import { type AttemptWithJob, requestStop } from './stop-requests.js';
 
 /** A task that has run for less is not preempted for a head: a start stopped so soon is wasted. */
 const MIN_RUN_BEFORE_PREEMPTION_MS = 31_000;
@@ -30,7 +30,7 @@
   placement: Placement,
   level: number,
   now: Instant,
-): placement is AttemptOfJob =>
+): placement is AttemptWithJob =>
   placement.job !== null &&
   placement.stopRequest === null &&
   placement.phase === 'running' &&
@@ -44,8 +44,8 @@
   machine: Machine,
   level: number,
   now: Instant,
-): AttemptOfJob[] | null => {
-  const preemptible: AttemptOfJob[] = [];
+): AttemptWithJob[] | null => {
+  const preemptible: AttemptWithJob[] = [];
   for (const placement of machine.placements.values()) {
     if (isStopping(placement)) return null;
     if (isPreemptibleForHead(placement, level, now)) preemptible.push(placement);
@@ -74,11 +74,11 @@
   head: Job,
   missingTasks: number,
   capacity: FreeCapacity,
-  preemptible: readonly AttemptOfJob[],
+  preemptible: readonly AttemptWithJob[],
 ): number => {
   const free = measureResourcesWithout(capacity, []);
   let left = missingTasks;
-  let pending: AttemptOfJob[] = [];
+  let pending: AttemptWithJob[] = [];
   for (const attempt of preemptible) {
     if (left <= 0) break;
     free.cpus += attempt.entry.cpus;
@@ -106,7 +106,7 @@
 ): void => {
   const level = PRIORITY_LEVEL[head.spec.priority];
   let left = missingTasks;
-  const options: { capacity: FreeCapacity; preemptible: AttemptOfJob[] }[] = [];
+  const options: { capacity: FreeCapacity; preemptible: AttemptWithJob[] }[] = [];
   for (const capacity of capacities) {
     const { machine } = capacity;
     if (!isFeasible(head, machine) || !satisfiesZoneConstraints(head, machine)) continue;
@@ -124,7 +124,7 @@
 };
 
 /** The run time, in milliseconds, that is lost when an attempt is stopped. */
-const estimateLostRunMs = ({ job, startedAt }: AttemptOfJob, now: Instant): number => {
+const estimateLostRunMs = ({ job, startedAt }: AttemptWithJob, now: Instant): number => {
   if (startedAt === null) return 0;
   const checkpointMs = writesCheckpoints(job)
     ? job.spec.checkpointWriteS * 1000
@@ -134,7 +134,7 @@
 
 /** Attempts of one machine in whose place a replica fits, and the run time lost with them. */
 interface PreemptionOption {
-  readonly victims: readonly AttemptOfJob[];
+  readonly victims: readonly AttemptWithJob[];
   readonly lossMs: number;
 }
 
@@ -148,7 +148,7 @@
   const level = PRIORITY_LEVEL[service.spec.priority];
   const preemptible = attempts
     .filter(
-      (placement): placement is AttemptOfJob =>
+      (placement): placement is AttemptWithJob =>
         placement.job !== null &&
         !placement.stopRequest &&
         !isService(placement.job) &&
@@ -156,7 +156,7 @@
     )
     .map((attempt) => ({ attempt, lossMs: estimateLostRunMs(attempt, now) }))
     .sort((a, b) => a.lossMs - b.lossMs);
-  const victims: AttemptOfJob[] = [];
+  const victims: AttemptWithJob[] = [];
   let lossMs = 0;
   for (const candidate of preemptible) {
     victims.push(candidate.attempt);
--- a/src/core/scheduling/replica-eviction.ts
+++ b/src/core/scheduling/replica-eviction.ts
@@ -4,33 +4,33 @@
 import { failsEverywhere } from '../lifecycle/job-tasks.js';
 import type { Instant } from '../model/time.js';
 import {
+  allocateFreeCapacity,
   type FreeCapacity,
   fitsFreeCapacity,
   isFeasible,
   reserveShadowCapacity,
   satisfiesZoneConstraints,
-  takeFreeCapacity,
 } from './capacity.js';
-import { isBeingVacated, isReplica } from './services.js';
-import { type AttemptOfJob, requestStop } from './stop-requests.js';
+import { isBeingVacated, isLiveReplica } from './services.js';
+import { type AttemptWithJob, requestStop } from './stop-requests.js';
 
 /**
  * A reclaim notice leaves no choice, and an eviction that was requested goes on; all others need
  * the extensions' consent.
  */
-const mayEvict = ({ extensions }: CoreState, replica: AttemptOfJob): boolean =>
+const mayEvict = ({ extensions }: CoreState, replica: AttemptWithJob): boolean =>
   replica.machine.reclaimAt !== null ||
   replica.stopRequest !== null ||
   !extensions ||
   extensions.mayEvictReplica(replica);
 
 /** Replicas on machines that are being vacated, of services that may be placed now. */
-export const findReplicasToEvict = (state: CoreState, now: Instant): AttemptOfJob[] => {
-  const replicas: AttemptOfJob[] = [];
+export const findReplicasToEvict = (state: CoreState, now: Instant): AttemptWithJob[] => {
+  const replicas: AttemptWithJob[] = [];
   for (const machine of state.machines.values()) {
     if (!isBeingVacated(machine)) continue;
     for (const placement of machine.placements.values()) {
-      if (!isReplica(placement)) continue;
+      if (!isLiveReplica(placement)) continue;
       if (now < placement.job.retryAt || failsEverywhere(placement.job)) continue;
       if (mayEvict(state, placement)) replicas.push(placement);
     }
@@ -44,7 +44,7 @@
  * rank.
  */
 export const evictReplicas = (
-  replicas: readonly AttemptOfJob[],
+  replicas: readonly AttemptWithJob[],
   capacities: readonly FreeCapacity[],
 ): void => {
   for (const replica of replicas) {
@@ -57,7 +57,7 @@
         (capacity.machine.zone === zone || satisfiesZoneConstraints(job, capacity.machine)),
     );
     if (!target) continue;
-    takeFreeCapacity(job, target);
+    allocateFreeCapacity(job, target);
     reserveShadowCapacity(job, target);
     requestStop(replica);
   }
--- a/src/core/scheduling/scoring.ts
+++ b/src/core/scheduling/scoring.ts
@@ -39,7 +39,7 @@
   /** Requested over present GPUs of each type: ρ(l) of the paper. */
   readonly requestRatios: ReadonlyMap<MachineTypeName, number>;
   /** How many types have enough for all requests, at least 1: d of the paper. */
-  readonly ampleTypes: number;
+  readonly ampleTypeCount: number;
 }
 
 /** What a ranking is computed from, beside the waiting jobs. */
@@ -86,7 +86,7 @@
     requestRatios.set(type, ratio);
     if (ratio <= 1) ampleTypes += 1;
   }
-  return { requestRatios, ampleTypes: Math.max(ampleTypes, 1) };
+  return { requestRatios, ampleTypeCount: Math.max(ampleTypes, 1) };
 };
 
 /**
@@ -135,7 +135,7 @@
   let sum = 0;
   for (const type of findGpuTypes(spec, types)) {
     const ratio = scarcity.requestRatios.get(type) ?? 0;
-    sum += ratio > 1 ? scarcity.ampleTypes * ratio : ratio;
+    sum += ratio > 1 ? scarcity.ampleTypeCount * ratio : ratio;
   }
   return sum;
 };
--- a/src/core/scheduling/service-reservation.ts
+++ b/src/core/scheduling/service-reservation.ts
@@ -9,7 +9,7 @@
 import { isService } from '../model/job.js';
 import { type Instant, seconds } from '../model/time.js';
 import { isFirstTaskOverdue } from './ranking.js';
-import { isBeingVacated, isReplica } from './services.js';
+import { isBeingVacated, isLiveReplica } from './services.js';
 
 /** How long after the last such service machines stay reserved for the next one. */
 const RESERVATION_MEMORY_MS = seconds(240);
@@ -72,7 +72,7 @@
 
 const rankReservation = (machine: Machine, wasReserved: boolean): number => {
   for (const placement of machine.placements.values())
-    if (isReplica(placement)) return RESERVATION_RANK.hasReplicas;
+    if (isLiveReplica(placement)) return RESERVATION_RANK.hasReplicas;
   return wasReserved ? RESERVATION_RANK.wasReserved : RESERVATION_RANK.other;
 };
 
--- a/src/core/scheduling/services.ts
+++ b/src/core/scheduling/services.ts
@@ -8,14 +8,14 @@
 import { occupiesMachine } from '../lifecycle/attempts.js';
 import type { Job, Machine, Placement } from '../model/entities.js';
 import { isService, PRIORITY_LEVEL } from '../model/job.js';
-import type { AttemptOfJob } from './stop-requests.js';
+import type { AttemptWithJob } from './stop-requests.js';
 
 /** Whether it is a critical service: its replicas are placed ahead of the queue, others in it. */
 export const hasQueuePrecedence = (job: Job): boolean =>
   isService(job) && PRIORITY_LEVEL[job.spec.priority] === PRIORITY_LEVEL.critical;
 
 /** Whether the attempt is a replica of a live service, and may be on its machine or come there. */
-export const isReplica = (placement: Placement): placement is AttemptOfJob =>
+export const isLiveReplica = (placement: Placement): placement is AttemptWithJob =>
   placement.job !== null &&
   isService(placement.job) &&
   placement.job.terminalState === 'none' &&
