--- a/src/core/scheduling/backfill.ts
+++ b/src/core/scheduling/backfill.ts
@@ -80,7 +80,7 @@
 };
 
 /** How many waiting tasks of the job its team's quota would allow. */
-const countMissingTasks = (state: CoreState, job: Job): number =>
+const countUnplacedWithinQuota = (state: CoreState, job: Job): number =>
   Math.min(job.pendingTasks, countTasksWithinQuota(state, job));
 
 /**
@@ -88,13 +88,15 @@
  * reserve. Nor a service: no estimate tells when it could start in full, so that it could hold the
  * head for ever.
  */
-const mayHeadQueue = (job: Job): boolean =>
+const mayBeQueueHead = (job: Job): boolean =>
   job.failedMachines.size < FAILED_MACHINES_LIMIT && !isService(job);
 
 /** The former head while it waits, otherwise the job of the highest rank that may be head. */
 const chooseQueueHead = (state: CoreState, ranked: readonly RankedJob<Job>[]): Job | null => {
-  const former = ranked.find(({ job }) => job.spec.id === state.queueHead && mayHeadQueue(job));
-  const head = former ?? ranked.find(({ job }) => mayHeadQueue(job));
+  const previousHead = ranked.find(
+    ({ job }) => job.spec.id === state.queueHead && mayBeQueueHead(job),
+  );
+  const head = previousHead ?? ranked.find(({ job }) => mayBeQueueHead(job));
   return head?.job ?? null;
 };
 
@@ -104,12 +106,12 @@
  */
 const placeCriticalReplicas = (context: RoundContext): void => {
   const { state, now, ranked, capacities, smallest } = context;
-  const critical = ranked.filter(({ job }) => hasQueuePrecedence(job));
-  for (const { job } of critical) {
+  const criticalServices = ranked.filter(({ job }) => hasQueuePrecedence(job));
+  for (const { job } of criticalServices) {
     const result = placeInRound(context, job, filterUsable(capacities, smallest), NO_LIMITS);
     job.waitingReason = result.waitingReason;
-    const missing = countMissingTasks(state, job);
-    if (missing > 0 && !failsEverywhere(job)) preemptForReplicas(job, missing, capacities, now);
+    const unplaced = countUnplacedWithinQuota(state, job);
+    if (unplaced > 0 && !failsEverywhere(job)) preemptForReplicas(job, unplaced, capacities, now);
   }
   // No array is to start beside replicas just placed: its image would be fetched at the same time.
   if (context.placed.length > 0) reserveMachinesForServices(state, now);
@@ -145,14 +147,14 @@
   if (!queueHead) return;
   const result = placeInRound(context, queueHead, context.usable, NO_LIMITS);
   queueHead.waitingReason = result.waitingReason;
-  const missing = countMissingTasks(state, queueHead);
-  if (missing <= 0) return;
-  if (mayPreempt(state, queueHead, now)) preemptForHead(queueHead, missing, capacities, now);
-  state.shadowTime = reserveForHead(queueHead, missing, capacities, now);
+  const unplaced = countUnplacedWithinQuota(state, queueHead);
+  if (unplaced <= 0) return;
+  if (mayPreempt(state, queueHead, now)) preemptForHead(queueHead, unplaced, capacities, now);
+  state.shadowTime = reserveForHead(queueHead, unplaced, capacities, now);
 };
 
 /** Whether nothing but its requirements tells the job from others with the same ones. */
-const hasPlainRequirements = ({ spec, failedMachines }: Job): boolean =>
+const isComparableByRequirements = ({ spec, failedMachines }: Job): boolean =>
   !spec.singleZone && !spec.spreadZones && failedMachines.size === 0;
 
 const explainUnplaced = (state: CoreState, job: Job): string =>
@@ -163,17 +165,21 @@
   const { state, ranked, queueHead, smallest } = context;
   const limits = { ...NO_LIMITS, shadowTime: state.shadowTime };
   // Free capacity only shrinks within a round, so that equal requirements find no machine either.
-  const unplaceable = new Set<string>();
+  const unplaceableRequirements = new Set<string>();
   for (const { job } of ranked) {
     if (job === queueHead || hasQueuePrecedence(job)) continue;
-    const isPlain = hasPlainRequirements(job);
-    if (context.usable.length === 0 || (isPlain && unplaceable.has(job.requirementsKey))) {
+    const isComparable = isComparableByRequirements(job);
+    if (
+      context.usable.length === 0 ||
+      (isComparable && unplaceableRequirements.has(job.requirementsKey))
+    ) {
       job.waitingReason = explainUnplaced(state, job);
       continue;
     }
     const { placed, waitingReason } = placeInRound(context, job, context.usable, limits);
     job.waitingReason = waitingReason;
-    if (isPlain && waitingReason === NO_MACHINE_REASON) unplaceable.add(job.requirementsKey);
+    if (isComparable && waitingReason === NO_MACHINE_REASON)
+      unplaceableRequirements.add(job.requirementsKey);
     if (placed.length > 0) context.usable = filterUsable(context.usable, smallest);
   }
 };
@@ -198,10 +204,10 @@
 /** Runs one round: places waiting tasks, names the queue head and sets the shadow time. */
 export const runSchedulingRound = (state: CoreState, now: Instant): SchedulingRound => {
   const ranked = rankWaitingJobs(state, now);
-  const leaving = findReplicasToEvict(state, now);
+  const replicasToEvict = findReplicasToEvict(state, now);
   const placed: Placement[] = [];
   state.shadowTime = null;
-  if (ranked.length === 0 && leaving.length === 0) {
+  if (ranked.length === 0 && replicasToEvict.length === 0) {
     state.queueHead = null;
     return { placed, ranked };
   }
@@ -221,7 +227,7 @@
     placed,
   };
   placeCriticalReplicas(context);
-  evictReplicas(leaving, capacities);
+  evictReplicas(replicasToEvict, capacities);
   context.usable = filterUsable(capacities, smallest);
   const { firstTaskAfterS } = state.config.policy;
   // Where heads take up all that comes free, a first task that is late enough goes before the head.
--- a/src/core/scheduling/capacity.ts
+++ b/src/core/scheduling/capacity.ts
@@ -94,7 +94,7 @@
   capacity.slots > 0 && fitsResources(job, capacity);
 
 /** Whether a task of the job fits beside the queue head's reservation. */
-export const fitsBesideReservation = (job: Job, capacity: FreeCapacity): boolean =>
+export const fitsShadowCapacity = (job: Job, capacity: FreeCapacity): boolean =>
   capacity.shadowCpus + EPSILON >= job.spec.cpus &&
   capacity.shadowGpus + EPSILON >= job.spec.gpus &&
   capacity.shadowMemoryGb + EPSILON >= job.spec.memoryGb;
@@ -181,13 +181,13 @@
 }
 
 /** What a machine has free once these attempts have left it. */
-export const measureResourcesWithout = (
+export const measureFreeResourcesWithout = (
   capacity: FreeCapacity,
-  leaving: readonly Placement[],
+  excluded: readonly Placement[],
 ): Resources => {
   const { cpus, gpus, memoryGb } = capacity;
   const free = { cpus, gpus, memoryGb };
-  for (const { entry } of leaving) {
+  for (const { entry } of excluded) {
     free.cpus += entry.cpus;
     free.gpus += entry.gpus;
     free.memoryGb += entry.memoryGb;
--- a/src/core/scheduling/placement.ts
+++ b/src/core/scheduling/placement.ts
@@ -17,8 +17,8 @@
   EPSILON,
   estimateImageFetchMs,
   type FreeCapacity,
-  fitsBesideReservation,
   fitsFreeCapacity,
+  fitsShadowCapacity,
   isFeasible,
   reserveShadowCapacity,
   type SchedulingContext,
@@ -59,11 +59,11 @@
   capacities: readonly FreeCapacity[],
 ): Generator<FreeCapacity, undefined> {
   let index = 0;
-  let strongest = capacities[index];
-  while (strongest) {
+  let largest = capacities[index];
+  while (largest) {
     const withoutImage: FreeCapacity[] = [];
-    let capacity: FreeCapacity | undefined = strongest;
-    while (capacity && compareByMachineSize(strongest, capacity) === 0) {
+    let capacity: FreeCapacity | undefined = largest;
+    while (capacity && compareByMachineSize(largest, capacity) === 0) {
       if (fitsFreeCapacity(job, capacity) && isFeasible(job, capacity.machine)) {
         if (capacity.machine.images.has(job.spec.image)) yield capacity;
         else withoutImage.push(capacity);
@@ -72,7 +72,7 @@
       capacity = capacities[index];
     }
     yield* withoutImage;
-    strongest = capacity;
+    largest = capacity;
   }
 }
 
@@ -117,7 +117,7 @@
   readonly zone: ZoneName | null;
   readonly candidates: Generator<FreeCapacity, undefined>;
   /** The machine that got the last task: an array fills it before it takes the next. */
-  current: FreeCapacity | undefined;
+  currentMachine: FreeCapacity | undefined;
   /** A machine had the capacity, but it is reserved for the head. */
   isBlockedByReservation: boolean;
 }
@@ -134,26 +134,26 @@
 };
 
 /** Whether a task fits there now, within the zone rules and without delaying the head. */
-const isUsable = (search: MachineSearch, capacity: FreeCapacity): boolean => {
+const canPlaceNextTask = (search: MachineSearch, capacity: FreeCapacity): boolean => {
   const { job, zone, shadowTime } = search;
   if (!fitsFreeCapacity(job, capacity)) return false;
   if (!satisfiesZoneConstraints(job, capacity.machine)) return false;
   if (zone !== null && capacity.machine.zone !== zone) return false;
-  if (shadowTime === null || fitsBesideReservation(job, capacity)) return true;
+  if (shadowTime === null || fitsShadowCapacity(job, capacity)) return true;
   if (endsByShadowTime(search, capacity)) return true;
   search.isBlockedByReservation = true;
   return false;
 };
 
 /** The machine for the next task, or undefined where none is left. */
-const takeNextMachine = (search: MachineSearch): FreeCapacity | undefined => {
+const selectNextMachine = (search: MachineSearch): FreeCapacity | undefined => {
   // A service's replicas go to one machine after the other, an array's tasks fill each.
-  let capacity = isService(search.job) ? undefined : search.current;
-  while (!capacity || !isUsable(search, capacity)) {
+  let capacity = isService(search.job) ? undefined : search.currentMachine;
+  while (!capacity || !canPlaceNextTask(search, capacity)) {
     capacity = search.candidates.next().value;
     if (!capacity) return undefined;
   }
-  search.current = capacity;
+  search.currentMachine = capacity;
   return capacity;
 };
 
@@ -195,9 +195,13 @@
 };
 
 /** Why no further task may start, whatever machines have free; null where one may. */
-const explainRefusal = (state: CoreState, job: Job, isSuspect: boolean): string | null => {
+const explainRefusal = (
+  state: CoreState,
+  job: Job,
+  isFailingEverywhere: boolean,
+): string | null => {
   // A job that fails everywhere is tried one task at a time.
-  if (isSuspect && job.attemptsByTask.size > 0) return 'its tasks fail on every machine';
+  if (isFailingEverywhere && job.attemptsByTask.size > 0) return 'its tasks fail on every machine';
   return countTasksWithinQuota(state, job) < 1 ? TEAM_QUOTA_REASON : null;
 };
 
@@ -213,7 +217,7 @@
 ): PlacementResult => {
   const { state, now } = context;
   const placed: Placement[] = [];
-  const isSuspect = failsEverywhere(job);
+  const isFailingEverywhere = failsEverywhere(job);
   const search: MachineSearch = {
     job,
     now,
@@ -222,13 +226,13 @@
     candidates: isService(job)
       ? listReplicaCandidates(context, job, capacities)
       : listArrayCandidates(job, capacities),
-    current: undefined,
+    currentMachine: undefined,
     isBlockedByReservation: false,
   };
   while (job.pendingTasks > 0 && placed.length < maxTasks) {
-    const refusal = explainRefusal(state, job, isSuspect);
+    const refusal = explainRefusal(state, job, isFailingEverywhere);
     if (refusal !== null) return { placed, waitingReason: refusal };
-    const capacity = takeNextMachine(search);
+    const capacity = selectNextMachine(search);
     if (!capacity) return { placed, waitingReason: explainNoMachine(search) };
     const outlastsShadowTime = !endsByShadowTime(search, capacity);
     const placement = placeTask(context, job, capacity);
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -11,7 +11,7 @@
   type FreeCapacity,
   fitsResources,
   isFeasible,
-  measureResourcesWithout,
+  measureFreeResourcesWithout,
   type Resources,
   satisfiesZoneConstraints,
 } from './capacity.js';
@@ -28,7 +28,7 @@
 /** Of lower priority, and it loses no more than the time of a checkpoint write. */
 const isPreemptibleForHead = (
   placement: Placement,
-  level: number,
+  headLevel: number,
   now: Instant,
 ): placement is AttemptWithJob =>
   placement.job !== null &&
@@ -36,25 +36,25 @@
   placement.phase === 'running' &&
   placement.startedAt !== null &&
   now - placement.startedAt >= MIN_RUN_BEFORE_PREEMPTION_MS &&
-  PRIORITY_LEVEL[placement.job.spec.priority] < level &&
+  PRIORITY_LEVEL[placement.job.spec.priority] < headLevel &&
   writesCheckpoints(placement.job);
 
 /** The attempts that the head may preempt there; null where attempts are being stopped already. */
 const findPreemptibleForHead = (
   machine: Machine,
-  level: number,
+  headLevel: number,
   now: Instant,
 ): AttemptWithJob[] | null => {
   const preemptible: AttemptWithJob[] = [];
   for (const placement of machine.placements.values()) {
     if (isStopping(placement)) return null;
-    if (isPreemptibleForHead(placement, level, now)) preemptible.push(placement);
+    if (isPreemptibleForHead(placement, headLevel, now)) preemptible.push(placement);
   }
   return preemptible;
 };
 
 /** Takes as many tasks of the job from the resources as fit, up to the limit; returns how many. */
-const takeTasksThatFit = (job: Job, free: Resources, limit: number): number => {
+const allocateFittingTasks = (job: Job, free: Resources, limit: number): number => {
   const { cpus, gpus, memoryGb } = job.spec;
   let tasks = 0;
   while (tasks < limit && fitsResources(job, free)) {
@@ -72,25 +72,25 @@
  */
 const preemptOnMachine = (
   head: Job,
-  missingTasks: number,
+  unplacedTasks: number,
   capacity: FreeCapacity,
   preemptible: readonly AttemptWithJob[],
 ): number => {
-  const free = measureResourcesWithout(capacity, []);
-  let left = missingTasks;
-  let pending: AttemptWithJob[] = [];
+  const free = measureFreeResourcesWithout(capacity, []);
+  let remaining = unplacedTasks;
+  let candidates: AttemptWithJob[] = [];
   for (const attempt of preemptible) {
-    if (left <= 0) break;
+    if (remaining <= 0) break;
     free.cpus += attempt.entry.cpus;
     free.gpus += attempt.entry.gpus;
     free.memoryGb += attempt.entry.memoryGb;
-    pending.push(attempt);
+    candidates.push(attempt);
     if (!fitsResources(head, free)) continue;
-    for (const victim of pending) requestStop(victim);
-    pending = [];
-    left -= takeTasksThatFit(head, free, left);
+    for (const victim of candidates) requestStop(victim);
+    candidates = [];
+    remaining -= allocateFittingTasks(head, free, remaining);
   }
-  return missingTasks - left;
+  return unplacedTasks - remaining;
 };
 
 /**
@@ -100,26 +100,30 @@
  */
 export const preemptForHead = (
   head: Job,
-  missingTasks: number,
+  unplacedTasks: number,
   capacities: readonly FreeCapacity[],
   now: Instant,
 ): void => {
-  const level = PRIORITY_LEVEL[head.spec.priority];
-  let left = missingTasks;
+  const headLevel = PRIORITY_LEVEL[head.spec.priority];
+  let remaining = unplacedTasks;
   const options: { capacity: FreeCapacity; preemptible: AttemptWithJob[] }[] = [];
   for (const capacity of capacities) {
     const { machine } = capacity;
     if (!isFeasible(head, machine) || !satisfiesZoneConstraints(head, machine)) continue;
-    const preemptible = findPreemptibleForHead(machine, level, now);
+    const preemptible = findPreemptibleForHead(machine, headLevel, now);
     if (preemptible === null) {
       // Capacity that is being freed already counts first, or each round would stop more.
       const stopping = [...machine.placements.values()].filter(isStopping);
-      left -= takeTasksThatFit(head, measureResourcesWithout(capacity, stopping), left);
+      remaining -= allocateFittingTasks(
+        head,
+        measureFreeResourcesWithout(capacity, stopping),
+        remaining,
+      );
     } else if (preemptible.length > 0) options.push({ capacity, preemptible });
   }
   for (const { capacity, preemptible } of options) {
-    if (left <= 0) return;
-    left -= preemptOnMachine(head, left, capacity, preemptible);
+    if (remaining <= 0) return;
+    remaining -= preemptOnMachine(head, remaining, capacity, preemptible);
   }
 };
 
@@ -145,14 +149,14 @@
   attempts: readonly Placement[],
   now: Instant,
 ): PreemptionOption | null => {
-  const level = PRIORITY_LEVEL[service.spec.priority];
+  const serviceLevel = PRIORITY_LEVEL[service.spec.priority];
   const preemptible = attempts
     .filter(
       (placement): placement is AttemptWithJob =>
         placement.job !== null &&
         !placement.stopRequest &&
         !isService(placement.job) &&
-        PRIORITY_LEVEL[placement.job.spec.priority] < level,
+        PRIORITY_LEVEL[placement.job.spec.priority] < serviceLevel,
     )
     .map((attempt) => ({ attempt, lossMs: estimateLostRunMs(attempt, now) }))
     .sort((a, b) => a.lossMs - b.lossMs);
@@ -161,7 +165,7 @@
   for (const candidate of preemptible) {
     victims.push(candidate.attempt);
     lossMs += candidate.lossMs;
-    if (fitsResources(service, measureResourcesWithout(capacity, victims)))
+    if (fitsResources(service, measureFreeResourcesWithout(capacity, victims)))
       return { victims, lossMs };
   }
   return null;
@@ -173,11 +177,11 @@
  */
 export const preemptForReplicas = (
   service: Job,
-  missingReplicas: number,
+  unplacedReplicas: number,
   capacities: readonly FreeCapacity[],
   now: Instant,
 ): void => {
-  let left = missingReplicas;
+  let remaining = unplacedReplicas;
   const options: PreemptionOption[] = [];
   for (const capacity of capacities) {
     const { machine } = capacity;
@@ -189,9 +193,9 @@
     // Capacity that is being freed already counts first, or each round would stop more.
     if (
       stopping.length > 0 &&
-      fitsResources(service, measureResourcesWithout(capacity, stopping))
+      fitsResources(service, measureFreeResourcesWithout(capacity, stopping))
     ) {
-      left -= 1;
+      remaining -= 1;
       continue;
     }
     const option = findCheapestOption(service, capacity, attempts, now);
@@ -199,8 +203,8 @@
   }
   options.sort((a, b) => a.lossMs - b.lossMs);
   for (const { victims } of options) {
-    if (left <= 0) return;
-    left -= 1;
+    if (remaining <= 0) return;
+    remaining -= 1;
     for (const victim of victims) requestStop(victim);
   }
 };
--- a/src/core/scheduling/replica-spreading.ts
+++ b/src/core/scheduling/replica-spreading.ts
@@ -30,7 +30,7 @@
     : Math.max(0, machine.lastHeartbeatAt + state.config.heartbeatIntervalMs - now);
 
 /** What the machine fetches before a replica runs: images under way share its fetch rate. */
-const countGbToFetch = (job: Job, machine: Machine): number => {
+const estimateGbToFetch = (job: Job, machine: Machine): number => {
   const present = new Set<ImageName>();
   const fetching = new Map<ImageName, number>();
   for (const placement of machine.placements.values()) {
@@ -54,7 +54,8 @@
   job: Job,
   { machine, type }: FreeCapacity,
 ): number =>
-  estimateReplyDelayMs(state, machine, now) + estimateFetchMs(countGbToFetch(job, machine), type);
+  estimateReplyDelayMs(state, machine, now) +
+  estimateFetchMs(estimateGbToFetch(job, machine), type);
 
 const countReplicasByMachine = (job: Job): Map<Machine, number> => {
   const replicas = new Map<Machine, number>();
@@ -65,13 +66,13 @@
 };
 
 /** One machine after the other, until each has this many replicas. */
-function* takeTurns(
+function* roundRobin(
   candidates: readonly SpreadCandidate[],
   maxReplicas: number,
 ): Generator<FreeCapacity> {
-  for (let most = 1; most <= maxReplicas; most += 1) {
+  for (let limit = 1; limit <= maxReplicas; limit += 1) {
     for (const candidate of candidates) {
-      if (candidate.replicas >= most) continue;
+      if (candidate.replicas >= limit) continue;
       candidate.replicas += 1;
       yield candidate.capacity;
     }
@@ -98,9 +99,9 @@
       replicas: replicasByMachine.get(capacity.machine) ?? 0,
     };
     const step = Math.floor(startDelayMs / START_DELAY_STEP_MS);
-    const equallySoon = byDelayStep.get(step);
+    const sameStep = byDelayStep.get(step);
     if (job.failedMachines.has(capacity.machine.id)) failed.push(candidate);
-    else if (equallySoon) equallySoon.push(candidate);
+    else if (sameStep) sameStep.push(candidate);
     else byDelayStep.set(step, [candidate]);
   }
   const steps = [...byDelayStep].sort(([a], [b]) => a - b).map(([, candidates]) => candidates);
@@ -108,7 +109,7 @@
     candidates.sort((a, b) => a.startDelayS - b.startDelayS || a.replicas - b.replicas);
   const { tasks } = job.spec;
   for (const maxReplicas of [Math.ceil(tasks * MAX_SHARE_PER_MACHINE), tasks]) {
-    for (const candidates of steps) yield* takeTurns(candidates, maxReplicas);
+    for (const candidates of steps) yield* roundRobin(candidates, maxReplicas);
   }
-  yield* takeTurns(failed, tasks);
+  yield* roundRobin(failed, tasks);
 }
--- a/src/core/scheduling/reservation.ts
+++ b/src/core/scheduling/reservation.ts
@@ -5,7 +5,7 @@
 import type { Instant } from '../model/time.js';
 import {
   type FreeCapacity,
-  fitsBesideReservation,
+  fitsShadowCapacity,
   isFeasible,
   reserveShadowCapacity,
   satisfiesZoneConstraints,
@@ -64,7 +64,7 @@
  */
 export const reserveForHead = (
   head: Job,
-  missingTasks: number,
+  unplacedTasks: number,
   capacities: readonly FreeCapacity[],
   now: Instant,
 ): Instant | null => {
@@ -75,17 +75,17 @@
     ),
   );
   const endsBySecond = collectExpectedEnds(capacities, now);
-  let left = missingTasks;
+  let remaining = unplacedTasks;
   let shadowTime: Instant | null = null;
   for (const second of [...endsBySecond.keys()].sort((a, b) => a - b)) {
     const ends = endsBySecond.get(second) ?? [];
     for (const end of ends.sort(compareEnds)) {
-      if (left <= 0) return shadowTime;
+      if (remaining <= 0) return shadowTime;
       releaseShadowCapacity(end);
       if (!feasible.has(end.capacity)) continue;
-      while (left > 0 && fitsBesideReservation(head, end.capacity)) {
+      while (remaining > 0 && fitsShadowCapacity(head, end.capacity)) {
         reserveShadowCapacity(head, end.capacity);
-        left -= 1;
+        remaining -= 1;
         shadowTime = end.endsAt as Instant;
       }
     }
--- a/src/core/scheduling/service-reservation.ts
+++ b/src/core/scheduling/service-reservation.ts
@@ -12,14 +12,14 @@
 import { isBeingVacated, isLiveReplica } from './services.js';
 
 /** How long after the last such service machines stay reserved for the next one. */
-const RESERVATION_MEMORY_MS = seconds(240);
+const RESERVATION_RETENTION_MS = seconds(240);
 /** Reserved over what the present services take, so that their replicas can move. */
-const PRESENT_SERVICES_FACTOR = 1.5;
+const LIVE_SERVICES_FACTOR = 1.5;
 /** How many services as large as the largest of late find capacity at once. */
 const LARGEST_SERVICE_FACTOR = 2;
 
 /** Whether it is a live service that may use on-demand machines only. */
-const needsOnDemand = (job: Job): boolean =>
+const isLiveOnDemandService = (job: Job): boolean =>
   isService(job) && !job.spec.allowsSpot && job.terminalState === 'none';
 
 /**
@@ -30,18 +30,18 @@
 export const computeReservedOnDemandCpus = (state: CoreState, now: Instant): number => {
   let cpus = 0;
   for (const job of state.jobs.values()) {
-    if (!needsOnDemand(job)) continue;
-    const size = job.spec.tasks * job.spec.cpus;
-    cpus += size;
+    if (!isLiveOnDemandService(job)) continue;
+    const serviceCpus = job.spec.tasks * job.spec.cpus;
+    cpus += serviceCpus;
     state.lastOnDemandServiceAt = now;
-    state.largestServiceCpus = Math.max(state.largestServiceCpus, size);
+    state.largestServiceCpus = Math.max(state.largestServiceCpus, serviceCpus);
   }
   const { lastOnDemandServiceAt } = state;
-  if (lastOnDemandServiceAt === null || now - lastOnDemandServiceAt > RESERVATION_MEMORY_MS) {
+  if (lastOnDemandServiceAt === null || now - lastOnDemandServiceAt > RESERVATION_RETENTION_MS) {
     state.largestServiceCpus = 0;
     return 0;
   }
-  return cpus * PRESENT_SERVICES_FACTOR + LARGEST_SERVICE_FACTOR * state.largestServiceCpus;
+  return cpus * LIVE_SERVICES_FACTOR + LARGEST_SERVICE_FACTOR * state.largestServiceCpus;
 };
 
 /** Whether an array has waited so long for its first task that nothing is reserved against it. */
@@ -103,16 +103,20 @@
  */
 export const reserveMachinesForServices = (state: CoreState, now: Instant): void => {
   // An overdue job lifts the reservation: there may be no other machines left to provision for it.
-  let left = hasOverdueFirstTask(state, now) ? 0 : computeReservedOnDemandCpus(state, now);
-  const zones = [...releaseReservations(state, left).values()];
+  let remainingCpus = hasOverdueFirstTask(state, now) ? 0 : computeReservedOnDemandCpus(state, now);
+  const zones = [...releaseReservations(state, remainingCpus).values()];
   for (const zone of zones)
     zone.sort((a, b) => b.rank - a.rank || (a.machine.id < b.machine.id ? -1 : 1));
-  for (let turn = 0; left > 0 && zones.some((zone) => turn < zone.length); turn += 1) {
+  for (
+    let position = 0;
+    remainingCpus > 0 && zones.some((zone) => position < zone.length);
+    position += 1
+  ) {
     for (const zone of zones) {
-      const candidate = zone[turn];
-      if (!candidate || left <= 0) continue;
+      const candidate = zone[position];
+      if (!candidate || remainingCpus <= 0) continue;
       candidate.machine.isReservedForServices = true;
-      left -= candidate.cpus;
+      remainingCpus -= candidate.cpus;
     }
   }
 };
