--- a/src/core/fleet/scale-in.ts
+++ b/src/core/fleet/scale-in.ts
@@ -5,7 +5,7 @@
 import type { Machine, Placement } from '../model/entities.js';
 import { isService } from '../model/job.js';
 import type { Instant } from '../model/time.js';
-import { computeReservedOnDemandCpus } from '../scheduling/service-reservation.js';
+import { updateReservedOnDemandCpus } from '../scheduling/service-reservation.js';
 import { addOnDemandSupply, isSupply, machineCpus, measureDemand } from './demand.js';
 
 /** A machine on which tasks of this many jobs failed is faulty itself. */
@@ -28,7 +28,7 @@
 export const scaleInIdle = (state: CoreState, now: Instant): void => {
   const { suppliedCpus, requiredCpus } = measureDemand(state, now);
   let spareCpus = suppliedCpus - requiredCpus;
-  let spareOnDemandCpus = addOnDemandSupply(state, -computeReservedOnDemandCpus(state, now));
+  let spareOnDemandCpus = addOnDemandSupply(state, -updateReservedOnDemandCpus(state, now));
   for (const machine of state.machines.values()) {
     if (spareCpus <= 0) return;
     if (!isIdle(state, machine, now)) continue;
--- a/src/core/fleet/scale-out.ts
+++ b/src/core/fleet/scale-out.ts
@@ -16,7 +16,7 @@
   satisfiesZoneConstraints,
 } from '../scheduling/capacity.js';
 import { NO_MACHINE_REASON } from '../scheduling/placement.js';
-import { computeReservedOnDemandCpus } from '../scheduling/service-reservation.js';
+import { updateReservedOnDemandCpus } from '../scheduling/service-reservation.js';
 import { isLiveReplica } from '../scheduling/services.js';
 import {
   addOnDemandSupply,
@@ -64,7 +64,7 @@
 /** On-demand machines first: demand as a whole would be met by cheaper ones. */
 const provisionForServices = (context: ScaleOutContext): void => {
   const { state, now, pools } = context;
-  const requiredCpus = computeReservedOnDemandCpus(state, now);
+  const requiredCpus = updateReservedOnDemandCpus(state, now);
   if (requiredCpus <= 0) return;
   const services = [...state.jobs.values()].filter((job) => isService(job) && !job.spec.allowsSpot);
   const feasible = pools.filter(
--- a/src/core/scheduling/service-reservation.ts
+++ b/src/core/scheduling/service-reservation.ts
@@ -27,7 +27,7 @@
  * ones take, half as much again, and twice the largest seen of late; 0 once there were none for a
  * while. Records in the state when such a service was last seen, and the largest.
  */
-export const computeReservedOnDemandCpus = (state: CoreState, now: Instant): number => {
+export const updateReservedOnDemandCpus = (state: CoreState, now: Instant): number => {
   let cpus = 0;
   for (const job of state.jobs.values()) {
     if (!isLiveOnDemandService(job)) continue;
@@ -103,7 +103,7 @@
  */
 export const reserveMachinesForServices = (state: CoreState, now: Instant): void => {
   // An overdue job lifts the reservation: there may be no other machines left to provision for it.
-  let remainingCpus = hasOverdueFirstTask(state, now) ? 0 : computeReservedOnDemandCpus(state, now);
+  let remainingCpus = hasOverdueFirstTask(state, now) ? 0 : updateReservedOnDemandCpus(state, now);
   const zones = [...releaseReservations(state, remainingCpus).values()];
   for (const zone of zones)
     zone.sort((a, b) => b.rank - a.rank || (a.machine.id < b.machine.id ? -1 : 1));
