--- a/src/core/scheduling/backfill.ts
+++ b/src/core/scheduling/backfill.ts
@@ -1,11 +1,11 @@
 /**
- * One scheduling round: flexible backfilling, the paper's BF UNMOD (see scoring.ts). The head of
- * the queue keeps its rank until it has started, and reserves the capacity it misses up to the
- * shadow time; the others start by score where they leave that capacity alone or end before the
- * shadow time.
+ * One scheduling round: flexible backfilling, scheduler BF UNMOD of the paper cited in scoring.ts.
+ * The queue head stays head until its tasks are placed, and reserves the capacity that it lacks
+ * until the shadow time. Other jobs are placed by score, outside that reservation or where they end
+ * by the shadow time.
  *
- * The phases stand in the order of `runSchedulingRound`; each takes from the free capacity what the
- * earlier ones have left.
+ * The phases are defined in the order in which `runSchedulingRound` runs them; each allocates from
+ * the capacity that earlier ones left free.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -39,35 +39,33 @@
 import { hasQueuePrecedence } from './services.js';
 
 /**
- * A job of which nothing has been on a machine for so long is starving. It stays under the 90 s
- * after which operators count waiting beside free capacity as a fault.
+ * A job is starving once it has had no attempt on a machine for this long. This is below the 90 s
+ * after which operators count a wait next to free capacity as a fault.
  */
 const STARVING_AFTER_MS = 75_000;
 
-/**
- * After this many times the wait for a first task, the job gets it even ahead of the queue head.
- */
+/** Multiple of `firstTaskAfterS` after which a first task is placed even before the queue head. */
 const FIRST_TASK_BEFORE_HEAD_FACTOR = 1.5;
 
-/** What a round has placed, and the waiting jobs by rank. */
+/** The placements of one round, and the waiting jobs by rank. */
 export interface SchedulingRound {
   readonly placed: Placement[];
   readonly ranked: RankedJob<Job>[];
 }
 
-/** What the phases of one round share. */
+/** State shared by the phases of one round. */
 interface RoundContext extends SchedulingContext {
   readonly ranked: readonly RankedJob<Job>[];
   readonly queueHead: Job | null;
-  /** The free capacity of all schedulable machines. */
+  /** The free capacity of every schedulable machine. */
   readonly capacities: readonly FreeCapacity[];
   readonly smallest: SmallestRequirement;
-  /** The capacities on which some waiting task may still fit; set after the replicas are placed. */
+  /** Those `capacities` in which some pending task may still fit; updated by the phases. */
   usable: readonly FreeCapacity[];
   readonly placed: Placement[];
 }
 
-/** Places tasks of the job and adds them to what the round has placed. */
+/** Places tasks of the job and adds them to the round's placements. */
 const placeInRound = (
   context: RoundContext,
   job: Job,
@@ -79,19 +77,19 @@
   return result;
 };
 
-/** How many waiting tasks of the job its team's quota would allow. */
+/** How many of the job's pending tasks the team's quota would still allow. */
 const countUnplacedWithinQuota = (state: CoreState, job: Job): number =>
   Math.min(job.pendingTasks, countTasksWithinQuota(state, job));
 
 /**
- * Not a job that fails everywhere: it grows old and would seize the head; it may wait, but not
- * reserve. Nor a service: no estimate tells when it could start in full, so that it could hold the
- * head for ever.
+ * Whether the job may be queue head. A job that fails everywhere may not: its aging score would
+ * make it head; it may wait, but not reserve capacity. A service may not: no estimate says when all
+ * its replicas could start, so it could stay head forever.
  */
 const mayBeQueueHead = (job: Job): boolean =>
   job.failedMachines.size < FAILED_MACHINES_LIMIT && !isService(job);
 
-/** The former head while it waits, otherwise the job of the highest rank that may be head. */
+/** The previous round's head if it still waits, otherwise the best ranked job that may be head. */
 const chooseQueueHead = (state: CoreState, ranked: readonly RankedJob<Job>[]): Job | null => {
   const previousHead = ranked.find(
     ({ job }) => job.spec.id === state.queueHead && mayBeQueueHead(job),
@@ -101,8 +99,8 @@
 };
 
 /**
- * Places replicas of critical services, ahead of the queue; what is missing preempts. Replicas that
- * come back from a machine that went find the capacity that was reserved for them.
+ * Places replicas of critical services ahead of the queue; replicas that fit nowhere preempt.
+ * Replicas whose machine is gone are restarted on the capacity that was reserved for them.
  */
 const placeCriticalReplicas = (context: RoundContext): void => {
   const { state, now, ranked, capacities, smallest } = context;
@@ -113,14 +111,14 @@
     const unplaced = countUnplacedWithinQuota(state, job);
     if (unplaced > 0 && !failsEverywhere(job)) preemptForReplicas(job, unplaced, capacities, now);
   }
-  // No array is to start beside replicas just placed: its image would be fetched at the same time.
+  // Reserves the new replicas' machines, so that no array there fetches its image at the same time.
   if (context.placed.length > 0) reserveMachinesForServices(state, now);
 };
 
 /**
- * Places the first task of each job but the head that has waited this long and of which nothing has
- * begun. Shortness ranks large arrays last, and a deadline that has passed counts for nothing:
- * under lasting overload such a job would never begin.
+ * Places a task of each job that has waited at least `minWaitS` for its first one, except the queue
+ * head and critical services. Shortness ranks large arrays last, and a missed deadline scores 0, so
+ * under sustained overload such a job would never start.
  */
 const placeOverdueFirstTasks = (context: RoundContext, minWaitS: number): void => {
   const { state, now, ranked, queueHead, smallest } = context;
@@ -141,7 +139,7 @@
   return PRIORITY_LEVEL[head.spec.priority] >= preemptionMinPriority;
 };
 
-/** Places the queue head, and reserves for it what it misses: this sets the shadow time. */
+/** Places the queue head; reserves capacity for its unplaced tasks, which sets the shadow time. */
 const placeQueueHead = (context: RoundContext): void => {
   const { state, now, queueHead, capacities } = context;
   if (!queueHead) return;
@@ -153,18 +151,18 @@
   state.shadowTime = reserveForHead(queueHead, unplaced, capacities, now);
 };
 
-/** Whether nothing but its requirements tells the job from others with the same ones. */
+/** Whether `requirementsKey` alone decides on which machines tasks of the job fit. */
 const isComparableByRequirements = ({ spec, failedMachines }: Job): boolean =>
   !spec.singleZone && !spec.spreadZones && failedMachines.size === 0;
 
 const explainUnplaced = (state: CoreState, job: Job): string =>
   countTasksWithinQuota(state, job) < 1 ? TEAM_QUOTA_REASON : NO_MACHINE_REASON;
 
-/** Places the other jobs by rank, around the head's reservation. */
+/** Backfills the other jobs by rank, without delaying the queue head's reservation. */
 const backfillOthers = (context: RoundContext): void => {
   const { state, ranked, queueHead, smallest } = context;
   const limits = { ...NO_LIMITS, shadowTime: state.shadowTime };
-  // Free capacity only shrinks within a round, so that equal requirements find no machine either.
+  // Free capacity only shrinks, so another job with the same key would find no machine either.
   const unplaceableRequirements = new Set<string>();
   for (const { job } of ranked) {
     if (job === queueHead || hasQueuePrecedence(job)) continue;
@@ -185,9 +183,8 @@
 };
 
 /**
- * Places one task of each starving job in what the ranking has left free, also where that is
- * reserved for the head or for services: no job is to wait for long beside capacity that it could
- * have.
+ * Places one task of each starving job on capacity that is still free, even if it is reserved for
+ * the queue head or for services, so that no job waits for long while a machine could run it.
  */
 const placeStarvingJobs = (context: RoundContext): void => {
   const { now, ranked, capacities, smallest } = context;
@@ -201,7 +198,7 @@
   }
 };
 
-/** Runs one round: places waiting tasks, names the queue head and sets the shadow time. */
+/** Runs one round: places pending tasks, chooses the queue head and sets the shadow time. */
 export const runSchedulingRound = (state: CoreState, now: Instant): SchedulingRound => {
   const ranked = rankWaitingJobs(state, now);
   const replicasToEvict = findReplicasToEvict(state, now);
@@ -230,21 +227,21 @@
   evictReplicas(replicasToEvict, capacities);
   context.usable = filterUsable(capacities, smallest);
   const { firstTaskAfterS } = state.config.policy;
-  // Where heads take up all that comes free, a first task that is late enough goes before the head.
+  // Successive heads may use up all capacity, so a long overdue first task goes before the head.
   placeOverdueFirstTasks(context, firstTaskAfterS * FIRST_TASK_BEFORE_HEAD_FACTOR);
   placeQueueHead(context);
   placeOverdueFirstTasks(context, firstTaskAfterS);
   backfillOthers(context);
   placeStarvingJobs(context);
-  // The head has started: the next round names a new one by score.
+  // The head has no pending tasks left: the next round chooses a new one by score.
   if (queueHead && queueHead.pendingTasks <= 0) state.queueHead = null;
   return { placed, ranked };
 };
 
 /**
- * Places critical services alone, on machines that have answered the new leader, before its wait is
- * over: a missing replica is missed at once, the ledger tells what may run where, and the wait is
- * for the order among arrays only.
+ * Places replicas of critical services only, on machines that have acknowledged the new leader,
+ * while it waits for the other workers to report. A missing replica does harm at once, the ledger
+ * lists the attempts that may run, and the wait matters only for the order among arrays.
  */
 export const placeCriticalReplicasOnly = (state: CoreState, now: Instant): SchedulingRound => {
   const placed: Placement[] = [];
--- a/src/core/scheduling/capacity.ts
+++ b/src/core/scheduling/capacity.ts
@@ -1,6 +1,6 @@
 /**
- * What machines have free in one scheduling round, which machines are feasible for a job, what fits
- * on them, and how many tasks a team's quota still allows.
+ * Free capacity of machines in one scheduling round, the feasibility of machines for a job, and the
+ * number of tasks that a team's quota still allows.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -12,20 +12,20 @@
 import type { Instant } from '../model/time.js';
 import type { RankedJob } from './scoring.js';
 
-/** The state that a round schedules on, and the moment for which it does. */
+/** The state on which a round operates, and the time at which it runs. */
 export interface SchedulingContext {
   readonly state: CoreState;
   readonly now: Instant;
 }
 
 /**
- * A machine's free capacity: what is free now, and (`shadow…`) what the queue head's reservation
- * leaves free at the shadow time.
+ * A machine's free capacity: the amounts free now, and (`shadow…`) the amounts that the queue
+ * head's reservation leaves free at the shadow time.
  */
 export interface FreeCapacity {
   readonly machine: Machine;
   readonly type: MachineType;
-  /** Attempts that the machine may still take on: its heartbeats must stay readable. */
+  /** Further attempts that the machine may hold; limited so that heartbeats stay readable. */
   slots: number;
   cpus: number;
   gpus: number;
@@ -35,14 +35,14 @@
   shadowMemoryGb: number;
 }
 
-/** Rounding error that sums of fractions of a processor may show. */
+/** Tolerance for rounding errors in sums of fractional resource amounts. */
 export const EPSILON = 1e-6;
 
-/** Orders machines by power, the most powerful first. */
+/** Orders machines by GPUs, then processors, then memory, the largest first. */
 export const compareByMachineSize = (a: FreeCapacity, b: FreeCapacity): number =>
   b.type.gpus - a.type.gpus || b.type.cpus - a.type.cpus || b.type.memoryGb - a.type.memoryGb;
 
-/** The free capacity of the machines that take work, the most powerful first. */
+/** The free capacity of all schedulable machines, the largest first. */
 export const measureFreeCapacities = (state: CoreState, now: Instant): FreeCapacity[] => {
   const capacities: FreeCapacity[] = [];
   for (const machine of state.machines.values()) {
@@ -61,8 +61,9 @@
 };
 
 /**
- * Whether the job's requirements and failures let it use the machine, whatever is free on it. For a
- * starving job the machines that are reserved for services are feasible, too.
+ * Whether the job's requirements and recent failures let it use the machine, regardless of free
+ * capacity. A machine reserved for services is infeasible for arrays that may use spot machines,
+ * unless they are starving.
  */
 export const isFeasible = (job: Job, machine: Machine): boolean => {
   const { spec } = job;
@@ -74,7 +75,7 @@
   return !(job.failedMachines.size < FAILED_MACHINES_LIMIT && job.failedMachines.has(machine.id));
 };
 
-/** Whether the zone rules allow the machine, given where the job's other tasks may be now. */
+/** Whether the job's zone constraints allow the machine, given the zones of its attempts. */
 export const satisfiesZoneConstraints = (job: Job, machine: Pick<Machine, 'zone'>): boolean => {
   const { spec, attemptsByZone } = job;
   if (
@@ -89,17 +90,16 @@
   return true;
 };
 
-/** Whether a task of the job fits into what is free on the machine now. */
 export const fitsFreeCapacity = (job: Job, capacity: FreeCapacity): boolean =>
   capacity.slots > 0 && fitsResources(job, capacity);
 
-/** Whether a task of the job fits beside the queue head's reservation. */
+/** Whether a task of the job fits in the machine's free capacity at the shadow time. */
 export const fitsShadowCapacity = (job: Job, capacity: FreeCapacity): boolean =>
   capacity.shadowCpus + EPSILON >= job.spec.cpus &&
   capacity.shadowGpus + EPSILON >= job.spec.gpus &&
   capacity.shadowMemoryGb + EPSILON >= job.spec.memoryGb;
 
-/** Takes a task of the job from what is free on the machine now. */
+/** Deducts one task of the job from the machine's free capacity now. */
 export const allocateFreeCapacity = (job: Job, capacity: FreeCapacity): void => {
   capacity.slots -= 1;
   capacity.cpus -= job.spec.cpus;
@@ -107,14 +107,14 @@
   capacity.memoryGb -= job.spec.memoryGb;
 };
 
-/** Takes a task of the job from what is free on the machine at the shadow time. */
+/** Deducts one task of the job from the machine's free capacity at the shadow time. */
 export const reserveShadowCapacity = (job: Job, capacity: FreeCapacity): void => {
   capacity.shadowCpus -= job.spec.cpus;
   capacity.shadowGpus -= job.spec.gpus;
   capacity.shadowMemoryGb -= job.spec.memoryGb;
 };
 
-/** How many more tasks of the job its team's quota allows; none for an unknown team. */
+/** How many more tasks of the job its team's quota allows; 0 for an unknown team. */
 export const countTasksWithinQuota = (state: CoreState, job: Job): number => {
   const team = state.config.teams.get(job.spec.team);
   if (!team) return 0;
@@ -127,27 +127,27 @@
   return Math.max(0, Math.floor(tasks));
 };
 
-/** Bounds the estimate for a machine type without a usable fetch rate. */
+/** Lower bound of the fetch rate, for machine types without a usable one. */
 const MIN_FETCH_GB_PER_S = 0.01;
 
-/** How long a machine of the type fetches these gigabytes, in milliseconds. */
+/** How long a machine of the type takes to fetch `gb` gigabytes, in milliseconds. */
 export const estimateFetchMs = (gb: number, type: MachineType): number =>
   (gb / Math.max(type.fetchGbPerS, MIN_FETCH_GB_PER_S)) * 1000;
 
-/** How long the machine fetches the job's image before a task starts, in milliseconds. */
+/** How long the machine takes to fetch the job's image, in milliseconds; 0 if it has it. */
 export const estimateImageFetchMs = (job: Job, capacity: FreeCapacity): number =>
   capacity.machine.images.has(job.spec.image)
     ? 0
     : estimateFetchMs(job.spec.imageGb, capacity.type);
 
-/** The least that any waiting task takes: a machine with less is of no use in this round. */
+/** A lower bound of all pending tasks' requirements: machines with less free are skipped. */
 export interface SmallestRequirement {
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
 }
 
-/** The smallest requirement of all waiting jobs, resource by resource. */
+/** The minimum over all waiting jobs, resource by resource. */
 export const findSmallestRequirement = (ranked: readonly RankedJob<Job>[]): SmallestRequirement => {
   let cpus = Number.POSITIVE_INFINITY;
   let gpus = Number.POSITIVE_INFINITY;
@@ -160,7 +160,7 @@
   return { cpus, gpus, memoryGb };
 };
 
-/** The machines on which some waiting task may still fit. */
+/** The machines on which some pending task may still fit. */
 export const filterUsable = (
   capacities: readonly FreeCapacity[],
   smallest: SmallestRequirement,
@@ -173,14 +173,13 @@
       capacity.memoryGb + EPSILON >= smallest.memoryGb,
   );
 
-/** An amount of each resource. */
 export interface Resources {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** What a machine has free once these attempts have left it. */
+/** The machine's free resources once the excluded attempts have ended. */
 export const measureFreeResourcesWithout = (
   capacity: FreeCapacity,
   excluded: readonly Placement[],
@@ -195,7 +194,6 @@
   return free;
 };
 
-/** Whether a task of the job fits into these resources. */
 export const fitsResources = (job: Job, free: Resources): boolean =>
   free.cpus + EPSILON >= job.spec.cpus &&
   free.gpus + EPSILON >= job.spec.gpus &&
--- a/src/core/scheduling/estimates.ts
+++ b/src/core/scheduling/estimates.ts
@@ -1,24 +1,22 @@
-/** How long attempts should run, and when those that run should end. */
+/** Estimated run times of tasks, and expected ends of running attempts. */
 import type { Job, Placement } from '../model/entities.js';
 import { isService } from '../model/job.js';
 import type { Instant } from '../model/time.js';
 
-/**
- * An attempt that is being stopped leaves its machine this long after its checkpoint is written.
- */
+/** Time from a stopping attempt's checkpoint write until it leaves its machine. */
 const STOP_OVERHEAD_MS = 500;
-/** An attempt that outlasts its estimate is taken to last this share of the estimate longer. */
-const OVERRUN_SHARE = 1 / 4;
-/** The least that a running attempt is taken to last, whatever its estimate. */
+/** The least remaining run time assumed for an attempt, as a share of its estimate. */
+const MIN_REMAINING_SHARE = 1 / 4;
+/** The least remaining run time assumed for an attempt, whatever its estimate. */
 const MIN_REMAINING_MS = 1000;
 
-/** How long a task of the job should run, in milliseconds: without end for a replica. */
+/** The estimated run time of a task of the job, in milliseconds; infinite for a replica. */
 export const estimateRunMs = (job: Job): number =>
   isService(job) ? Number.POSITIVE_INFINITY : job.spec.estimateS * 1000;
 
 /**
- * When an attempt should end by its estimate, as an `Instant`; infinite for a replica. An overrun
- * counts as ending soon.
+ * When an attempt is expected to end, as an `Instant`; infinite for a replica that is not being
+ * stopped. An attempt that overruns its estimate is expected to end soon.
  */
 export const estimateEnd = (placement: Placement, now: Instant): number => {
   const { job, stopRequest } = placement;
@@ -28,5 +26,5 @@
   }
   const estimateMs = job ? estimateRunMs(job) : 0;
   const end = (placement.startedAt ?? placement.placedAt) + estimateMs;
-  return Math.max(end, now + Math.max(MIN_REMAINING_MS, estimateMs * OVERRUN_SHARE));
+  return Math.max(end, now + Math.max(MIN_REMAINING_MS, estimateMs * MIN_REMAINING_SHARE));
 };
--- a/src/core/scheduling/placement.ts
+++ b/src/core/scheduling/placement.ts
@@ -1,6 +1,4 @@
-/**
- * Placing the waiting tasks of one job: on which machines, in which order, and within which bounds.
- */
+/** Placement of one job's pending tasks: the choice and order of machines, and the limits. */
 
 import type { CoreState } from '../core-state.js';
 import { ATTEMPTS_PER_REVISION, addPlacement, hasAttemptLeft } from '../lifecycle/attempts.js';
@@ -27,32 +25,32 @@
 import { estimateRunMs } from './estimates.js';
 import { spreadReplicas } from './replica-spreading.js';
 
-/** Why a job waits, as users read it: its team's quota allows no more tasks. */
+/** Waiting reason shown to users: the team's quota allows no more tasks. */
 export const TEAM_QUOTA_REASON = 'team limit';
-/** Why a job waits, as users read it: no feasible machine has the capacity. */
+/** Waiting reason shown to users: no feasible machine has the capacity. */
 export const NO_MACHINE_REASON = 'no machine with room';
 
-/** What bounds the placement of a job in one phase of a round. */
+/** Limits on the placement of a job in one phase of a round. */
 export interface PlacementLimits {
-  /** The shadow time of the head's reservation, to be respected; null for no reservation. */
+  /** The shadow time of the head's reservation; null for no reservation to respect. */
   readonly shadowTime: Instant | null;
   readonly maxTasks: number;
 }
 
-/** For jobs that no reservation stands against: as many tasks as fit. */
+/** No reservation to respect, and as many tasks as fit. */
 export const NO_LIMITS: PlacementLimits = { shadowTime: null, maxTasks: Number.POSITIVE_INFINITY };
 
-/** What was placed of a job, and what the rest waits for: '' where nothing waits. */
+/** The placements of a job, and why tasks still wait: '' if none do or `maxTasks` is reached. */
 export interface PlacementResult {
   readonly placed: Placement[];
   readonly waitingReason: string;
 }
 
 /**
- * The machines for an array's tasks, best first: the most powerful, and among equals those that
- * have the image, since a task starts sooner there. While one job is placed, free capacity only
- * shrinks, so that a machine that was passed over is never looked at again: the cost of a round
- * follows the machines, and not machines times tasks.
+ * The machines for an array's tasks, best first: the largest, and among equally large ones those
+ * that have the image, since a task starts sooner there. Free capacity only shrinks while a job is
+ * placed, so a skipped machine is never examined again: the cost of a round grows with the number
+ * of machines, not with machines times tasks.
  */
 function* listArrayCandidates(
   job: Job,
@@ -76,7 +74,7 @@
   }
 }
 
-/** The machines for a service's replicas: one for each, see `spreadReplicas`. */
+/** The machines for a service's replicas, one per replica; see `spreadReplicas`. */
 function* listReplicaCandidates(
   context: SchedulingContext,
   job: Job,
@@ -88,7 +86,7 @@
   yield* spreadReplicas(context, job, feasible);
 }
 
-/** The zone in which a job that must stay in one starts: where most of it fits. */
+/** For a `singleZone` job without attempts, the zone with processors for most tasks; else null. */
 const chooseZone = (job: Job, capacities: readonly FreeCapacity[]): ZoneName | null => {
   if (!job.spec.singleZone || job.attemptsByZone.size > 0) return null;
   const tasksByZone = new Map<ZoneName, number>();
@@ -108,23 +106,20 @@
   return best;
 };
 
-/** The search for machines for one job's tasks. */
 interface MachineSearch {
   readonly job: Job;
   readonly now: Instant;
   readonly shadowTime: Instant | null;
-  /** The zone that the job is bound to from its first task on; null for none. */
+  /** The zone to which the job's first task binds it; null for none. */
   readonly zone: ZoneName | null;
   readonly candidates: Generator<FreeCapacity, undefined>;
-  /** The machine that got the last task: an array fills it before it takes the next. */
+  /** The machine of the last task: an array fills it before it uses the next. */
   currentMachine: FreeCapacity | undefined;
-  /** A machine had the capacity, but it is reserved for the head. */
+  /** Whether a machine had enough capacity, but this is reserved for the queue head. */
   isBlockedByReservation: boolean;
 }
 
-/**
- * Whether a task that is placed now ends before the shadow time, the fetch of its image included.
- */
+/** Whether a task placed now would end by the shadow time, including its image fetch. */
 const endsByShadowTime = (search: MachineSearch, capacity: FreeCapacity): boolean => {
   const { job, now, shadowTime } = search;
   return (
@@ -133,7 +128,7 @@
   );
 };
 
-/** Whether a task fits there now, within the zone rules and without delaying the head. */
+/** Whether a task fits, meets the zone constraints and does not delay the queue head. */
 const canPlaceNextTask = (search: MachineSearch, capacity: FreeCapacity): boolean => {
   const { job, zone, shadowTime } = search;
   if (!fitsFreeCapacity(job, capacity)) return false;
@@ -145,9 +140,9 @@
   return false;
 };
 
-/** The machine for the next task, or undefined where none is left. */
+/** The machine for the job's next task; undefined if no candidate is left. */
 const selectNextMachine = (search: MachineSearch): FreeCapacity | undefined => {
-  // A service's replicas go to one machine after the other, an array's tasks fill each.
+  // A service's replicas each take the next candidate; an array's tasks fill a machine first.
   let capacity = isService(search.job) ? undefined : search.currentMachine;
   while (!capacity || !canPlaceNextTask(search, capacity)) {
     capacity = search.candidates.next().value;
@@ -157,7 +152,7 @@
   return capacity;
 };
 
-/** Places the job's next task on the machine; null where no task or attempt number is left. */
+/** Places the job's next task on the machine; null if no task or attempt number is left. */
 const placeTask = (
   { state, now }: SchedulingContext,
   job: Job,
@@ -194,13 +189,13 @@
   return placement;
 };
 
-/** Why no further task may start, whatever machines have free; null where one may. */
+/** The reason why no further task may start, regardless of free capacity; null if one may. */
 const explainRefusal = (
   state: CoreState,
   job: Job,
   isFailingEverywhere: boolean,
 ): string | null => {
-  // A job that fails everywhere is tried one task at a time.
+  // A job that fails everywhere runs one task at a time.
   if (isFailingEverywhere && job.attemptsByTask.size > 0) return 'its tasks fail on every machine';
   return countTasksWithinQuota(state, job) < 1 ? TEAM_QUOTA_REASON : null;
 };
@@ -208,7 +203,7 @@
 const explainNoMachine = ({ isBlockedByReservation }: MachineSearch): string =>
   isBlockedByReservation ? 'room reserved for the head' : NO_MACHINE_REASON;
 
-/** Places as many of the job's waiting tasks as the limits, its team's quota and machines allow. */
+/** Places as many of the job's pending tasks as limits, team quota and free capacity allow. */
 export const placeJob = (
   context: SchedulingContext,
   job: Job,
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -1,6 +1,6 @@
 /**
- * Preemption: the two exceptions to running tasks to their end, which the paper's scheduler always
- * does. One is for an urgent queue head, the other for replicas of critical services.
+ * Preemption for an urgent queue head, and for replicas of critical services. The scheduler of the
+ * paper (see scoring.ts) has none: it always runs tasks to their end.
  */
 
 import { occupiesMachine } from '../lifecycle/attempts.js';
@@ -17,7 +17,7 @@
 } from './capacity.js';
 import { type AttemptWithJob, requestStop } from './stop-requests.js';
 
-/** A task that has run for less is not preempted for a head: a start stopped so soon is wasted. */
+/** Run time before a task may be preempted for a head: a start stopped so soon is wasted. */
 const MIN_RUN_BEFORE_PREEMPTION_MS = 31_000;
 
 const writesCheckpoints = (job: Job): boolean => job.spec.checkpointIntervalS > 0;
@@ -25,7 +25,7 @@
 const isStopping = (placement: Placement): boolean =>
   placement.stopRequest !== null && occupiesMachine(placement.phase);
 
-/** Of lower priority, and it loses no more than the time of a checkpoint write. */
+/** Whether the attempt has lower priority and loses at most the time of a checkpoint write. */
 const isPreemptibleForHead = (
   placement: Placement,
   headLevel: number,
@@ -39,7 +39,7 @@
   PRIORITY_LEVEL[placement.job.spec.priority] < headLevel &&
   writesCheckpoints(placement.job);
 
-/** The attempts that the head may preempt there; null where attempts are being stopped already. */
+/** The attempts on the machine that the head may preempt; null if any is being stopped. */
 const findPreemptibleForHead = (
   machine: Machine,
   headLevel: number,
@@ -53,7 +53,7 @@
   return preemptible;
 };
 
-/** Takes as many tasks of the job from the resources as fit, up to the limit; returns how many. */
+/** Deducts as many tasks of the job from `free` as fit, up to the limit; returns how many. */
 const allocateFittingTasks = (job: Job, free: Resources, limit: number): number => {
   const { cpus, gpus, memoryGb } = job.spec;
   let tasks = 0;
@@ -67,8 +67,8 @@
 };
 
 /**
- * Stops attempts of one machine, in their order, until the missing tasks fit; returns how many do.
- * An attempt is stopped only once a task of the head fits in its place.
+ * Stops attempts on one machine, in the given order, until the head's unplaced tasks fit; returns
+ * how many fit. No attempt is stopped unless that lets another task of the head fit.
  */
 const preemptOnMachine = (
   head: Job,
@@ -94,9 +94,9 @@
 };
 
 /**
- * Preempts for an urgent head. Small tasks take up every processor that comes free, so that on a
- * full fleet a head with larger tasks would wait for long. It stops tasks of lower priority that
- * write checkpoints, as many as it takes; its reservation then holds the capacity for it.
+ * Preempts for an urgent head. Without it, small tasks would take every processor released on a
+ * full fleet, and a head with larger tasks would wait for long. Stops as many attempts of lower
+ * priority as needed, if they write checkpoints; the reservation keeps their capacity for the head.
  */
 export const preemptForHead = (
   head: Job,
@@ -112,7 +112,7 @@
     if (!isFeasible(head, machine) || !satisfiesZoneConstraints(head, machine)) continue;
     const preemptible = findPreemptibleForHead(machine, headLevel, now);
     if (preemptible === null) {
-      // Capacity that is being freed already counts first, or each round would stop more.
+      // Counts capacity that is already being released; otherwise each round would stop more.
       const stopping = [...machine.placements.values()].filter(isStopping);
       remaining -= allocateFittingTasks(
         head,
@@ -127,7 +127,7 @@
   }
 };
 
-/** The run time, in milliseconds, that is lost when an attempt is stopped. */
+/** The run time, in milliseconds, that is lost if the attempt is stopped. */
 const estimateLostRunMs = ({ job, startedAt }: AttemptWithJob, now: Instant): number => {
   if (startedAt === null) return 0;
   const checkpointMs = writesCheckpoints(job)
@@ -136,13 +136,13 @@
   return Math.min(now - startedAt, checkpointMs);
 };
 
-/** Attempts of one machine in whose place a replica fits, and the run time lost with them. */
+/** Attempts on one machine whose preemption makes a replica fit, and the run time lost. */
 interface PreemptionOption {
   readonly victims: readonly AttemptWithJob[];
   readonly lossMs: number;
 }
 
-/** The attempts on a machine that lose least and in whose place a replica fits, or null. */
+/** The machine's cheapest preemption, in lost run time, that makes a replica fit; or null. */
 const findCheapestOption = (
   service: Job,
   capacity: FreeCapacity,
@@ -172,8 +172,8 @@
 };
 
 /**
- * Preempts for replicas of a critical service that fit nowhere: stops what loses least run time, as
- * little as it takes for one replica after the other, and never a service.
+ * Preempts for replicas of a critical service that fit nowhere: for each in turn, stops the
+ * attempts with the least lost run time in whose place it fits, but never replicas.
  */
 export const preemptForReplicas = (
   service: Job,
@@ -190,7 +190,7 @@
       occupiesMachine(placement.phase),
     );
     const stopping = attempts.filter(isStopping);
-    // Capacity that is being freed already counts first, or each round would stop more.
+    // Counts capacity that is already being released; otherwise each round would stop more.
     if (
       stopping.length > 0 &&
       fitsResources(service, measureFreeResourcesWithout(capacity, stopping))
--- a/src/core/scheduling/ranking.ts
+++ b/src/core/scheduling/ranking.ts
@@ -1,4 +1,4 @@
-/** Which jobs wait for machines, and in which order of rank. */
+/** Selects the jobs that wait for machines, and ranks them. */
 
 import type { CoreState } from '../core-state.js';
 import { FAILED_MACHINES_LIMIT } from '../lifecycle/job-tasks.js';
@@ -9,8 +9,8 @@
 import { type RankedJob, rankJobs } from './scoring.js';
 
 /**
- * How long a job avoids a machine that failed one of its tasks. It bounds the wait of a job for
- * which that machine, which may be sound again, is the only feasible one.
+ * How long a job avoids a machine on which one of its tasks failed. Limits the wait of a job with
+ * no other feasible machine; the machine may work again.
  */
 const FAILED_MACHINE_AVOIDANCE_MS = 60_000;
 
@@ -23,13 +23,13 @@
   return total;
 };
 
-/** Not for services, nor for jobs that fail everywhere: these pause instead. */
+/** Ends the avoidance, except for services and jobs that fail everywhere: these back off. */
 const expireFailedMachines = (job: Job, now: Instant): void => {
   if (isService(job) || job.failedMachines.size >= FAILED_MACHINES_LIMIT) return;
   if (now - job.lastFailureAt > FAILED_MACHINE_AVOIDANCE_MS) job.failedMachines.clear();
 };
 
-/** Jobs that wait, ranked; those that pause after failures are left out until the pause is over. */
+/** Ranks the jobs with pending tasks, without those that back off after failures. */
 export const rankWaitingJobs = (state: CoreState, now: Instant): RankedJob<Job>[] => {
   const waiting: Job[] = [];
   for (const job of state.jobs.values()) {
@@ -46,6 +46,6 @@
   return rankJobs(waiting, { types, fleetGpus, now, policy: config.policy });
 };
 
-/** Whether the job has waited at least this long, in milliseconds, and no task of it has begun. */
+/** Whether the job was submitted at least `minWaitMs` ago and has no task placed or done. */
 export const isFirstTaskOverdue = (job: Job, minWaitMs: number, now: Instant): boolean =>
   now - job.submittedAt >= minWaitMs && job.attemptsByTask.size === 0 && job.doneCount === 0;
--- a/src/core/scheduling/replica-eviction.ts
+++ b/src/core/scheduling/replica-eviction.ts
@@ -1,4 +1,4 @@
-/** Moving replicas away from machines that are being vacated. */
+/** Eviction of replicas from machines that are being vacated. */
 
 import type { CoreState } from '../core-state.js';
 import { failsEverywhere } from '../lifecycle/job-tasks.js';
@@ -15,8 +15,8 @@
 import { type AttemptWithJob, requestStop } from './stop-requests.js';
 
 /**
- * A reclaim notice leaves no choice, and an eviction that was requested goes on; all others need
- * the extensions' consent.
+ * A reclaim notice forces the eviction, and a requested eviction continues; any other needs the
+ * consent of all extensions.
  */
 const mayEvict = ({ extensions }: CoreState, replica: AttemptWithJob): boolean =>
   replica.machine.reclaimAt !== null ||
@@ -39,9 +39,9 @@
 };
 
 /**
- * Evicts each replica for which capacity can be reserved elsewhere. The reservation is made in this
- * round and in each until the replica is proven gone: then it starts, ahead of the queue or by
- * rank.
+ * Evicts each replica that fits in another machine's free capacity. Capacity is reserved in this
+ * round and in each until the replica is confirmed to have ended; then its task is placed, ahead of
+ * the queue or by rank.
  */
 export const evictReplicas = (
   replicas: readonly AttemptWithJob[],
--- a/src/core/scheduling/replica-spreading.ts
+++ b/src/core/scheduling/replica-spreading.ts
@@ -1,6 +1,6 @@
 /**
- * In which order machines get a service's replicas: where they start soonest, and spread, so that
- * the loss of one machine takes few of them.
+ * The order in which machines get a service's replicas: where they start soonest, and spread so
+ * that the loss of one machine ends few of them.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -9,27 +9,26 @@
 import type { Instant } from '../model/time.js';
 import { estimateFetchMs, type FreeCapacity, type SchedulingContext } from './capacity.js';
 
-/** Machines on which replicas start within the same step of this length count as equally soon. */
+/** Machines whose start delays are in the same step of this length count as equally fast. */
 const START_DELAY_STEP_MS = 3000;
-/** The share of a service's replicas that a machine gets at most while others have capacity. */
+/** The largest share of a service's replicas on one machine while others have capacity. */
 const MAX_SHARE_PER_MACHINE = 1 / 3;
 
-/** A machine that may get replicas of a service. */
 interface SpreadCandidate {
   readonly capacity: FreeCapacity;
-  /** Until a replica would run there, in whole seconds. */
+  /** Whole seconds until a replica would run on the machine. */
   readonly startDelayS: number;
-  /** Replicas of the service on the machine, counted up as it is chosen. */
+  /** Replicas of the service on the machine, including those assigned so far. */
   replicas: number;
 }
 
-/** A start goes out with the reply to the machine's next heartbeat. */
+/** Milliseconds until the reply to the machine's next heartbeat, which carries the start. */
 const estimateReplyDelayMs = (state: CoreState, machine: Machine, now: Instant): number =>
   machine.pendingReply
     ? 0
     : Math.max(0, machine.lastHeartbeatAt + state.config.heartbeatIntervalMs - now);
 
-/** What the machine fetches before a replica runs: images under way share its fetch rate. */
+/** Gigabytes of all images to fetch before a replica runs: parallel fetches share the rate. */
 const estimateGbToFetch = (job: Job, machine: Machine): number => {
   const present = new Set<ImageName>();
   const fetching = new Map<ImageName, number>();
@@ -48,7 +47,6 @@
   return gb;
 };
 
-/** Milliseconds until a replica would run on the machine. */
 const estimateStartDelayMs = (
   { state, now }: SchedulingContext,
   job: Job,
@@ -65,7 +63,7 @@
   return replicas;
 };
 
-/** One machine after the other, until each has this many replicas. */
+/** Yields the machines round-robin until each has `maxReplicas` replicas. */
 function* roundRobin(
   candidates: readonly SpreadCandidate[],
   maxReplicas: number,
@@ -80,8 +78,8 @@
 }
 
 /**
- * The machines for a service's replicas, one for each replica: by steps of the start delay, within
- * a step one machine after the other; machines on which one ended of late come last.
+ * The machines for a service's replicas, one per replica: by steps of the start delay, and within a
+ * step round-robin. Machines on which a replica failed recently come last.
  */
 export function* spreadReplicas(
   context: SchedulingContext,
--- a/src/core/scheduling/reservation.ts
+++ b/src/core/scheduling/reservation.ts
@@ -1,4 +1,4 @@
-/** The queue head's reservation: the capacity it misses is set aside up to the shadow time. */
+/** The queue head's reservation of capacity for its unplaced tasks until the shadow time. */
 
 import { occupiesMachine } from '../lifecycle/attempts.js';
 import type { Job, Placement } from '../model/entities.js';
@@ -12,14 +12,14 @@
 } from './capacity.js';
 import { estimateEnd } from './estimates.js';
 
-/** When an attempt should leave its machine by its estimate. */
+/** When an attempt is expected to release its machine's capacity. */
 interface ExpectedEnd {
   readonly endsAt: number;
   readonly capacity: FreeCapacity;
   readonly placement: Placement;
 }
 
-/** Starts the account of the shadow time from what is free now. */
+/** Resets the capacity at the shadow time to the capacity that is free now. */
 const resetShadowCapacities = (capacities: readonly FreeCapacity[]): void => {
   for (const capacity of capacities) {
     capacity.shadowCpus = capacity.cpus;
@@ -28,7 +28,7 @@
   }
 };
 
-/** The expected ends by the second, so that only those seconds need be sorted that matter. */
+/** The expected ends by second, so that only the ends within the seconds reached are sorted. */
 const collectExpectedEnds = (
   capacities: readonly FreeCapacity[],
   now: Instant,
@@ -58,9 +58,9 @@
 };
 
 /**
- * Reserves capacity for the head's missing tasks, letting the running attempts end in the order of
- * their estimates until all fit. Returns the shadow time, when the last of them does, or null where
- * none ever fits.
+ * Reserves capacity for the head's unplaced tasks: goes through the expected ends of attempts in
+ * order until all fit. Returns the shadow time, when the last task that fits does, or null if none
+ * fits.
  */
 export const reserveForHead = (
   head: Job,
--- a/src/core/scheduling/scoring.ts
+++ b/src/core/scheduling/scoring.ts
@@ -1,10 +1,10 @@
 /**
- * The score of a waiting job: the weighted sum of aging, deadline, scarcity and shortness, and of
- * the job's own priority, which is our addition.
+ * The score of a waiting job: the weighted sum of aging, deadline, scarcity and shortness, plus the
+ * job's own priority, which is not in the paper.
  *
  * The formulas are those of Capannini et al., "Backfilling Strategies for Scheduling Streams of
  * Jobs on Computational Farms" (scheduler BF UNMOD, heuristics Aging, Deadline, Licenses and Wait
- * Minimization); where ours differ, the function says so.
+ * Minimization). Each function documents where it deviates.
  */
 
 import type { MachineTypeName } from '../model/ids.js';
@@ -15,15 +15,15 @@
 
 const MS_PER_HOUR = 3_600_000;
 
-/** What the scores need to know of a job that waits. */
+/** The part of a waiting job that its scores depend on. */
 export interface WaitingJob {
   readonly spec: JobSpec;
   readonly submittedAt: Instant;
-  /** Tasks that wait for a machine. */
+  /** Number of tasks that wait for a machine. */
   readonly pendingTasks: number;
 }
 
-/** A job's weighted scores. Users see these names in the answer of `explain`. */
+/** A job's weighted scores. These names are part of the `explain` response. */
 export interface JobScores {
   readonly aging: number;
   readonly deadline: number;
@@ -34,31 +34,30 @@
   readonly total: number;
 }
 
-/** How scarce the GPU types are, which stand for the licences of the paper. */
+/** Scarcity of GPU types, which take the role of licences in the paper. */
 export interface GpuScarcity {
-  /** Requested over present GPUs of each type: ρ(l) of the paper. */
+  /** Requested GPUs over those in the fleet, for each type: ρ(l) of the paper. */
   readonly requestRatios: ReadonlyMap<MachineTypeName, number>;
-  /** How many types have enough for all requests, at least 1: d of the paper. */
+  /** Number of types with enough GPUs for all requests, at least 1: d of the paper. */
   readonly ampleTypeCount: number;
 }
 
-/** What a ranking is computed from, beside the waiting jobs. */
 export interface RankingInput {
   readonly types: ReadonlyMap<MachineTypeName, MachineType>;
-  /** GPUs that the fleet has now, by machine type. */
   readonly fleetGpus: ReadonlyMap<MachineTypeName, number>;
   readonly now: Instant;
   readonly policy: Policy;
 }
 
-/** What one ranking computes once for all jobs. */
+/** Values computed once per ranking for all jobs. */
 export interface ScoringContext extends RankingInput {
   readonly scarcity: GpuScarcity;
+
   /** The shortest estimate in the queue, in seconds. */
   readonly shortestEstimateS: number;
 }
 
-/** The machine types on whose GPUs a task of the job could run. */
+/** The machine types with enough GPUs for a task of the job; none if it needs none. */
 const findGpuTypes = (
   spec: JobSpec,
   types: ReadonlyMap<MachineTypeName, MachineType>,
@@ -68,7 +67,7 @@
   return names.filter((name) => (types.get(name)?.gpus ?? 0) >= spec.gpus);
 };
 
-/** ρ(l) = requests(l) / total(l) for each GPU type that is requested, and how many have ρ ≤ 1. */
+/** ρ(l) = requests(l) / total(l) for each requested GPU type, and the number with ρ ≤ 1. */
 export const measureScarcity = (
   waiting: Iterable<WaitingJob>,
   { types, fleetGpus }: Pick<RankingInput, 'types' | 'fleetGpus'>,
@@ -80,18 +79,18 @@
     }
   }
   const requestRatios = new Map<MachineTypeName, number>();
-  let ampleTypes = 0;
+  let ampleTypeCount = 0;
   for (const [type, requested] of requests) {
     const ratio = requested / Math.max(fleetGpus.get(type) ?? 0, 1);
     requestRatios.set(type, ratio);
-    if (ratio <= 1) ampleTypes += 1;
+    if (ratio <= 1) ampleTypeCount += 1;
   }
-  return { requestRatios, ampleTypeCount: Math.max(ampleTypes, 1) };
+  return { requestRatios, ampleTypeCount: Math.max(ampleTypeCount, 1) };
 };
 
 /**
- * Aging: age factor · (now − submission), which keeps jobs from starving. Our age factor is in
- * points for each hour of waiting.
+ * Aging: age factor · (now − submission), which prevents starvation. Here, the age factor is in
+ * points per hour.
  */
 export const scoreAging = (
   { submittedAt }: Pick<WaitingJob, 'submittedAt'>,
@@ -102,7 +101,7 @@
 /**
  * Deadline, without its weight. With te the estimated end, over = k · estimate and the threshold
  * ts = deadline − over: min for te < ts; min + (max − min) / over · (te − ts) up to the deadline; 0
- * after it. Ours: a job without a deadline, and a service, which has no end, get 0.
+ * after it. Not in the paper: jobs without a deadline, and services, which have no end, score 0.
  */
 export const scoreDeadline = (
   job: Pick<WaitingJob, 'spec' | 'submittedAt'>,
@@ -125,8 +124,8 @@
 
 /**
  * Scarcity, without its weight: the paper's Licenses heuristic, Σ ρ(l) over the ample types that
- * the job may use + d · Σ ρ(l) over the scarce ones (ρ > 1), d the number of ample types. Ours: GPU
- * types stand for licences.
+ * the job may use + d · Σ ρ(l) over the scarce ones (ρ > 1), d being the number of ample types.
+ * Here, GPU types take the place of licences.
  */
 export const scoreScarcity = (
   spec: JobSpec,
@@ -141,15 +140,15 @@
 };
 
 /**
- * A job's estimate for shortness, in seconds. Ours, since the paper has no arrays: what the waiting
- * tasks take one after the other. A service has no end, so that it is never the shortest.
+ * A job's estimate for shortness, in seconds: the run time of its pending tasks one after the other
+ * (the paper has no arrays). Infinite for a service, so that it is never the shortest.
  */
 export const estimateJobS = (job: WaitingJob): number =>
   isService(job) ? Number.POSITIVE_INFINITY : job.spec.estimateS * job.pendingTasks;
 
 /**
  * Shortness, without its weight: the paper's Wait Minimization heuristic, the shortest estimate in
- * the queue over the job's own; its priority boost value is our weight. A service gets 0.
+ * the queue over the job's own. Its priority boost value is the weight here. A service scores 0.
  */
 export const scoreShortness = (job: WaitingJob, shortestEstimateS: number): number => {
   const estimateS = estimateJobS(job);
@@ -157,7 +156,7 @@
   return estimateS > 0 ? shortestEstimateS / estimateS : 1;
 };
 
-/** Priority, ours: points for each level, because the four scores know nothing of urgency. */
+/** Priority (not in the paper): points per level, as the other four scores ignore urgency. */
 export const scorePriority = (spec: JobSpec, policy: Policy): number =>
   policy.priorityWeight * PRIORITY_LEVEL[spec.priority];
 
@@ -179,7 +178,7 @@
   readonly scores: JobScores;
 }
 
-/** Ranks jobs, the highest score first; the earlier submission, then the id, decide ties. */
+/** Ranks jobs, the highest score first; ties go to the earlier submission, then the lower id. */
 export const rankJobs = <T extends WaitingJob>(
   waiting: readonly T[],
   input: RankingInput,
--- a/src/core/scheduling/service-reservation.ts
+++ b/src/core/scheduling/service-reservation.ts
@@ -1,6 +1,6 @@
 /**
- * On-demand machines that are reserved for services which may use no others, so that the next such
- * service finds capacity at once.
+ * Reserves on-demand machines for on-demand services, which may not use spot machines, so that the
+ * next such service finds capacity at once.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -11,21 +11,21 @@
 import { isFirstTaskOverdue } from './ranking.js';
 import { isBeingVacated, isLiveReplica } from './services.js';
 
-/** How long after the last such service machines stay reserved for the next one. */
+/** How long machines stay reserved after the last on-demand service has ended. */
 const RESERVATION_RETENTION_MS = seconds(240);
-/** Reserved over what the present services take, so that their replicas can move. */
+/** Reserved over used capacity of the live services, so that their replicas can move. */
 const LIVE_SERVICES_FACTOR = 1.5;
-/** How many services as large as the largest of late find capacity at once. */
+/** How many services as large as the largest recent one find capacity at once. */
 const LARGEST_SERVICE_FACTOR = 2;
 
-/** Whether it is a live service that may use on-demand machines only. */
+/** Whether the job is an unfinished service that may use on-demand machines only. */
 const isLiveOnDemandService = (job: Job): boolean =>
   isService(job) && !job.spec.allowsSpot && job.terminalState === 'none';
 
 /**
- * Processors on on-demand machines that are provisioned and reserved for services: what the present
- * ones take, half as much again, and twice the largest seen of late; 0 once there were none for a
- * while. Records in the state when such a service was last seen, and the largest.
+ * The processors of on-demand machines to provision and reserve for services: 1.5 times those of
+ * the live on-demand services, plus twice the largest recent one; 0 once there has been none for
+ * `RESERVATION_RETENTION_MS`. Records in the state when one was last seen, and the largest size.
  */
 export const updateReservedOnDemandCpus = (state: CoreState, now: Instant): number => {
   let cpus = 0;
@@ -44,7 +44,7 @@
   return cpus * LIVE_SERVICES_FACTOR + LARGEST_SERVICE_FACTOR * state.largestServiceCpus;
 };
 
-/** Whether an array has waited so long for its first task that nothing is reserved against it. */
+/** Whether an array has waited so long for its first task that the reservation is suspended. */
 const hasOverdueFirstTask = (state: CoreState, now: Instant): boolean => {
   const minWaitMs = seconds(state.config.policy.firstTaskAfterS);
   for (const job of state.jobs.values()) {
@@ -54,7 +54,7 @@
   return false;
 };
 
-/** Which machines of a zone are reserved first: the higher, the earlier. */
+/** Order in which a zone's machines are reserved, the highest rank first. */
 const RESERVATION_RANK = { hasReplicas: 2, wasReserved: 1, other: 0 };
 
 interface ReservationCandidate {
@@ -76,7 +76,7 @@
   return wasReserved ? RESERVATION_RANK.wasReserved : RESERVATION_RANK.other;
 };
 
-/** Lifts all reservations, and lists by zone the machines that may be reserved anew. */
+/** Clears all reservations, and lists by zone the machines that may be reserved again. */
 const releaseReservations = (
   state: CoreState,
   neededCpus: number,
@@ -97,12 +97,12 @@
 };
 
 /**
- * Chooses the on-demand machines that arrays which may use spot machines leave alone: those with
- * replicas first, then those reserved before. The zones take turns, so that a zone that is lost
+ * Reserves on-demand machines, which arrays that may use spot machines then do not use: those with
+ * replicas first, then those reserved before. Zones are served round-robin, so that the loss of one
  * leaves capacity in the others.
  */
 export const reserveMachinesForServices = (state: CoreState, now: Instant): void => {
-  // An overdue job lifts the reservation: there may be no other machines left to provision for it.
+  // An overdue job suspends the reservation: the cloud may have no other machines left for it.
   let remainingCpus = hasOverdueFirstTask(state, now) ? 0 : updateReservedOnDemandCpus(state, now);
   const zones = [...releaseReservations(state, remainingCpus).values()];
   for (const zone of zones)
--- a/src/core/scheduling/stop-requests.ts
+++ b/src/core/scheduling/stop-requests.ts
@@ -1,14 +1,14 @@
-/** Asking a running attempt to leave its machine, with time to write a checkpoint. */
+/** Requests to stop an attempt, with a grace period for writing a checkpoint. */
 
 import type { Job, Placement } from '../model/entities.js';
 
-/** An attempt whose job is known and not over. */
+/** An attempt whose job is known and unfinished. */
 export type AttemptWithJob = Placement & { readonly job: Job };
 
 /** Seconds beyond the nominal time of a checkpoint write, so that a slow write still ends. */
 const CHECKPOINT_WRITE_MARGIN_S = 5;
 
-/** Requests that the attempt stops, unless that is requested already; the task then waits again. */
+/** Requests a stop, unless one is requested already; the task is then requeued. */
 export const requestStop = (attempt: AttemptWithJob): void => {
   const { checkpointIntervalS, checkpointWriteS } = attempt.job.spec;
   attempt.stopRequest ??= {
