--- a/src/core/lifecycle/attempts.ts
+++ b/src/core/lifecycle/attempts.ts
@@ -17,7 +17,11 @@
 export const ATTEMPTS_PER_REVISION = 1_000_000;
 
 /** Whether a number is left for another attempt. */
-export const hasAttemptLeft = ({ config, nextAttemptOffset, storedRevision }: CoreState): boolean =>
+export const hasUnusedAttemptNumber = ({
+  config,
+  nextAttemptOffset,
+  storedRevision,
+}: CoreState): boolean =>
   nextAttemptOffset < (storedRevision - config.fencingToken + 1) * ATTEMPTS_PER_REVISION;
 
 /** Whether an attempt in this phase may be on its machine, so that its resources count as used. */
--- a/src/core/lifecycle/heartbeat-replies.ts
+++ b/src/core/lifecycle/heartbeat-replies.ts
@@ -8,7 +8,7 @@
 import type { Instant } from '../model/time.js';
 import type { WorkerCommand } from '../model/worker-command.js';
 import { isLiveReplica } from '../scheduling/services.js';
-import { commandsFor, killCommandsOfEndedJobs } from './worker-commands.js';
+import { commandsForReply, killCommandsOfEndedJobs } from './worker-commands.js';
 
 /** A reply waits at most this long for the ledger entries of its starts. */
 const LEDGER_WAIT_MS = 900;
@@ -70,7 +70,7 @@
 ): void => {
   switch (authority) {
     case 'lead':
-      return sendReply(machine, ticket, commandsFor(state, machine, now), effects);
+      return sendReply(machine, ticket, commandsForReply(state, machine, now), effects);
     case 'keep-alive':
       return sendReply(machine, ticket, killCommandsOfEndedJobs(machine, now), effects);
     case 'none':
--- a/src/core/lifecycle/machine-registry.ts
+++ b/src/core/lifecycle/machine-registry.ts
@@ -13,7 +13,7 @@
 import { moveAttemptsToZone } from './attempts.js';
 
 /** What is known of a machine when the leader first learns of it; a heartbeat has all of it. */
-export interface KnownAttributes extends Partial<MachineAttributes> {
+export interface InitialAttributes extends Partial<MachineAttributes> {
   readonly endpoint?: string;
 }
 
@@ -24,7 +24,7 @@
 export const getOrCreateMachine = (
   state: CoreState,
   id: MachineId,
-  known: KnownAttributes | undefined,
+  known: InitialAttributes | undefined,
   now: Instant,
 ): Machine => {
   const tracked = state.machines.get(id);
--- a/src/core/lifecycle/worker-commands.ts
+++ b/src/core/lifecycle/worker-commands.ts
@@ -91,7 +91,11 @@
 };
 
 /** What a leader commands in the reply to a heartbeat; marks starts and kills as sent. */
-export const commandsFor = (state: CoreState, machine: Machine, now: Instant): WorkerCommand[] => {
+export const commandsForReply = (
+  state: CoreState,
+  machine: Machine,
+  now: Instant,
+): WorkerCommand[] => {
   const commands: WorkerCommand[] = [];
   for (const placement of machine.placements.values()) {
     if (commands.length >= MAX_COMMANDS) break;
--- a/src/core/scheduling/placement.ts
+++ b/src/core/scheduling/placement.ts
@@ -1,7 +1,11 @@
 /** Placement of one job's pending tasks: the choice and order of machines, and the limits. */
 
 import type { CoreState } from '../core-state.js';
-import { ATTEMPTS_PER_REVISION, addPlacement, hasAttemptLeft } from '../lifecycle/attempts.js';
+import {
+  ATTEMPTS_PER_REVISION,
+  addPlacement,
+  hasUnusedAttemptNumber,
+} from '../lifecycle/attempts.js';
 import { failsEverywhere, takePendingTask } from '../lifecycle/job-tasks.js';
 import type { Job, Placement } from '../model/entities.js';
 import type { AttemptId, ZoneName } from '../model/ids.js';
@@ -160,7 +164,7 @@
 ): Placement | null => {
   const index = takePendingTask(job);
   if (index === null) return null;
-  if (!hasAttemptLeft(state)) {
+  if (!hasUnusedAttemptNumber(state)) {
     job.requeuedTasks.push(index);
     return null;
   }
