--- a/src/core/lifecycle/attempts.ts
+++ b/src/core/lifecycle/attempts.ts
@@ -37,8 +37,8 @@
 };
 
 const removeFromZone = ({ attemptsByZone }: Job, zone: ZoneName): void => {
-  const left = (attemptsByZone.get(zone) ?? 1) - 1;
-  if (left > 0) attemptsByZone.set(zone, left);
+  const remaining = (attemptsByZone.get(zone) ?? 1) - 1;
+  if (remaining > 0) attemptsByZone.set(zone, remaining);
   else attemptsByZone.delete(zone);
 };
 
@@ -51,14 +51,14 @@
   }
 };
 
-const occupyMachine = (machine: Machine, entry: LedgerEntry): void => {
+const addMachineUsage = (machine: Machine, entry: LedgerEntry): void => {
   machine.attemptCount += 1;
   machine.usedCpus += entry.cpus;
   machine.usedGpus += entry.gpus;
   machine.usedMemoryGb += entry.memoryGb;
 };
 
-const vacateMachine = (machine: Machine, entry: LedgerEntry, now: Instant): void => {
+const subtractMachineUsage = (machine: Machine, entry: LedgerEntry, now: Instant): void => {
   machine.attemptCount -= 1;
   machine.usedCpus -= entry.cpus;
   machine.usedGpus -= entry.gpus;
@@ -71,7 +71,7 @@
   machine.usedMemoryGb = 0;
 };
 
-const chargeTeam = (state: CoreState, entry: LedgerEntry): void => {
+const addTeamUsage = (state: CoreState, entry: LedgerEntry): void => {
   const usage = state.teamUsage.get(entry.team);
   if (!usage) {
     state.teamUsage.set(entry.team, { cpus: entry.cpus, gpus: entry.gpus });
@@ -81,7 +81,7 @@
   usage.gpus += entry.gpus;
 };
 
-const refundTeam = (state: CoreState, entry: LedgerEntry): void => {
+const subtractTeamUsage = (state: CoreState, entry: LedgerEntry): void => {
   const usage = state.teamUsage.get(entry.team);
   if (!usage) return;
   usage.cpus -= entry.cpus;
@@ -105,9 +105,9 @@
   const { index } = placement.entry;
   if (placement.isSuperseded) job.supersededAttempts -= 1;
   removeFromZone(job, placement.machine.zone);
-  const left = (job.attemptsByTask.get(index) ?? []).filter((other) => other !== placement);
-  if (left.length > 0) {
-    job.attemptsByTask.set(index, left);
+  const remaining = (job.attemptsByTask.get(index) ?? []).filter((other) => other !== placement);
+  if (remaining.length > 0) {
+    job.attemptsByTask.set(index, remaining);
     return;
   }
   job.attemptsByTask.delete(index);
@@ -121,8 +121,8 @@
 export const addPlacement = (state: CoreState, placement: Placement): void => {
   const { entry, machine, job } = placement;
   machine.placements.set(entry.attempt, placement);
-  occupyMachine(machine, entry);
-  chargeTeam(state, entry);
+  addMachineUsage(machine, entry);
+  addTeamUsage(state, entry);
   if (job) addToJob(job, placement);
 };
 
@@ -142,8 +142,8 @@
   placement.phase = 'ended';
   state.awaitingLedgerEntry.delete(placement);
   detachPlacement(state, placement);
-  refundTeam(state, entry);
+  subtractTeamUsage(state, entry);
   if (job) removeFromJob(job, placement, now);
-  vacateMachine(machine, entry, now);
+  subtractMachineUsage(machine, entry, now);
   state.isRoundDue = true;
 };
--- a/src/core/lifecycle/heartbeat-reconciliation.ts
+++ b/src/core/lifecycle/heartbeat-reconciliation.ts
@@ -56,7 +56,7 @@
 };
 
 /** A machine taken for lost that reports again is not lost, unless it is on its way out anyhow. */
-const clearLoss = (machine: Machine): void => {
+const clearLostState = (machine: Machine): void => {
   const isDrained = machine.isDraining && machine.placements.size === 0;
   if (machine.lostAt === null || machine.isDeleting || isDrained) return;
   machine.lostAt = null;
@@ -116,13 +116,13 @@
     const { id: machineId, type, zone } = machine;
     logEvent(effects, 'debug', 'machine up', { machineId, type, zone });
   }
-  const isReadyAtOnce = isFirstHeartbeatOfNewMachine(machine, heartbeat);
+  const isReadyImmediately = isFirstHeartbeatOfNewMachine(machine, heartbeat);
   recordHeartbeat(state, machine, heartbeat, isDirectResponse, now);
-  clearLoss(machine);
+  clearLostState(machine);
   updateReclaimNotice(state, machine, heartbeat, now);
   const evidence = assessHeartbeat(state, machine, heartbeat, isDirectResponse);
   updateReadiness(state, machine, heartbeat, evidence, now);
-  if (isReadyAtOnce) {
+  if (isReadyImmediately) {
     machine.isReady = true;
     state.isRoundDue = true;
   }
--- a/src/core/lifecycle/heartbeat-replies.ts
+++ b/src/core/lifecycle/heartbeat-replies.ts
@@ -11,17 +11,17 @@
 import { commandsForReply, killCommandsOfEndedJobs } from './worker-commands.js';
 
 /** A reply waits at most this long for the ledger entries of its starts. */
-const LEDGER_WAIT_MS = 900;
+const MAX_LEDGER_WAIT_MS = 900;
 /**
  * The reply to an idle worker goes out once there is something to start, or after this share of the
  * heartbeat interval, and this long at most: a start that misses it would wait for the next
  * heartbeat. Busy workers are replied to at once, since their heartbeats bring results.
  */
-const IDLE_HOLD_SHARE = 0.6;
-const IDLE_HOLD_MAX_MS = 2900;
+const IDLE_REPLY_DELAY_SHARE = 0.6;
+const MAX_IDLE_REPLY_DELAY_MS = 2900;
 
-const awaitsLedgerEntry = ({ placements }: Machine, heldMs: number): boolean => {
-  if (heldMs >= LEDGER_WAIT_MS) return false;
+const awaitsLedgerEntry = ({ placements }: Machine, waitedMs: number): boolean => {
+  if (waitedMs >= MAX_LEDGER_WAIT_MS) return false;
   for (const placement of placements.values()) if (placement.phase === 'persisting') return true;
   return false;
 };
@@ -38,7 +38,7 @@
   return true;
 };
 
-const startedAttempts = (commands: readonly WorkerCommand[]): AttemptId[] => {
+const attemptsOfStartCommands = (commands: readonly WorkerCommand[]): AttemptId[] => {
   const attempts: AttemptId[] = [];
   for (const command of commands) if (command.op === 'start') attempts.push(command.attempt);
   return attempts;
@@ -52,7 +52,7 @@
   effects: Effect[],
 ): void => {
   machine.acknowledgedEpoch = machine.agentEpoch;
-  const attempts = startedAttempts(commands);
+  const attempts = attemptsOfStartCommands(commands);
   if (attempts.length > 0) {
     const { heartbeatSequence } = machine;
     machine.dispatchedStarts = { heartbeatSequence, attempts };
@@ -88,7 +88,10 @@
   authority: Authority,
   effects: Effect[],
 ): void => {
-  const idleHoldMs = Math.min(IDLE_HOLD_MAX_MS, state.config.heartbeatIntervalMs * IDLE_HOLD_SHARE);
+  const idleReplyDelayMs = Math.min(
+    MAX_IDLE_REPLY_DELAY_MS,
+    state.config.heartbeatIntervalMs * IDLE_REPLY_DELAY_SHARE,
+  );
   for (const machine of state.machinesAwaitingReply) {
     const { pendingReply } = machine;
     if (!pendingReply) {
@@ -96,10 +99,10 @@
       continue;
     }
     if (authority === 'lead') {
-      const heldMs = now - pendingReply.since;
-      if (awaitsLedgerEntry(machine, heldMs)) continue;
-      const mayBeHeld = heldMs < idleHoldMs && isIdle(machine);
-      if (mayBeHeld && isSchedulable(state, machine, now)) continue;
+      const waitedMs = now - pendingReply.since;
+      if (awaitsLedgerEntry(machine, waitedMs)) continue;
+      const mayBeDelayed = waitedMs < idleReplyDelayMs && isIdle(machine);
+      if (mayBeDelayed && isSchedulable(state, machine, now)) continue;
     }
     state.machinesAwaitingReply.delete(machine);
     machine.pendingReply = null;
--- a/src/core/lifecycle/job-view.ts
+++ b/src/core/lifecycle/job-view.ts
@@ -57,7 +57,7 @@
   | {
       readonly kind: 'queued';
       /** What the last scheduling round found; empty where none has looked at the job yet. */
-      readonly finding: string;
+      readonly waitingReason: string;
       readonly isQueueHead: boolean;
     };
 
@@ -89,7 +89,7 @@
   if (countTasksWithinQuota(state, job) < 1) return QUOTA_USED_UP;
   return {
     kind: 'queued',
-    finding: job.waitingReason,
+    waitingReason: job.waitingReason,
     isQueueHead: state.queueHead === job.spec.id,
   };
 };
@@ -106,8 +106,8 @@
     case 'quota-used-up':
       return 'team limit';
     case 'queued': {
-      const finding = reason.finding || 'next round';
-      const text = reason.isQueueHead ? `${finding} (head of the queue)` : finding;
+      const waitingReason = reason.waitingReason || 'next round';
+      const text = reason.isQueueHead ? `${waitingReason} (head of the queue)` : waitingReason;
       const booting = countBootingMachines(state);
       return booting > 0 ? `${text}; ${booting} machines booting` : text;
     }
--- a/src/core/lifecycle/jobs.ts
+++ b/src/core/lifecycle/jobs.ts
@@ -11,7 +11,7 @@
 import { createJob } from './job-tasks.js';
 
 /** Longer than a read, a watch or an unanswered write can be under way. */
-const ENDED_KEPT_MS = 120_000;
+const ENDED_JOB_RETENTION_MS = 120_000;
 
 /**
  * Takes up an admitted job. One that has ended is not taken up again: a watch, a read or the answer
@@ -24,9 +24,9 @@
 };
 
 /** Remembers the end, and forgets those that no late message can tell of as open any more. */
-const rememberEnd = ({ recentlyEndedJobs }: CoreState, id: JobId, now: Instant): void => {
+const recordEndedJob = ({ recentlyEndedJobs }: CoreState, id: JobId, now: Instant): void => {
   for (const [ended, endedAt] of recentlyEndedJobs) {
-    if (now - endedAt < ENDED_KEPT_MS) break;
+    if (now - endedAt < ENDED_JOB_RETENTION_MS) break;
     recentlyEndedJobs.delete(ended);
   }
   recentlyEndedJobs.set(id, now);
@@ -41,7 +41,7 @@
 ): void => {
   const { id, tasks, team } = job.spec;
   state.jobs.delete(id);
-  rememberEnd(state, id, now);
+  recordEndedJob(state, id, now);
   for (const chunk of job.chunks.values()) detachChunk(state, chunk);
   if (state.queueHead === id) state.queueHead = null;
   const outcome = job.terminalState === 'cancelled' ? 'cancelled' : 'done';
--- a/src/core/lifecycle/machine-reachability.ts
+++ b/src/core/lifecycle/machine-reachability.ts
@@ -58,7 +58,7 @@
   return unverifiedSince !== null && now - unverifiedSince > limitMs;
 };
 
-const doManySeemUnreachable = (state: CoreState): boolean => {
+const areTooManyUnreachable = (state: CoreState): boolean => {
   let unreachable = 0;
   for (const machine of state.machines.values())
     if (machine.isUnreachable || machine.unacknowledgedReplies >= UNACKNOWLEDGED_LIMIT)
@@ -77,15 +77,15 @@
   now: Instant,
   effects: Effect[],
 ): void => {
-  const before = machine.unacknowledgedReplies;
+  const previousCount = machine.unacknowledgedReplies;
   machine.unacknowledgedReplies = countUnacknowledgedReplies(machine, heartbeat);
   machine.dispatchedStarts = null;
-  const hasMissedAnother = machine.unacknowledgedReplies > before;
-  if (hasMissedAnother && machine.unacknowledgedReplies >= UNACKNOWLEDGED_LIMIT)
+  const hasMissedReply = machine.unacknowledgedReplies > previousCount;
+  if (hasMissedReply && machine.unacknowledgedReplies >= UNACKNOWLEDGED_LIMIT)
     machine.quarantinedUntil = addMillis(now, state.config.workerLeaseMs);
   else if (machine.unacknowledgedReplies === 0) machine.quarantinedUntil = 0 as Instant;
   if (machine.isUnreachable || !seemsUnreachable(state, machine, now)) return;
-  if (doManySeemUnreachable(state)) {
+  if (areTooManyUnreachable(state)) {
     machine.unacknowledgedReplies = Math.min(machine.unacknowledgedReplies, UNACKNOWLEDGED_LIMIT);
     return;
   }
--- a/src/core/lifecycle/machine-registry.ts
+++ b/src/core/lifecycle/machine-registry.ts
@@ -24,16 +24,16 @@
 export const getOrCreateMachine = (
   state: CoreState,
   id: MachineId,
-  known: InitialAttributes | undefined,
+  initial: InitialAttributes | undefined,
   now: Instant,
 ): Machine => {
   const tracked = state.machines.get(id);
   if (tracked) return tracked;
   const attributes = {
-    endpoint: known?.endpoint ?? '',
-    type: known?.type ?? ('' as MachineTypeName),
-    zone: known?.zone ?? ('' as ZoneName),
-    spot: known?.spot ?? true,
+    endpoint: initial?.endpoint ?? '',
+    type: initial?.type ?? ('' as MachineTypeName),
+    zone: initial?.zone ?? ('' as ZoneName),
+    spot: initial?.spot ?? true,
   };
   const machine = createMachine(id, attributes, now, now);
   state.machines.set(id, machine);
--- a/src/core/lifecycle/task-failures.ts
+++ b/src/core/lifecycle/task-failures.ts
@@ -9,11 +9,11 @@
 import { FAILED_MACHINES_LIMIT, failsEverywhere } from './job-tasks.js';
 
 /** A replica that ran for this long was sound: its end says nothing against its service. */
-const SOUND_RUN_MS = 30_000;
+const HEALTHY_RUN_MS = 30_000;
 /** After this long without a failure a service's back-off starts anew. */
-const FAILURES_FORGOTTEN_MS = 120_000;
+const FAILURE_RESET_MS = 120_000;
 /** Pause of a service that fails repeatedly while other replicas of it run. */
-const SOUND_SERVICE_PAUSE_MS = 3000 as Millis;
+const HEALTHY_SERVICE_PAUSE_MS = 3000 as Millis;
 
 /** Bounds of the back-off of a job that fails everywhere; it doubles with each failure. */
 const MIN_BACKOFF_S = 2;
@@ -69,17 +69,17 @@
   now: Instant,
   effects: Effect[],
 ): void => {
-  if (now - job.lastFailureAt > FAILURES_FORGOTTEN_MS) {
+  if (now - job.lastFailureAt > FAILURE_RESET_MS) {
     job.failedMachines.clear();
     job.consecutiveFailures = 0;
   }
   job.lastFailureAt = now;
-  const isSound = placement.startedAt !== null && now - placement.startedAt >= SOUND_RUN_MS;
-  if (isSound) job.failedMachines.add(placement.machine.id);
+  const wasHealthy = placement.startedAt !== null && now - placement.startedAt >= HEALTHY_RUN_MS;
+  if (wasHealthy) job.failedMachines.add(placement.machine.id);
   else recordTaskFailure(state, job, placement.machine, now, effects);
   // With others of it running the service is sound, but it must not be retried without a pause.
-  if (!isSound && job.consecutiveFailures >= FAILED_MACHINES_LIMIT && !failsEverywhere(job))
-    job.retryAt = addMillis(now, SOUND_SERVICE_PAUSE_MS);
+  if (!wasHealthy && job.consecutiveFailures >= FAILED_MACHINES_LIMIT && !failsEverywhere(job))
+    job.retryAt = addMillis(now, HEALTHY_SERVICE_PAUSE_MS);
   // An end without an error says nothing against the machine.
   if (!hasFailed) placement.machine.failedJobs.delete(job.spec.id);
 };
--- a/src/core/lifecycle/task-reconciliation.ts
+++ b/src/core/lifecycle/task-reconciliation.ts
@@ -19,10 +19,10 @@
 import { recordReplicaExit, recordTaskFailure } from './task-failures.js';
 
 /** For how long a machine that had no room for a task gets no more work. */
-const SATURATED_MS = 1500 as Millis;
+const SATURATION_PAUSE_MS = 1500 as Millis;
 
 /** Pause of a job whose task ended for an unknown cause. */
-const UNKNOWN_CAUSE_PAUSE = seconds(2);
+const UNKNOWN_CAUSE_PAUSE_MS = seconds(2);
 
 /**
  * Counts an attempt that this leader did not place: from a former leader's ledger, or found on a
@@ -36,8 +36,8 @@
   segment: LedgerSegment | null,
 ): Placement => {
   // A task index that its job does not have is only counted and killed, like an unknown job's task.
-  const named = state.jobs.get(entry.job);
-  const job = named && entry.index < named.spec.tasks ? named : null;
+  const knownJob = state.jobs.get(entry.job);
+  const job = knownJob && entry.index < knownJob.spec.tasks ? knownJob : null;
   const placement: Placement = {
     entry,
     machine,
@@ -78,9 +78,9 @@
   };
   const placement = recoverPlacement(state, machine, entry, now, null);
   const { job } = placement;
-  const hasRivals = (job?.attemptsByTask.get(entry.index) ?? []).length > 1;
-  const isDoneElsewhere = task.phase !== 'ended' && job !== null && isTaskDone(job, entry.index);
-  if (hasRivals || isDoneElsewhere) requestImmediateKill(placement);
+  const hasOtherAttempts = (job?.attemptsByTask.get(entry.index) ?? []).length > 1;
+  const isTaskAlreadyDone = task.phase !== 'ended' && job !== null && isTaskDone(job, entry.index);
+  if (hasOtherAttempts || isTaskAlreadyDone) requestImmediateKill(placement);
   state.awaitingLedgerEntry.add(placement);
   return placement;
 };
@@ -149,8 +149,8 @@
 ): void => {
   const { job, machine } = placement;
   if (job) recordTaskEnd(state, job, placement, task.cause, now, effects);
-  if (task.cause === 'no_room') machine.saturatedUntil = addMillis(now, SATURATED_MS);
-  else if (task.cause === 'unknown' && job) job.retryAt = addMillis(now, UNKNOWN_CAUSE_PAUSE);
+  if (task.cause === 'no_room') machine.saturatedUntil = addMillis(now, SATURATION_PAUSE_MS);
+  else if (task.cause === 'unknown' && job) job.retryAt = addMillis(now, UNKNOWN_CAUSE_PAUSE_MS);
   if (task.cause === 'done') machine.failedJobs.clear();
   else if (job) logAttemptEnded(placement, task, effects);
   releasePlacement(state, placement, now, 'reported');
--- a/src/core/lifecycle/worker-commands.ts
+++ b/src/core/lifecycle/worker-commands.ts
@@ -79,7 +79,7 @@
   return { op: 'start', job, index, attempt };
 };
 
-const commandFor = (
+const commandForAttempt = (
   state: CoreState,
   machine: Machine,
   placement: Placement,
@@ -99,13 +99,13 @@
   const commands: WorkerCommand[] = [];
   for (const placement of machine.placements.values()) {
     if (commands.length >= MAX_COMMANDS) break;
-    const command = commandFor(state, machine, placement, now);
+    const command = commandForAttempt(state, machine, placement, now);
     if (command) commands.push(command);
   }
   return commands;
 };
 
-const isAnyAttempt = (): boolean => true;
+const acceptAnyAttempt = (): boolean => true;
 
 const isDirectKillDue = (phase: AttemptPhase, { sentAt }: StopRequest, now: Instant): boolean =>
   phase !== 'persisting' &&
@@ -120,7 +120,7 @@
   machine: Machine,
   now: Instant,
   effects: Effect[],
-  isEligible: (placement: Placement) => boolean = isAnyAttempt,
+  isEligible: (placement: Placement) => boolean = acceptAnyAttempt,
 ): void => {
   if (!machine.endpoint || machine.agentEpoch === 0) return;
   const commands: WorkerCommand[] = [];
--- a/src/core/lifecycle/worker-leases.ts
+++ b/src/core/lifecycle/worker-leases.ts
@@ -5,7 +5,7 @@
 import type { Instant, Millis } from '../model/time.js';
 
 /** Two clocks drift apart by twice this share of the time at most. */
-const CLOCK_DRIFT = 0.001;
+const MAX_CLOCK_DRIFT = 0.001;
 const LEASE_MARGIN_MS = 1000;
 /** What is left of a cancellation's time when the last task that was kept alive ends. */
 const CANCEL_MARGIN_MS = 3000;
@@ -21,12 +21,13 @@
  * that. 0 where the settings leave no room: nothing is kept alive then.
  */
 export const graceAfterLeaseLoss = (cancelMs: Millis, leaseMs: Millis): Millis => {
-  const roomMs = (cancelMs - leaseMs * (1 + CLOCK_DRIFT)) / (1 + CLOCK_DRIFT) - CANCEL_MARGIN_MS;
-  return Math.max(0, Math.min(MAX_GRACE_MS, roomMs)) as Millis;
+  const availableMs =
+    (cancelMs - leaseMs * (1 + MAX_CLOCK_DRIFT)) / (1 + MAX_CLOCK_DRIFT) - CANCEL_MARGIN_MS;
+  return Math.max(0, Math.min(MAX_GRACE_MS, availableMs)) as Millis;
 };
 
 const leaseExpiryMs = ({ workerLeaseMs }: CoreState['config']): number =>
-  workerLeaseMs * (1 + 2 * CLOCK_DRIFT) + LEASE_MARGIN_MS;
+  workerLeaseMs * (1 + 2 * MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS;
 
 /** Until when a worker that has not been replied to since could still hold its tasks. */
 export const workerLeaseExpiresAt = ({ config }: CoreState, machine: Machine): number => {
