--- a/src/core/lifecycle/attempts.ts
+++ b/src/core/lifecycle/attempts.ts
@@ -1,4 +1,4 @@
-/** Attempts: their numbers, and what they occupy of machines, quotas and zones. */
+/** Attempt numbers, and the accounting of attempts by machine, team, job and zone. */
 
 import type { CoreState } from '../core-state.js';
 import { detachPlacement } from '../ledger/segments.js';
@@ -10,13 +10,13 @@
 import { isTaskDone } from './job-tasks.js';
 
 /**
- * Attempt numbers that belong to one revision of the key-value store, so that none is given twice:
- * a leader begins at those of its fencing token. Revisions at which it has stored anything since,
- * guarded by the leader key, can become nobody's fencing token: their numbers are its own too.
+ * Attempt numbers reserved for each revision of the key-value store, so that none is used twice.
+ * A leader starts with those of its fencing token. Revisions that it has written since, guarded by
+ * the leader key, cannot become another leader's fencing token, so it may use their numbers too.
  */
 export const ATTEMPTS_PER_REVISION = 1_000_000;
 
-/** Whether a number is left for another attempt. */
+/** Whether this leader has a number for another attempt. */
 export const hasUnusedAttemptNumber = ({
   config,
   nextAttemptOffset,
@@ -24,10 +24,10 @@
 }: CoreState): boolean =>
   nextAttemptOffset < (storedRevision - config.fencingToken + 1) * ATTEMPTS_PER_REVISION;
 
-/** Whether an attempt in this phase may be on its machine, so that its resources count as used. */
+/** Whether an attempt in this phase may be on its machine, so its resources count as used. */
 export const occupiesMachine = (phase: AttemptPhase): boolean => phase !== 'ended';
 
-/** Asks for a kill without time for a checkpoint; the attempt counts until it has ended. */
+/** Requests a kill without grace for a checkpoint. Resources count as used until it has ended. */
 export const requestImmediateKill = (placement: Placement): void => {
   placement.stopRequest = { graceS: 0, sentAt: null };
 };
@@ -42,7 +42,7 @@
   else attemptsByZone.delete(zone);
 };
 
-/** Counts the attempts on the machine in another zone, where a heartbeat corrects its zone. */
+/** Counts the machine's attempts in `zone` instead, when a heartbeat corrects its zone. */
 export const moveAttemptsToZone = (machine: Machine, zone: ZoneName): void => {
   for (const { job, phase } of machine.placements.values()) {
     if (!job || !occupiesMachine(phase)) continue;
@@ -65,7 +65,7 @@
   machine.usedMemoryGb -= entry.memoryGb;
   if (machine.attemptCount > 0) return;
   machine.idleSince = now;
-  // Sums of fractions drift: an empty machine has exactly nothing in use.
+  // Floating-point sums drift, so the usage of an empty machine is reset to exactly 0.
   machine.usedCpus = 0;
   machine.usedGpus = 0;
   machine.usedMemoryGb = 0;
@@ -100,7 +100,7 @@
   addToZone(job, placement.machine.zone);
 };
 
-/** A task without an attempt left waits again, unless it is done. */
+/** A task whose last attempt is removed becomes pending again, unless it is done. */
 const removeFromJob = (job: Job, placement: Placement, now: Instant): void => {
   const { index } = placement.entry;
   if (placement.isSuperseded) job.supersededAttempts -= 1;
@@ -117,7 +117,7 @@
   job.requeuedTasks.push(index);
 };
 
-/** Counts an attempt on its machine, against its team's quota and in its job. */
+/** Adds an attempt to the usage of its machine, its team's quota and its job. */
 export const addPlacement = (state: CoreState, placement: Placement): void => {
   const { entry, machine, job } = placement;
   machine.placements.set(entry.attempt, placement);
@@ -127,8 +127,8 @@
 };
 
 /**
- * Gives back what an attempt occupied: it is certainly not on its machine any more. `reported`: it
- * has ended by itself or by a command, as its machine says; `gone`: its absence is proven.
+ * Ends an attempt that is certainly no longer on its machine, and releases its resources and quota.
+ * `reported`: its worker reports its end; `gone`: its absence is proven (see `AttemptRelease`).
  */
 export const releasePlacement = (
   state: CoreState,
--- a/src/core/lifecycle/heartbeat-evidence.ts
+++ b/src/core/lifecycle/heartbeat-evidence.ts
@@ -1,23 +1,23 @@
-/** What a heartbeat proves about its machine, decided once from its epoch, sequence and token. */
+/** What a heartbeat proves about its machine, by its agent epoch, sequence and fencing token. */
 
 import type { CoreState } from '../core-state.js';
 import type { Machine } from '../model/entities.js';
 import type { Heartbeat } from '../model/heartbeat.js';
 
 /**
- * How far a heartbeat may be trusted about what is NOT on its machine:
- * - `direct-response`: it came in the response to commands sent straight to the worker, which may
- *   cross the reply to a heartbeat that is still under way; it proves no absence.
- * - `unconfirmed`: it carries an older fencing token, or an agent epoch in which this leader has
- *   not replied yet. It may have been sent before a start that a former leader's reply brought.
- * - `authoritative`: it carries this leader's fencing token in an agent epoch in which this leader
- *   has replied. Attempts that it does not list are not on the machine.
+ * Whether a heartbeat proves that the attempts it does not list are absent from its machine:
+ * - `direct-response`: no. It came in the response to commands sent straight to the worker, and may
+ *   cross a heartbeat reply that is still in flight.
+ * - `unconfirmed`: no. It carries an older fencing token, or an agent epoch in which this leader
+ *   has not replied yet, so it may predate a start that a former leader's reply delivered.
+ * - `authoritative`: yes. It carries this leader's fencing token, in an agent epoch in which this
+ *   leader has replied.
  */
 export type HeartbeatEvidence = 'direct-response' | 'unconfirmed' | 'authoritative';
 
 /**
- * Whether a heartbeat is out of date: its machine is deleted, or it comes from an earlier agent
- * epoch, or from this one with a sequence number already seen. Late copies must change nothing.
+ * Whether a heartbeat is out of date: its machine is deleted, its agent epoch has ended, or its
+ * sequence number is not new in the current epoch. Late and duplicate ones must change nothing.
  */
 export const isStaleHeartbeat = (state: CoreState, heartbeat: Heartbeat): boolean => {
   if (state.deletedMachines.has(heartbeat.machine)) return true;
@@ -27,7 +27,7 @@
   return heartbeat.sequence <= machine.heartbeatSequence;
 };
 
-/** What the heartbeat proves, by the replies that this leader has sent to its machine. */
+/** Assesses a heartbeat by the replies that this leader has sent to its machine. */
 export const assessHeartbeat = (
   state: CoreState,
   machine: Machine,
@@ -42,9 +42,9 @@
 };
 
 /**
- * Whether this is the first heartbeat of a machine provisioned under this fencing token: no start
- * of a former leader can be on its way to it, so it is ready for tasks at once. Proof of absence
- * still needs an authoritative heartbeat.
+ * Whether this is the first heartbeat of a machine provisioned in this leader's term. No start from
+ * a former leader can be in flight to it, so it is ready for tasks immediately. Proof that an
+ * attempt is absent still takes an authoritative heartbeat.
  */
 export const isFirstHeartbeatOfNewMachine = (machine: Machine, heartbeat: Heartbeat): boolean =>
   !machine.hasReported &&
--- a/src/core/lifecycle/heartbeat-reconciliation.ts
+++ b/src/core/lifecycle/heartbeat-reconciliation.ts
@@ -1,6 +1,6 @@
 /**
- * Reconciles the leader's state with a worker's heartbeat: the machine's attributes, whether it
- * receives replies, whether it is ready for work, and the status of its tasks.
+ * Reconciles the leader's state with a worker's heartbeat: the machine's attributes, reachability
+ * and readiness, and its tasks' status.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -25,7 +25,7 @@
   effects.push({ kind: 'reply-to-heartbeat', ticket, commands: null });
 };
 
-/** Only the newest heartbeat of a machine gets commands; one that still waits is turned away. */
+/** Only a machine's newest heartbeat gets commands; an older one still pending is rejected. */
 const replacePendingReply = (
   state: CoreState,
   machine: Machine,
@@ -39,7 +39,7 @@
   else state.machinesAwaitingReply.delete(machine);
 };
 
-/** `isDirectResponse`: not sent by the worker's own heartbeat loop, so it does not count as one. */
+/** A direct response is not sent by the heartbeat loop and leaves `lastHeartbeatAt` unchanged. */
 const recordHeartbeat = (
   state: CoreState,
   machine: Machine,
@@ -55,7 +55,7 @@
   machine.lastHeartbeatAt = now;
 };
 
-/** A machine taken for lost that reports again is not lost, unless it is on its way out anyhow. */
+/** Unmarks a lost machine that reports again, unless it is being deleted or is drained. */
 const clearLostState = (machine: Machine): void => {
   const isDrained = machine.isDraining && machine.placements.size === 0;
   if (machine.lostAt === null || machine.isDeleting || isDrained) return;
@@ -69,12 +69,12 @@
   { reclaimNoticeS }: Heartbeat,
   now: Instant,
 ): void => {
-  // Replicas on a machine that is about to be reclaimed have to move: that needs a round.
+  // Replicas on a machine about to be reclaimed have to move, which takes a scheduling round.
   if (reclaimNoticeS !== null && machine.reclaimAt === null) state.isRoundDue = true;
   machine.reclaimAt = reclaimNoticeS === null ? null : addMillis(now, seconds(reclaimNoticeS));
 };
 
-/** A machine is ready for work while its newest heartbeat proves that it obeys this leader. */
+/** A machine proven to obey this leader is ready for work until its agent epoch changes. */
 const updateReadiness = (
   state: CoreState,
   machine: Machine,
@@ -93,8 +93,8 @@
 };
 
 /**
- * Takes in one heartbeat. `ticket` names the reply that the worker waits for; null for a heartbeat
- * that came in the response to commands sent straight to it. Stale ones are turned away.
+ * Applies one heartbeat, or rejects a stale one. `ticket` identifies the reply that the worker
+ * waits for; null for a heartbeat in the response to commands sent straight to the worker.
  */
 export const reconcileHeartbeat = (
   state: CoreState,
@@ -114,7 +114,11 @@
   replacePendingReply(state, machine, ticket, now, effects);
   if (!machine.hasReported) {
     const { id: machineId, type, zone } = machine;
-    logEvent(effects, 'debug', 'machine up', { machineId, type, zone });
+    logEvent(effects, 'debug', 'machine sent its first heartbeat to this leader', {
+      machineId,
+      type,
+      zone,
+    });
   }
   const isReadyImmediately = isFirstHeartbeatOfNewMachine(machine, heartbeat);
   recordHeartbeat(state, machine, heartbeat, isDirectResponse, now);
--- a/src/core/lifecycle/heartbeat-replies.ts
+++ b/src/core/lifecycle/heartbeat-replies.ts
@@ -1,4 +1,4 @@
-/** Replies to heartbeats: when each goes out, and with which commands. */
+/** Replies to heartbeats: when each is sent, and with which commands. */
 
 import type { CoreState } from '../core-state.js';
 import { isSchedulable } from '../fleet/machine-health.js';
@@ -10,12 +10,12 @@
 import { isLiveReplica } from '../scheduling/services.js';
 import { commandsForReply, killCommandsOfEndedJobs } from './worker-commands.js';
 
-/** A reply waits at most this long for the ledger entries of its starts. */
+/** Longest delay of a reply until the ledger entries of its starts are stored. */
 const MAX_LEDGER_WAIT_MS = 900;
 /**
- * The reply to an idle worker goes out once there is something to start, or after this share of the
- * heartbeat interval, and this long at most: a start that misses it would wait for the next
- * heartbeat. Busy workers are replied to at once, since their heartbeats bring results.
+ * The reply to an idle worker is delayed until there is a task to start, by at most this share of
+ * the heartbeat interval and `MAX_IDLE_REPLY_DELAY_MS`: a start decided later would wait for the
+ * next heartbeat. Busy workers get replies at once, as their heartbeats carry results.
  */
 const IDLE_REPLY_DELAY_SHARE = 0.6;
 const MAX_IDLE_REPLY_DELAY_MS = 2900;
@@ -26,7 +26,7 @@
   return false;
 };
 
-/** A replica that runs and is to go on: its machine has as little to report as an idle one. */
+/** A running replica that is not to stop: its machine has as little to report as an idle one. */
 const isSteadyReplica = (placement: Placement): boolean =>
   isLiveReplica(placement) && placement.phase === 'running' && !placement.stopRequest;
 
@@ -44,7 +44,7 @@
   return attempts;
 };
 
-/** Replies with commands; from then on the machine's epoch counts as acknowledged. */
+/** Replies with commands; from then on the machine's agent epoch counts as acknowledged. */
 const sendReply = (
   machine: Machine,
   ticket: ReplyTicket,
@@ -79,8 +79,8 @@
 };
 
 /**
- * Replies to the heartbeats that wait, as far as the leader's authority goes: without any, the
- * worker is turned away; to keep workers alive, it is told of nothing but kills of ended jobs.
+ * Replies to pending heartbeats as the leader's authority permits: `lead` sends all commands,
+ * `keep-alive` only the kills of ended jobs' tasks, and `none` rejects the heartbeats.
  */
 export const replyToHeartbeats = (
   state: CoreState,
--- a/src/core/lifecycle/job-cancellation.ts
+++ b/src/core/lifecycle/job-cancellation.ts
@@ -1,4 +1,4 @@
-/** Cancellation of jobs: idempotent, and answered only once the job's end is stored. */
+/** Cancellation of jobs: idempotent, and answered only after the job's end is stored. */
 
 import type { CoreState } from '../core-state.js';
 import type { Effect } from '../model/effect.js';
@@ -17,8 +17,8 @@
 };
 
 /**
- * Kills all attempts of an ended job, also without a valid lease: see `belongsToEndedJob`. An
- * attempt that has a kill without grace already keeps it, so that it is not sent again too soon.
+ * Kills all attempts of an ended job, even without a valid lease: see `belongsToEndedJob`. A kill
+ * request without grace that exists already is kept, so that it is not repeated too soon.
  */
 export const killAllAttempts = (job: Job, now: Instant, effects: Effect[]): void => {
   for (const placements of job.attemptsByTask.values())
@@ -27,7 +27,7 @@
   for (const machine of machinesOf(job)) dispatchKills(machine, now, effects);
 };
 
-/** Answers all users who asked for the job to be cancelled with the outcome that is stored. */
+/** Answers all pending requests to cancel the job with its stored outcome. */
 export const settleCancellations = (job: Job, outcome: JobOutcome, effects: Effect[]): void => {
   for (const ticket of job.cancellationTickets)
     effects.push({ kind: 'cancellation-settled', ticket, outcome });
@@ -35,8 +35,8 @@
 };
 
 /**
- * Cancels a job that has not ended; the first end decided stands. `ticket` names the answer that
- * the user waits for, which comes once the end is stored, or at once where the job is unknown.
+ * Cancels a job, unless its end is already decided. `ticket` identifies the answer that the user
+ * waits for; it is sent once the end is stored, or immediately for an unknown job.
  */
 export const cancelJob = (
   state: CoreState,
@@ -54,8 +54,8 @@
   if (job.terminalState !== 'none') return;
   job.terminalState = 'cancelled';
   state.unsavedCompletions.add(job);
-  // Nothing that its tasks do from now on is of use, so they are killed before the end is stored:
-  // another node may tell users of the stored end before this leader learns of it, and this leader
-  // may never learn of it. Should the write fail, the tasks run again.
+  // Further work of the tasks is wasted, so they are killed before the end is stored: another node
+  // may report the stored end to users before this leader learns of it, if it ever does. If the
+  // write fails, the tasks run again.
   killAllAttempts(job, now, effects);
 };
--- a/src/core/lifecycle/job-completion.ts
+++ b/src/core/lifecycle/job-completion.ts
@@ -1,4 +1,4 @@
-/** Progress of jobs: tasks that are done, and completion when the last one is. */
+/** Job progress: records done tasks, and completes a job when its last task is done. */
 
 import type { CoreState } from '../core-state.js';
 import type { Job, Placement } from '../model/entities.js';
@@ -7,14 +7,14 @@
 import { requestImmediateKill } from './attempts.js';
 import { chunkNumber, getOrCreateChunk, isTaskDone, setTaskDone } from './job-tasks.js';
 
-/** Decides the job's end once all of its tasks are done; the end counts once it is stored. */
+/** Decides the job's end if all of its tasks are done; it takes effect once it is stored. */
 export const completeJobIfAllDone = (state: CoreState, job: Job): void => {
   if (job.doneCount < job.spec.tasks || job.terminalState !== 'none') return;
   job.terminalState = 'done';
   state.unsavedCompletions.add(job);
 };
 
-/** Other attempts of a task that is done are killed; they count until they have ended. */
+/** Kills the other attempts of a done task. They are counted until they have ended. */
 const supersedeOtherAttempts = (job: Job, index: TaskIndex, finished: Placement): void => {
   for (const other of job.attemptsByTask.get(index) ?? []) {
     if (other === finished) continue;
@@ -25,8 +25,8 @@
 };
 
 /**
- * Records that an attempt has done its task. The worker must keep the result until this progress is
- * stored (`requiredProgress`): otherwise a failover would run the task again.
+ * Records that an attempt has completed its task. The worker must keep the result until this
+ * progress is stored (`requiredProgress`); otherwise the task would run again after a failover.
  */
 export const markTaskDone = (
   state: CoreState,
--- a/src/core/lifecycle/job-tasks.ts
+++ b/src/core/lifecycle/job-tasks.ts
@@ -1,4 +1,4 @@
-/** A job's tasks: which wait, which are done, and which were tried and failed. */
+/** A job's tasks: which are pending, which are done, and whether they keep failing. */
 
 import type { CoreConfig } from '../core-state.js';
 import { maxSegmentBytes } from '../ledger/segments.js';
@@ -7,14 +7,14 @@
 import { isService, type JobSpec } from '../model/job.js';
 import type { Instant } from '../model/time.js';
 
-/** Ledger records hold progress by blocks of so many tasks, smaller chunks by their first task. */
+/** Tasks per block. Ledger records refer to blocks by number, to smaller chunks by first task. */
 export const TASKS_PER_BLOCK = 8192;
-/** Tasks in one chunk where a block does not fit a value of the key-value store. */
+/** Tasks per chunk if a block does not fit into one value of the key-value store. */
 const TASKS_PER_SMALL_CHUNK = 1024;
-/** Stored size of one block, in bytes; a value that holds less gets small chunks. */
+/** Stored size of one block, in bytes. If a value holds less, small chunks are used. */
 const BLOCK_ROW_BYTES = 1500;
 
-/** Equal for jobs that suit the same machines. */
+/** Equal for jobs that fit the same machines. */
 const requirementsKeyOf = (spec: JobSpec): string =>
   JSON.stringify([
     spec.shape,
@@ -26,7 +26,7 @@
     spec.allowsSpot,
   ]);
 
-/** An unfinished job of which nothing is placed. Without `config`, values of any size fit. */
+/** Creates an unfinished job with no task placed. Without `config`, values of any size fit. */
 export const createJob = (spec: JobSpec, submittedAt: Instant, config?: CoreConfig): Job => ({
   spec,
   submittedAt,
@@ -52,12 +52,15 @@
   waitingReason: '',
 });
 
-/** Machines in a row that fail a job before it is tried one task at a time, with pauses. */
+/**
+ * Machines that fail a job, without a success in between, before it is tried one task at a time,
+ * with pauses. For a service, consecutive failures of replicas.
+ */
 export const FAILED_MACHINES_LIMIT = 3;
 
 /**
- * Whether the job itself seems at fault, not the machines. The replicas of a service may fail on
- * one machine time and again where there is no other; one that runs proves the service sound.
+ * Whether the job itself seems at fault, not the machines. Failures of a service's replicas
+ * count even on the same machine, as there may be no other; a running one shows that it works.
  */
 export const failsEverywhere = (job: Job): boolean => {
   if (!isService(job)) return job.failedMachines.size >= FAILED_MACHINES_LIMIT;
@@ -67,7 +70,7 @@
   return true;
 };
 
-/** The number of the progress chunk that holds a task. */
+/** The number, from 0, of the progress chunk that holds a task. */
 export const chunkNumber = (job: Job, index: TaskIndex): number =>
   Math.floor(index / job.tasksPerChunk);
 
@@ -78,7 +81,7 @@
   return bits !== undefined && ((bits[offset >> 3] ?? 0) & (1 << (offset & 7))) !== 0;
 };
 
-/** Sets the bit of a task that is not done yet in its chunk, and counts it. */
+/** Marks a task as done in its chunk and counts it; the task must not be done yet. */
 export const setTaskDone = (job: Job, chunk: ProgressChunk, index: TaskIndex): void => {
   const offset = index % job.tasksPerChunk;
   chunk.bits[offset >> 3] = (chunk.bits[offset >> 3] ?? 0) | (1 << (offset & 7));
@@ -86,7 +89,7 @@
   job.doneCount += 1;
 };
 
-/** The progress chunk that holds a task, created empty where nothing in it is done yet. */
+/** The progress chunk that holds a task; created empty if none of its tasks is done yet. */
 export const getOrCreateChunk = (job: Job, index: TaskIndex): ProgressChunk => {
   const number = chunkNumber(job, index);
   let chunk = job.chunks.get(number);
@@ -103,22 +106,22 @@
   return chunk;
 };
 
-const isWaiting = (job: Job, index: TaskIndex): boolean =>
+const isPending = (job: Job, index: TaskIndex): boolean =>
   !isTaskDone(job, index) && !job.attemptsByTask.has(index);
 
-/** Takes the next waiting task, or null. The caller places it or gives it back. */
+/** Takes the next pending task; null if there is none. The caller must place or requeue it. */
 export const takePendingTask = (job: Job): TaskIndex | null => {
   for (let index = job.requeuedTasks.pop(); index !== undefined; index = job.requeuedTasks.pop())
-    if (isWaiting(job, index as TaskIndex)) return index as TaskIndex;
+    if (isPending(job, index as TaskIndex)) return index as TaskIndex;
   while (job.nextUnplacedTask < job.spec.tasks) {
     const index = job.nextUnplacedTask as TaskIndex;
     job.nextUnplacedTask += 1;
-    if (isWaiting(job, index)) return index;
+    if (isPending(job, index)) return index;
   }
   return null;
 };
 
-/** Counts the waiting tasks anew, once recovery has changed progress and attempts. */
+/** Recounts the pending tasks after recovery has changed progress and attempts. */
 export const recountPendingTasks = (job: Job): void => {
   let unfinishedWithAttempts = 0;
   for (const index of job.attemptsByTask.keys())
--- a/src/core/lifecycle/job-view.ts
+++ b/src/core/lifecycle/job-view.ts
@@ -1,4 +1,4 @@
-/** What users and teams are told of a job: its status, and why it waits. */
+/** Views of a job for users and operators: its status, and why it waits. */
 
 import type { CoreState } from '../core-state.js';
 import type { Job, Placement } from '../model/entities.js';
@@ -10,21 +10,21 @@
 import type { JobScores } from '../scheduling/scoring.js';
 import { failsEverywhere } from './job-tasks.js';
 
-/** An unfinished job as its users see it. */
+/** An unfinished job as users see it. */
 export interface CoreJobView {
   readonly id: JobId;
   readonly team: TeamName;
   readonly shape: JobShape;
-  /** Its tasks, or the replicas it wants. */
+  /** Number of tasks, or of the replicas that a service is to have. */
   readonly tasks: number;
   readonly status: 'queued' | 'running' | JobOutcome;
   readonly done: number;
   readonly running: number;
-  /** Why tasks of it wait, in words for users; absent where none waits. */
+  /** Why tasks of the job wait, in words for users; absent if none waits. */
   readonly waiting?: string;
 }
 
-/** Why a job stands where it does, for operators; the fields are those of the HTTP answer. */
+/** Why a job has its place in the queue, for operators; fields as in the HTTP response. */
 export interface JobExplanation {
   readonly id: JobId;
   readonly team: TeamName;
@@ -34,15 +34,17 @@
   readonly done: number;
   readonly running: number;
   readonly waitingTasks: number;
+  /** Tasks with attempts that may be on a machine. */
   readonly heldTasks: number;
   readonly waiting: string;
-  /** Its place among the jobs that wait, from 1; null where it does not wait. */
+  /** Position among the waiting jobs, from 1; null if the job does not wait. */
   readonly rank: number | null;
   readonly ofJobs: number;
   readonly scores: JobScores | null;
   readonly head: JobId | null;
-  /** Seconds until the head of the queue is expected to start. */
+  /** Seconds until the shadow time, the expected start of the head; null if unknown. */
   readonly headShadowInS: number | null;
+  /** Further tasks that the team's quota allows. */
   readonly teamLimitLeavesTasks: number;
   readonly failsEverywhere: boolean;
   readonly machinesBooting: number;
@@ -56,7 +58,7 @@
   | { readonly kind: 'quota-used-up' }
   | {
       readonly kind: 'queued';
-      /** What the last scheduling round found; empty where none has looked at the job yet. */
+      /** From the last scheduling round; empty if none has considered the job yet. */
       readonly waitingReason: string;
       readonly isQueueHead: boolean;
     };
@@ -94,7 +96,7 @@
   };
 };
 
-/** The texts are part of what users see: they stay to the letter. Empty where no task waits. */
+/** Users see these texts, so they must not change. Empty if no task waits. */
 const describeWaitReason = (state: CoreState, reason: WaitReason): string => {
   switch (reason.kind) {
     case 'not-waiting':
@@ -118,9 +120,9 @@
   describeWaitReason(state, findWaitReason(state, job, now));
 
 /**
- * The job as its users see it. null where this leader does not know it as unfinished, or where its
- * end is decided but not known to be stored: the key-value store has to be asked then. Another node
- * may read the stored end before this one learns of it, and "running" would take it back.
+ * The job as users see it. null if this leader does not know it as unfinished, or if its end is
+ * decided but not known to be stored: the key-value store must be read then. Another node may have
+ * reported the stored end already, which "running" would contradict.
  */
 export const viewJob = (state: CoreState, id: JobId, now: Instant): CoreJobView | null => {
   const job = state.jobs.get(id);
@@ -142,7 +144,7 @@
 const secondsToShadowTime = ({ shadowTime }: CoreState, now: Instant): number | null =>
   shadowTime === null ? null : Math.max(0, (shadowTime - now) / 1000);
 
-/** Why the job stands where it does; null where this leader does not know it. */
+/** Explains the job's place in the queue; null if this leader does not know the job. */
 export const explainJob = (state: CoreState, id: JobId, now: Instant): JobExplanation | null => {
   const job = state.jobs.get(id);
   if (!job) return null;
--- a/src/core/lifecycle/jobs.ts
+++ b/src/core/lifecycle/jobs.ts
@@ -1,4 +1,4 @@
-/** Jobs: how they enter the leader's state and how they leave it once their end is stored. */
+/** Adds jobs to the leader's state, and removes them once their end is stored. */
 
 import type { CoreState } from '../core-state.js';
 import { detachChunk } from '../ledger/segments.js';
@@ -10,12 +10,12 @@
 import { killAllAttempts, settleCancellations } from './job-cancellation.js';
 import { createJob } from './job-tasks.js';
 
-/** Longer than a read, a watch or an unanswered write can be under way. */
+/** Longer than a read, a watch event or an unanswered write can be in flight. */
 const ENDED_JOB_RETENTION_MS = 120_000;
 
 /**
- * Takes up an admitted job. One that has ended is not taken up again: a watch, a read or the answer
- * to a write may tell of it after its end, and its tasks would start anew.
+ * Adds an admitted job, unless it is known or ended recently: a watch event, a read or the response
+ * to a write may still show a job as unfinished after its end, and its tasks would run again.
  */
 export const addJob = (state: CoreState, spec: JobSpec, submittedAt: Instant): void => {
   if (state.jobs.has(spec.id) || state.recentlyEndedJobs.has(spec.id)) return;
@@ -23,7 +23,7 @@
   state.isRoundDue = true;
 };
 
-/** Remembers the end, and forgets those that no late message can tell of as open any more. */
+/** Records the job's end, and drops ends so old that no late message shows the job unfinished. */
 const recordEndedJob = ({ recentlyEndedJobs }: CoreState, id: JobId, now: Instant): void => {
   for (const [ended, endedAt] of recentlyEndedJobs) {
     if (now - endedAt < ENDED_JOB_RETENTION_MS) break;
@@ -32,7 +32,7 @@
   recentlyEndedJobs.set(id, now);
 };
 
-/** Removes a job whose end is stored, tells users and extensions, and kills what is left of it. */
+/** Removes a job whose end is stored, notifies users and extensions, and kills its attempts. */
 export const completeStoredJob = (
   state: CoreState,
   job: Job,
--- a/src/core/lifecycle/machine-reachability.ts
+++ b/src/core/lifecycle/machine-reachability.ts
@@ -1,6 +1,6 @@
 /**
- * One-way partitions: machines whose heartbeats arrive while the leader's replies do not. Tasks
- * placed on such a machine would never start, so it gets no more work and is replaced.
+ * One-way partitions: the leader receives a machine's heartbeats, but its replies do not arrive.
+ * Tasks placed on such a machine would never start, so it gets no more work and is replaced.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -12,20 +12,20 @@
 import type { AttemptId } from '../model/ids.js';
 import { addMillis, type Instant } from '../model/time.js';
 
-/** Unacknowledged replies in a row after which a machine is replaced. */
+/** Consecutive unacknowledged replies before a machine is replaced. */
 const UNREACHABLE_AFTER_REPLIES = 4;
 
-/** Worker leases without an authoritative heartbeat after which a machine is replaced. */
+/** Time without an authoritative heartbeat, in leases, before a machine is replaced. */
 const UNREACHABLE_AFTER_LEASES = 1.5;
 
 /**
- * Machines, and the share of the fleet, that may seem unreachable at a time. Beyond the larger of
- * the two, the fault is more likely the leader's own slowness: replacing them would help nobody.
+ * Number of machines, and share of the fleet, that may seem unreachable at a time. Above the larger
+ * of the two, the likelier cause is a slow leader, and replacing the machines would not help.
  */
 const MAX_UNREACHABLE = 2;
 const MAX_UNREACHABLE_SHARE = 0.2;
 
-/** A worker that receives replies keeps its agent epoch; a change shows that none arrived. */
+/** A worker that receives replies keeps its agent epoch, so a new one shows that none arrived. */
 const hasEpochEndedDespiteReplies = (machine: Machine, heartbeat: Heartbeat): boolean =>
   heartbeat.agentEpoch > machine.agentEpoch &&
   machine.acknowledgedEpoch === machine.agentEpoch &&
@@ -37,8 +37,8 @@
 };
 
 /**
- * Replies in a row that did not arrive. The heartbeat that follows starts shows whether they did:
- * a start that was received is listed in it, in whatever phase.
+ * Counts consecutive replies that did not arrive. The heartbeat after a reply with starts shows
+ * whether that reply arrived: it lists each start received, in whatever phase.
  */
 const countUnacknowledgedReplies = (machine: Machine, heartbeat: Heartbeat): number => {
   const { dispatchedStarts, unacknowledgedReplies } = machine;
@@ -67,8 +67,8 @@
 };
 
 /**
- * Tells by a heartbeat whether the replies to earlier ones arrived. Call it before the heartbeat's
- * epoch and sequence are taken over, and not for direct responses: no reply precedes those.
+ * Checks by a heartbeat whether earlier replies arrived. Call it before the heartbeat's agent epoch
+ * and sequence are recorded, and not for direct responses, which no reply precedes.
  */
 export const trackReachability = (
   state: CoreState,
@@ -90,5 +90,7 @@
     return;
   }
   machine.isUnreachable = true;
-  logEvent(effects, 'info', 'machine unreachable, replacing it', { machineId: machine.id });
+  logEvent(effects, 'info', 'replies do not reach machine; replacing it', {
+    machineId: machine.id,
+  });
 };
--- a/src/core/lifecycle/machine-registry.ts
+++ b/src/core/lifecycle/machine-registry.ts
@@ -1,6 +1,6 @@
 /**
- * The machines that the leader tracks, and their attributes: first as the ledger records them,
- * then as each machine reports them.
+ * The machines that the leader tracks. Their attributes come from the ledger at first, then from
+ * their heartbeats.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -12,14 +12,14 @@
 import type { Instant } from '../model/time.js';
 import { moveAttemptsToZone } from './attempts.js';
 
-/** What is known of a machine when the leader first learns of it; a heartbeat has all of it. */
+/** Attributes known when the leader first tracks a machine; a heartbeat contains all of them. */
 export interface InitialAttributes extends Partial<MachineAttributes> {
   readonly endpoint?: string;
 }
 
 /**
- * The tracked machine of this id, created from `known` where it is new. A tracked machine keeps its
- * attributes: only its heartbeats change them.
+ * The tracked machine of this id, created from `initial` if it is new. Only heartbeats change the
+ * attributes of a tracked machine.
  */
 export const getOrCreateMachine = (
   state: CoreState,
@@ -40,7 +40,7 @@
   return machine;
 };
 
-/** Takes over the attributes that the machine reports; its attempts are counted in its new zone. */
+/** Applies the reported attributes, and counts the machine's attempts in a new zone. */
 export const updateReportedAttributes = (machine: Machine, heartbeat: Heartbeat): void => {
   machine.endpoint = heartbeat.endpoint;
   machine.type = heartbeat.type;
--- a/src/core/lifecycle/task-failures.ts
+++ b/src/core/lifecycle/task-failures.ts
@@ -1,4 +1,4 @@
-/** Failed tasks: whether the job or a machine is at fault, and for how long the job backs off. */
+/** Task failures: whether the job or a machine is at fault, and how long the job backs off. */
 
 import type { CoreState } from '../core-state.js';
 import { quarantineFaultyMachine } from '../fleet/scale-in.js';
@@ -8,14 +8,14 @@
 import { addMillis, type Instant, type Millis, seconds } from '../model/time.js';
 import { FAILED_MACHINES_LIMIT, failsEverywhere } from './job-tasks.js';
 
-/** A replica that ran for this long was sound: its end says nothing against its service. */
+/** A replica that ran for this long was healthy: its exit is no failure of its service. */
 const HEALTHY_RUN_MS = 30_000;
-/** After this long without a failure a service's back-off starts anew. */
+/** Time without an exit of a replica after which a service's failure count is reset. */
 const FAILURE_RESET_MS = 120_000;
-/** Pause of a service that fails repeatedly while other replicas of it run. */
+/** Pause of a service whose replicas fail repeatedly while other replicas run. */
 const HEALTHY_SERVICE_PAUSE_MS = 3000 as Millis;
 
-/** Bounds of the back-off of a job that fails everywhere; it doubles with each failure. */
+/** Bounds of the back-off of a job that fails everywhere, which doubles with each failure. */
 const MIN_BACKOFF_S = 2;
 const MAX_BACKOFF_S = 60;
 const MAX_BACKOFF_EXPONENT = 6;
@@ -25,19 +25,19 @@
   return Math.min(MAX_BACKOFF_S, 2 ** exponent);
 };
 
-/** The job itself is at fault: no machine is blamed, and it may not hold the head of the queue. */
+/** Backs off a job that is itself at fault: no machine is blamed, and it may not be queue head. */
 const backOffJob = (state: CoreState, job: Job, now: Instant, effects: Effect[]): void => {
   for (const machine of state.machines.values()) machine.failedJobs.delete(job.spec.id);
   const pauseS = backoffSeconds(job);
   job.retryAt = addMillis(now, seconds(Math.max(MIN_BACKOFF_S, pauseS)));
   if (state.queueHead === job.spec.id) state.queueHead = null;
-  logEvent(effects, 'info', 'job fails on every machine, backing off', {
+  logEvent(effects, 'info', 'tasks of job fail repeatedly; pausing job', {
     jobId: job.spec.id,
     pauseS,
   });
 };
 
-/** Counts a failed task: it backs its job off, or quarantines a machine that fails several jobs. */
+/** Counts a failed task. Its job backs off, or a machine that fails several jobs is replaced. */
 export const recordTaskFailure = (
   state: CoreState,
   job: Job,
@@ -51,15 +51,15 @@
   machine.failedJobs.add(job.spec.id);
   if (failsEverywhere(job)) backOffJob(state, job, now, effects);
   else if (quarantineFaultyMachine(state, machine, now))
-    logEvent(effects, 'info', 'machine fails several jobs, replacing it', {
+    logEvent(effects, 'info', 'tasks of several jobs failed on machine; replacing it', {
       machineId: machine.id,
     });
 };
 
 /**
- * Counts a replica that ended by itself, for whatever cause: it runs again, elsewhere where it can.
- * One that ends soon after its start counts as failed, so that a service whose replicas end at once
- * everywhere backs off for longer and longer.
+ * Counts a replica that exited by itself, for any cause. It runs again, on another machine if
+ * possible. An exit soon after the start is a failure, so that a service whose replicas exit early
+ * on every machine backs off for longer and longer.
  */
 export const recordReplicaExit = (
   state: CoreState,
@@ -77,9 +77,9 @@
   const wasHealthy = placement.startedAt !== null && now - placement.startedAt >= HEALTHY_RUN_MS;
   if (wasHealthy) job.failedMachines.add(placement.machine.id);
   else recordTaskFailure(state, job, placement.machine, now, effects);
-  // With others of it running the service is sound, but it must not be retried without a pause.
+  // Other running replicas show that the service works, but retries still need a pause.
   if (!wasHealthy && job.consecutiveFailures >= FAILED_MACHINES_LIMIT && !failsEverywhere(job))
     job.retryAt = addMillis(now, HEALTHY_SERVICE_PAUSE_MS);
-  // An end without an error says nothing against the machine.
+  // An exit without an error does not count against the machine.
   if (!hasFailed) placement.machine.failedJobs.delete(job.spec.id);
 };
--- a/src/core/lifecycle/task-reconciliation.ts
+++ b/src/core/lifecycle/task-reconciliation.ts
@@ -1,6 +1,6 @@
 /**
- * Reconciles the leader's attempts with the tasks that a machine reports: attempts it does not know
- * are taken in, known ones change phase or end, and proven absent ones are released.
+ * Reconciles the leader's attempts with the tasks that a machine reports: unknown attempts are
+ * added, known ones change phase or end, and those proven absent are released.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -18,15 +18,15 @@
 import { isTaskDone } from './job-tasks.js';
 import { recordReplicaExit, recordTaskFailure } from './task-failures.js';
 
-/** For how long a machine that had no room for a task gets no more work. */
+/** How long a machine that refused a task for lack of room gets no more work. */
 const SATURATION_PAUSE_MS = 1500 as Millis;
 
-/** Pause of a job whose task ended for an unknown cause. */
-const UNKNOWN_CAUSE_PAUSE_MS = seconds(2);
+/** Pause of a job after a worker refused a start because it found no such job or task. */
+const UNKNOWN_TASK_PAUSE_MS = seconds(2);
 
 /**
- * Counts an attempt that this leader did not place: from a former leader's ledger, or found on a
- * machine. `segment` is the ledger record that holds it, or null.
+ * Adds an attempt that this leader did not place, from a former leader's ledger or a heartbeat.
+ * `segment` is the ledger segment that holds it, or null.
  */
 export const recoverPlacement = (
   state: CoreState,
@@ -35,7 +35,7 @@
   now: Instant,
   segment: LedgerSegment | null,
 ): Placement => {
-  // A task index that its job does not have is only counted and killed, like an unknown job's task.
+  // An attempt whose task index is outside its job is only counted and killed, as for unknown jobs.
   const knownJob = state.jobs.get(entry.job);
   const job = knownJob && entry.index < knownJob.spec.tasks ? knownJob : null;
   const placement: Placement = {
@@ -57,8 +57,8 @@
 };
 
 /**
- * Takes in an attempt that only its machine tells of, and has it entered in the ledger. It is
- * killed if another attempt of its task is counted, or if the task is done: none may run twice.
+ * Adds an attempt known only from a heartbeat, and queues its ledger entry. It is killed if its
+ * task has another attempt or is done already, since no task may run twice.
  */
 const recoverReportedAttempt = (
   state: CoreState,
@@ -110,7 +110,7 @@
   if (job) machine.images.add(job.spec.image);
 };
 
-/** What the end means for the job: progress, a failure, or a replica to run again. */
+/** Records the task's end for its job: progress, a failure, or a replica to run again. */
 const recordTaskEnd = (
   state: CoreState,
   job: Job,
@@ -150,7 +150,7 @@
   const { job, machine } = placement;
   if (job) recordTaskEnd(state, job, placement, task.cause, now, effects);
   if (task.cause === 'no_room') machine.saturatedUntil = addMillis(now, SATURATION_PAUSE_MS);
-  else if (task.cause === 'unknown' && job) job.retryAt = addMillis(now, UNKNOWN_CAUSE_PAUSE_MS);
+  else if (task.cause === 'unknown' && job) job.retryAt = addMillis(now, UNKNOWN_TASK_PAUSE_MS);
   if (task.cause === 'done') machine.failedJobs.clear();
   else if (job) logAttemptEnded(placement, task, effects);
   releasePlacement(state, placement, now, 'reported');
@@ -169,9 +169,9 @@
 };
 
 /**
- * A start may still be on its way, unless it went out in an agent epoch that has ended: what that
- * epoch held is gone, and replies to its heartbeats are dropped. Sent again, it would run under an
- * attempt number that may have run before.
+ * Whether a start may still reach the worker. One sent in an agent epoch that has ended cannot:
+ * the tasks of that epoch are gone, and replies to its heartbeats are dropped. Sent again, it would
+ * run under an attempt number that may have run before.
  */
 const isStartInFlight = (placement: Placement, agentEpoch: number): boolean =>
   placement.phase === 'dispatched' &&
@@ -192,7 +192,7 @@
   }
 };
 
-/** Applies the reported status of all tasks; an authoritative heartbeat also ends absent ones. */
+/** Applies the status of all tasks; an authoritative heartbeat also releases absent attempts. */
 export const reconcileTasks = (
   state: CoreState,
   machine: Machine,
--- a/src/core/lifecycle/worker-commands.ts
+++ b/src/core/lifecycle/worker-commands.ts
@@ -1,6 +1,6 @@
 /**
- * Commands to workers: those that a reply to a heartbeat carries, and kills that are sent straight
- * to the worker because they must not wait for its next heartbeat.
+ * Commands to workers: those in heartbeat replies, and kills sent straight to the worker because
+ * they must not wait for its next heartbeat.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -12,12 +12,12 @@
 
 type StopRequest = NonNullable<Placement['stopRequest']>;
 
-/** Commands in one message, so that a worker can take them all in. */
+/** Limit of commands per message, so that a worker can process all of them. */
 const MAX_COMMANDS = 300;
-/** A kill that goes straight to the worker is repeated after this long. */
+/** Interval at which a direct kill is repeated. */
 const KILL_RESEND_MS = 2000;
 
-/** Whether the progress that the attempt made is stored, so that its worker may drop the result. */
+/** Whether the attempt's progress is stored, so that its worker may drop the result. */
 const canReap = (state: CoreState, { job, requiredProgress }: Placement): boolean => {
   if (!requiredProgress || !job) return true;
   if (!state.jobs.has(job.spec.id)) return true;
@@ -26,10 +26,9 @@
 };
 
 /**
- * Whether an attempt that is to stop belongs to a job that has ended, or that its user has asked to
- * cancel. That stays true without a lease: the next leader knows the job as ended too, or is asked
- * again. So its kill is the one command that needs no valid lease, and no worker is kept alive with
- * such a task.
+ * Whether an attempt that is to stop belongs to a job that has ended or that its user asked to
+ * cancel. Its kill is the one command that needs no valid leader lease: the next leader knows the
+ * job as ended too, or is asked to cancel it again. No worker is kept alive with such a task.
  */
 export const belongsToEndedJob = ({ job, stopRequest }: Placement): boolean =>
   stopRequest !== null && (job === null || job.terminalState !== 'none');
@@ -40,7 +39,7 @@
   return { op: 'kill', job, index, attempt, graceS };
 };
 
-/** Kills of what belongs to ended jobs: all that a leader without a valid lease may command. */
+/** Kills of ended jobs' attempts: the only commands of a leader without a valid lease. */
 export const killCommandsOfEndedJobs = (machine: Machine, now: Instant): WorkerCommand[] => {
   const commands: WorkerCommand[] = [];
   for (const placement of machine.placements.values()) {
@@ -57,7 +56,7 @@
   return { op: 'reap', job, index, attempt };
 };
 
-/** null while the worker cannot hold the task yet, or while the task writes its checkpoint. */
+/** Returns null while the worker cannot have the task yet, or while it writes a checkpoint. */
 const stopCommand = (placement: Placement, graceS: number, now: Instant): WorkerCommand | null => {
   const { phase } = placement;
   if (phase === 'persisting' || phase === 'dispatched') return null;
@@ -66,8 +65,8 @@
 };
 
 /**
- * A start goes out with every reply until the worker reports it, but only within one agent epoch:
- * the next epoch has lost what the last one held, and the attempt may have run in that.
+ * A start is repeated in every reply until the worker reports the attempt, but not in a later
+ * agent epoch: the attempt may have run in the earlier one, whose tasks are lost.
  */
 const startCommand = (machine: Machine, placement: Placement): WorkerCommand | null => {
   if (placement.phase !== 'dispatched') return null;
@@ -90,7 +89,7 @@
   return startCommand(machine, placement);
 };
 
-/** What a leader commands in the reply to a heartbeat; marks starts and kills as sent. */
+/** The commands for the reply to a heartbeat. Marks their starts and kills as sent. */
 export const commandsForReply = (
   state: CoreState,
   machine: Machine,
@@ -113,8 +112,8 @@
   (sentAt === null || now - sentAt >= KILL_RESEND_MS);
 
 /**
- * Sends due kills straight to the worker, since its next heartbeat may be a while away.
- * `isEligible` restricts them to what the leader may kill now.
+ * Sends due kills straight to the worker instead of waiting for its next heartbeat. `isEligible`
+ * selects the attempts that the leader may kill now.
  */
 export const dispatchKills = (
   machine: Machine,
