--- a/packages/drain/src/cli.ts
+++ b/packages/drain/src/cli.ts
@@ -168,9 +168,9 @@
 
 /** Makes the call, prints the answer and sets the exit code. */
 const callController = async (tools: CommandTools, target: Target, call: Call): Promise<void> => {
-  const answer = await tools.ask(target.at, call.method, call.path, call.body);
+  const answer = await tools.sendRequest(target.at, call.method, call.path, call.body);
   if (!answer) {
-    tools.complain(`no answer from ${target.at}`);
+    tools.printError(`no answer from ${target.at}`);
     tools.setExitCode(EXIT_CODES.noAnswer);
     return;
   }
@@ -181,7 +181,7 @@
   else if (isDone) for (const line of call.linesOf(answer.body)) tools.print(line);
   if (!isDone) {
     const { error } = (answer.body ?? {}) as { error?: string };
-    tools.complain(`${answer.status} ${error ?? 'refused'}`);
+    tools.printError(`${answer.status} ${error ?? 'refused'}`);
   }
 };
 
--- a/packages/drain/src/core/budget-ledger.ts
+++ b/packages/drain/src/core/budget-ledger.ts
@@ -29,8 +29,8 @@
 /** For an inherited grant: the former leader may have sent its stop, and it is still under way. */
 const INHERITED_GRANT_MS = 120_000;
 
-const windowStart = (seconds: number, { timeOfDay }: Pick<Moment, 'timeOfDay'>): number =>
-  timeOfDay - seconds * 1000;
+const windowStart = (seconds: number, { wallClockMs }: Pick<Moment, 'wallClockMs'>): number =>
+  wallClockMs - seconds * 1000;
 
 /** Whether another attempt of the task runs, and the disrupted one is proven gone. */
 const isRunningAgain = (job: JobView, { index, attempt }: Disruption): boolean => {
@@ -142,7 +142,7 @@
     { entry }: AttemptView,
     { team, jobClass }: JobSpec,
     isVoluntary: boolean,
-    { timeOfDay }: Moment,
+    { wallClockMs }: Moment,
   ): Disruption {
     const disruption: Disruption = {
       attempt: entry.attempt,
@@ -150,7 +150,7 @@
       index: entry.index,
       team,
       jobClass,
-      startedAt: timeOfDay,
+      startedAt: wallClockMs,
       isVoluntary,
       phase: isVoluntary ? 'requested' : 'stopped',
       recordKey: null,
--- a/packages/drain/src/core/drain-operations.ts
+++ b/packages/drain/src/core/drain-operations.ts
@@ -14,18 +14,18 @@
 
 /** A drain that has not begun, for the machines that there are now. */
 export const createDrain = (request: DrainRequest, fleet: FleetView, moment: Moment): Drain => {
-  const { timeOfDay } = moment;
+  const { wallClockMs } = moment;
   const drain: Drain = {
     request,
     phase: 'pending',
     pauseReason: null,
-    startedAt: timeOfDay,
+    startedAt: wallClockMs,
     newestMachineAtStart: newestMachine(fleet),
     total: 0,
     returned: 0,
     failed: 0,
     step: 0,
-    deadlineAt: request.deadlineS === null ? null : timeOfDay + request.deadlineS * 1000,
+    deadlineAt: request.deadlineS === null ? null : wallClockMs + request.deadlineS * 1000,
     machinesInStep: new Map(),
   };
   return { ...drain, total: remainingMachines(drain, fleet, moment).length };
@@ -50,7 +50,7 @@
 
   /** Goes on; a deadline that has passed does not hold any more. */
   resume(drain: Drain, context: DecisionContext): void {
-    if (drain.deadlineAt !== null && drain.deadlineAt <= context.moment.timeOfDay)
+    if (drain.deadlineAt !== null && drain.deadlineAt <= context.moment.wallClockMs)
       drain.deadlineAt = null;
     this.registry.setPhase(drain, drain.step > 0 ? 'running' : 'pending', null, context);
   }
--- a/packages/drain/src/core/drain-stepper.ts
+++ b/packages/drain/src/core/drain-stepper.ts
@@ -39,7 +39,7 @@
 
   private pauseAtDeadline(drain: Drain, context: DecisionContext): void {
     const { deadlineAt } = drain;
-    if (!isActive(drain) || deadlineAt === null || context.moment.timeOfDay < deadlineAt) return;
+    if (!isActive(drain) || deadlineAt === null || context.moment.wallClockMs < deadlineAt) return;
     this.collaborators.registry.setPhase(drain, 'paused', 'its deadline has passed', context);
   }
 
--- a/packages/drain/src/core/machine-selection.ts
+++ b/packages/drain/src/core/machine-selection.ts
@@ -23,7 +23,7 @@
   fleet: FleetView,
   moment: Moment,
 ): MachineView[] => {
-  const sinceStartS = (moment.timeOfDay - drain.startedAt) / 1000;
+  const sinceStartS = (moment.wallClockMs - drain.startedAt) / 1000;
   const remaining: MachineView[] = [];
   for (const machine of fleet.machines.values()) {
     if (machine.id > drain.newestMachineAtStart) continue;
--- a/packages/drain/test/plain-model.test.ts
+++ b/packages/drain/test/plain-model.test.ts
@@ -26,7 +26,7 @@
 import { settingsOf } from './support/settings.js';
 
 const LET_END_S = 30;
-const moment = (now: number): Moment => ({ now: now as Instant, timeOfDay: now });
+const moment = (now: number): Moment => ({ now: now as Instant, wallClockMs: now });
 
 /** What the planner reads of an attempt; typed, so that a renamed field does not go unnoticed. */
 type DrawnAttempt = Pick<AttemptView, 'phase' | 'startedAt' | 'stopRequest' | 'isSuperseded'> & {
--- a/packages/drain/test/support/drain-fleet.ts
+++ b/packages/drain/test/support/drain-fleet.ts
@@ -135,7 +135,7 @@
         teams: new Map([team('blue', 20_000), team('green', 20_000)].map((t) => [t.name, t])),
         fencingToken: this.fencingToken as FencingToken,
         acquiredAt: this.now as Instant,
-        timeOfDayOffsetMs: 1_000_000,
+        wallClockOffsetMs: 1_000_000,
         maxValueBytes: MAX_VALUE_BYTES,
       },
       // The fleet is neither scaled out nor scaled in but by drains.
--- a/packages/drain/test/support/model-cloud.ts
+++ b/packages/drain/test/support/model-cloud.ts
@@ -45,7 +45,7 @@
       status: clock.now < bootedAt ? ('booting' as const) : ('running' as const),
       ageS: 100,
     }));
-    return { kind: 'machines-listed', askedAt: clock.now as Instant, machines };
+    return { kind: 'machines-listed', requestedAt: clock.now as Instant, machines };
   }
 
   /** Provisions machines, or repeats the answer to a request that was carried out. */
--- a/src/cli/command-tools.ts
+++ b/src/cli/command-tools.ts
@@ -9,14 +9,14 @@
 
 /** The tools as this process offers them. */
 export const commandTools: CommandTools = {
-  ask: async (endpoint, method, path, body) => {
+  sendRequest: async (endpoint, method, path, body) => {
     const client = new HttpClient(parseEndpoint(endpoint), 1);
     const reply = await client.send({ method, path, body, timeoutMs: ANSWER_TIMEOUT_MS });
     client.close();
     return reply.kind === 'none' ? null : { status: reply.status, body: reply.body };
   },
   print: (text) => process.stdout.write(`${text}\n`),
-  complain: writeError,
+  printError: writeError,
   setExitCode: (code) => {
     process.exitCode = code;
   },
--- a/src/core/core-state.ts
+++ b/src/core/core-state.ts
@@ -47,7 +47,7 @@
   /** Attempts that one machine may hold at a time: its heartbeats must stay readable. */
   readonly maxAttemptsPerMachine: number;
   /** The time of day, in milliseconds, when the steady clock stood at 0. */
-  readonly timeOfDayOffsetMs: number;
+  readonly wallClockOffsetMs: number;
 }
 
 /** All that the leader knows: one flat object, since every step reads it; parts by owner. */
--- a/src/core/extensions/extension-host.ts
+++ b/src/core/extensions/extension-host.ts
@@ -119,7 +119,7 @@
   }
 
   private moment(): Moment {
-    return { now: this.now, timeOfDay: this.now + this.state.config.timeOfDayOffsetMs };
+    return { now: this.now, wallClockMs: this.now + this.state.config.wallClockOffsetMs };
   }
 
   private find(name: string): Extension | undefined {
--- a/src/core/extensions/extension-package.ts
+++ b/src/core/extensions/extension-package.ts
@@ -5,7 +5,7 @@
 /** What commands of a package may use. */
 export interface CommandTools {
   /** Sends a request to the daemon at `host:port`; null when it does not answer. */
-  ask(
+  sendRequest(
     at: string,
     method: 'GET' | 'POST',
     path: string,
@@ -14,7 +14,7 @@
   /** Prints on standard output. */
   print(text: string): void;
   /** Prints one line on standard error. */
-  complain(text: string): void;
+  printError(text: string): void;
   /** The exit code for when the command has ended. */
   setExitCode(code: number): void;
 }
--- a/src/core/extensions/extension.ts
+++ b/src/core/extensions/extension.ts
@@ -123,7 +123,7 @@
 export interface Moment {
   readonly now: Instant;
   /** Milliseconds since the epoch, within the platform's bound of clocks. */
-  readonly timeOfDay: number;
+  readonly wallClockMs: number;
 }
 
 /** What an extension is told. */
--- a/src/core/fleet/deletions.ts
+++ b/src/core/fleet/deletions.ts
@@ -22,7 +22,7 @@
   const { policy, workerLeaseMs } = state.config;
   const bootMs = (state.types.get(machine.type)?.bootS ?? DEFAULT_BOOT_S) * 1000;
   const timeoutMs = policy.bootTimeoutFactor * bootMs + BOOT_TIMEOUT_MARGIN_MS;
-  return now - machine.provisionedAt > timeoutMs && now - machine.knownAt > workerLeaseMs;
+  return now - machine.provisionedAt > timeoutMs && now - machine.firstSeenAt > workerLeaseMs;
 };
 
 /** Why a machine is to be deleted, as the log names it; null while it stays. */
--- a/src/core/fleet/inventory.ts
+++ b/src/core/fleet/inventory.ts
@@ -54,12 +54,12 @@
 const reconcileListedMachine = (
   state: CoreState,
   listed: ListedMachine,
-  askedAt: Instant,
+  requestedAt: Instant,
   now: Instant,
 ): void => {
   let machine = state.machines.get(listed.id);
   if (!machine) {
-    const provisionedAt = (askedAt - listed.ageS * 1000) as Instant;
+    const provisionedAt = (requestedAt - listed.ageS * 1000) as Instant;
     machine = createMachine(listed.id, listed, provisionedAt, now);
     state.machines.set(listed.id, machine);
   }
@@ -79,19 +79,20 @@
  */
 export const reconcileMachineList = (
   state: CoreState,
-  { askedAt, machines: list }: Extract<Command, { kind: 'machines-listed' }>,
+  { requestedAt, machines: list }: Extract<Command, { kind: 'machines-listed' }>,
   now: Instant,
 ): void => {
   state.hasReadMachineList = true;
   const listedIds = new Set<MachineId>();
   for (const listed of list) {
     listedIds.add(listed.id);
-    if (!state.deletedMachines.has(listed.id)) reconcileListedMachine(state, listed, askedAt, now);
+    if (!state.deletedMachines.has(listed.id))
+      reconcileListedMachine(state, listed, requestedAt, now);
   }
   // A list may be older than the one before it: only machines known for long enough may be absent.
   const graceMs = LIST_LAG_FACTOR * state.config.listLagMs + LIST_LAG_MARGIN_MS;
   for (const machine of state.machines.values()) {
-    if (listedIds.has(machine.id) || askedAt - machine.provisionedAt < graceMs) continue;
+    if (listedIds.has(machine.id) || requestedAt - machine.provisionedAt < graceMs) continue;
     if (machine.hasReported && !hasMissedHeartbeats(state, machine, now)) continue;
     machine.lostAt ??= now;
     machine.lostReason ||= 'notListed';
--- a/src/core/fleet/machine-health.ts
+++ b/src/core/fleet/machine-health.ts
@@ -15,7 +15,7 @@
   id,
   ...attributes,
   provisionedAt,
-  knownAt: now,
+  firstSeenAt: now,
   agentEpoch: 0,
   heartbeatSequence: 0,
   acknowledgedEpoch: 0,
--- a/src/core/fleet/provision-requests.ts
+++ b/src/core/fleet/provision-requests.ts
@@ -26,8 +26,8 @@
 /** Stops waiting for requests whose answer is overdue. */
 export const expireProvisionRequests = (state: CoreState, now: Instant): void => {
   for (const pool of state.instancePools.values()) {
-    for (const [request, { askedAt }] of pool.outstandingRequests) {
-      if (now - askedAt > RESPONSE_TIMEOUT_MS) pool.outstandingRequests.delete(request);
+    for (const [request, { requestedAt }] of pool.outstandingRequests) {
+      if (now - requestedAt > RESPONSE_TIMEOUT_MS) pool.outstandingRequests.delete(request);
     }
   }
 };
@@ -75,7 +75,7 @@
   state.nextProvisionRequest += 1;
   const request =
     `r-${state.config.fencingToken}-${state.nextProvisionRequest}` as ProvisionRequestId;
-  pool.outstandingRequests.set(request, { count, askedAt: now });
+  pool.outstandingRequests.set(request, { count, requestedAt: now });
   effects.push({
     kind: 'provision',
     request,
--- a/src/core/ledger/batch-builder.ts
+++ b/src/core/ledger/batch-builder.ts
@@ -44,9 +44,9 @@
 const addPlacements = (state: CoreState, draft: BatchDraft, longLived: boolean): void => {
   for (const placement of state.awaitingLedgerEntry) {
     if (isLongLived(placement) !== longLived) continue;
-    if (!draft.enterPlacement(placement)) return;
+    if (!draft.recordPlacement(placement)) return;
     state.awaitingLedgerEntry.delete(placement);
-    if (placement.phase === 'persisting') draft.batch.enteredPlacements.push(placement);
+    if (placement.phase === 'persisting') draft.batch.recordedPlacements.push(placement);
   }
 };
 
--- a/src/core/ledger/batch-draft.ts
+++ b/src/core/ledger/batch-draft.ts
@@ -58,7 +58,7 @@
     this.maxSegmentBytes = maxSegmentBytes(state.config);
     this.batch = {
       id: state.nextBatch,
-      enteredPlacements: [],
+      recordedPlacements: [],
       progress: [],
       completedJobs: [],
       extensionWrites: [],
@@ -86,12 +86,12 @@
   }
 
   /** Enters an attempt in an open segment, else in a new one; false when the batch is full. */
-  enterPlacement(placement: Placement): boolean {
+  recordPlacement(placement: Placement): boolean {
     const longLived = isLongLived(placement);
     const open = longLived ? this.openLongLived : this.openShortLived;
-    if (open?.enterPlacement(placement)) return true;
+    if (open?.recordPlacement(placement)) return true;
     const next = this.draftSegment();
-    if (!next?.enterPlacement(placement)) return false;
+    if (!next?.recordPlacement(placement)) return false;
     this.closedBytes += open?.bytes ?? 0;
     if (longLived) this.openLongLived = next;
     else this.openShortLived = next;
--- a/src/core/ledger/batch-result.ts
+++ b/src/core/ledger/batch-result.ts
@@ -39,7 +39,7 @@
   attempts: ReadonlySet<AttemptId>,
   now: Instant,
 ): void => {
-  for (const placement of [...batch.enteredPlacements]) {
+  for (const placement of [...batch.recordedPlacements]) {
     const { attempt } = placement.entry;
     if (!attempts.has(attempt) || placement.phase !== 'persisting') continue;
     if (placement.job) placement.job.retryAt = addMillis(now, RETRY_DELAY_AFTER_REFUSAL_MS);
@@ -81,7 +81,7 @@
   if (!batch || batch.id !== command.batch) return;
   state.pendingBatch = null;
   if (refused && refused.length > 0) handleRefusedOperations(state, batch, refused, now);
-  for (const placement of batch.enteredPlacements)
+  for (const placement of batch.recordedPlacements)
     if (placement.phase === 'persisting') placement.phase = 'dispatched';
   for (const { job, chunk: number, version } of batch.progress) {
     const chunk = job.chunks.get(number);
--- a/src/core/ledger/compaction.ts
+++ b/src/core/ledger/compaction.ts
@@ -3,19 +3,19 @@
 import type { CoreState } from '../core-state.js';
 import type { LedgerSegment } from '../model/entities.js';
 import type { BatchDraft } from './batch-draft.js';
-import { liveSize } from './segments.js';
+import { liveRowCount } from './segments.js';
 
 /** A segment is sparse when no more than this share of it still matters. */
 const SPARSE_SHARE = 0.4;
 const MAX_SEGMENTS_PER_BATCH = 6;
 
 const isSparse = (segment: LedgerSegment): boolean =>
-  liveSize(segment) <= segment.initialSize * SPARSE_SHARE;
+  liveRowCount(segment) <= segment.initialRowCount * SPARSE_SHARE;
 
 /** Moves what a segment holds into the batch's own segments; false when not all of it could go. */
 const moveRows = (segment: LedgerSegment, draft: BatchDraft): boolean => {
   for (const placement of [...segment.placements]) {
-    if (!draft.enterPlacement(placement)) return false;
+    if (!draft.recordPlacement(placement)) return false;
   }
   for (const [chunk, { job, number }] of [...segment.chunks]) {
     // Its newest bits may tell a task as done of which an attempt is still on a machine.
--- a/src/core/ledger/recovery.ts
+++ b/src/core/ledger/recovery.ts
@@ -53,7 +53,7 @@
   detachChunk(state, chunk);
   chunk.segment = segment;
   segment.chunks.set(chunk, { job, number });
-  segment.initialSize += 1;
+  segment.initialRowCount += 1;
   if (isComplete) return;
   // Rows of smaller chunks each tell their own tasks only: they are stored anew as one, before any
   // of their segments is deleted.
@@ -106,7 +106,7 @@
   const segment = getOrCreateSegment(state, row.segment);
   const machine = getOrCreateMachine(state, row.machine, row.attributes, now);
   for (const entry of row.entries) {
-    segment.initialSize += 1;
+    segment.initialRowCount += 1;
     const job = state.jobs.get(entry.job);
     // A task that is stored as done needs no second look: its result is safe.
     if (job && isTaskDone(job, entry.index)) continue;
--- a/src/core/ledger/segment-draft.ts
+++ b/src/core/ledger/segment-draft.ts
@@ -47,7 +47,7 @@
   }
 
   /** Enters an attempt and detaches it from its former segment; false when there is no room. */
-  enterPlacement(placement: Placement): boolean {
+  recordPlacement(placement: Placement): boolean {
     if (!this.reserve(this.placementBytes(placement))) return false;
     const { entry } = placement;
     this.jobs.add(entry.job);
@@ -55,7 +55,7 @@
     detachPlacement(this.state, placement);
     placement.segment = this.segment;
     this.segment.placements.add(placement);
-    this.segment.initialSize += 1;
+    this.segment.initialRowCount += 1;
     return true;
   }
 
@@ -71,7 +71,7 @@
     detachChunk(this.state, chunk);
     chunk.segment = this.segment;
     this.segment.chunks.set(chunk, { job, number });
-    this.segment.initialSize += 1;
+    this.segment.initialRowCount += 1;
     return true;
   }
 
--- a/src/core/ledger/segments.ts
+++ b/src/core/ledger/segments.ts
@@ -24,7 +24,7 @@
   key,
   placements: new Set(),
   chunks: new Map(),
-  initialSize: 0,
+  initialRowCount: 0,
 });
 
 /** The segment of that key, added as the newest one if it is not known. */
@@ -38,13 +38,13 @@
 };
 
 /** How many attempts and chunks a segment still speaks for. */
-export const liveSize = ({ placements, chunks }: LedgerSegment): number =>
+export const liveRowCount = ({ placements, chunks }: LedgerSegment): number =>
   placements.size + chunks.size;
 
 /** Marks a segment for deletion once nothing in it matters. */
 export const markSegmentIfObsolete = (state: CoreState, segment: LedgerSegment): void => {
   // During recovery a segment that seems empty may have rows yet to be read.
-  if (!state.isRecovered || liveSize(segment) > 0) return;
+  if (!state.isRecovered || liveRowCount(segment) > 0) return;
   if (state.segments.delete(segment.key)) state.obsoleteSegments.add(segment.key);
 };
 
--- a/src/core/model/command.ts
+++ b/src/core/model/command.ts
@@ -47,7 +47,7 @@
   /** The cloud's list, as it answered a question of that time. */
   | {
       readonly kind: 'machines-listed';
-      readonly askedAt: Instant;
+      readonly requestedAt: Instant;
       readonly machines: readonly ListedMachine[];
     }
   | {
--- a/src/core/model/entities.ts
+++ b/src/core/model/entities.ts
@@ -56,7 +56,7 @@
   /** The chunks that it speaks for, each with its job and its number there. */
   readonly chunks: Map<ProgressChunk, { job: Job; number: number }>;
   /** How many rows it held when it was written: compaction compares what is left with it. */
-  initialSize: number;
+  initialRowCount: number;
 }
 
 /** A chunk of a job: consecutive tasks of whose progress one ledger row tells. */
@@ -125,7 +125,7 @@
   spot: boolean;
   provisionedAt: Instant;
   /** When this leader first heard of it. */
-  readonly knownAt: Instant;
+  readonly firstSeenAt: Instant;
   /** Agent epoch of its newest heartbeat; 0 for none. */
   agentEpoch: number;
   /** Sequence number of its newest heartbeat. */
@@ -197,7 +197,7 @@
   /** Requests in a row that were not filled, up to a bound. */
   refusals: number;
   /** Requests whose answer has not come. */
-  readonly outstandingRequests: Map<ProvisionRequestId, { count: number; askedAt: Instant }>;
+  readonly outstandingRequests: Map<ProvisionRequestId, { count: number; requestedAt: Instant }>;
 }
 
 /** What a batch that is being stored changes once it is stored. */
@@ -205,7 +205,7 @@
   /** Its number under this term. */
   readonly id: number;
   /** Attempts that may be dispatched then. */
-  readonly enteredPlacements: Placement[];
+  readonly recordedPlacements: Placement[];
   /** Chunks, with the version that it stores. */
   progress: { job: Job; chunk: number; version: number }[];
   /** Jobs that have ended then. */
--- a/src/service/leader-term.ts
+++ b/src/service/leader-term.ts
@@ -64,7 +64,7 @@
     storeWritesPerSecond: keyValueStoreLimits.nextWriteRps,
     maxValueBytes: keyValueStoreLimits.maxValueBytes,
     maxAttemptsPerMachine: MAX_ATTEMPTS_PER_MACHINE,
-    timeOfDayOffsetMs: Date.now() - steadyNow(),
+    wallClockOffsetMs: Date.now() - steadyNow(),
   });
   if (dependencies.extensions.length > 0) {
     core.extensions = new ExtensionHost(
--- a/src/service/machine-poller.ts
+++ b/src/service/machine-poller.ts
@@ -36,9 +36,9 @@
   private async pollMachines(): Promise<void> {
     // Taken before the request: ages count back from here, and only a machine provisioned well
     // before may be judged by its absence from the list.
-    const askedAt = steadyNow();
+    const requestedAt = steadyNow();
     const machines = await this.dependencies.cloud.listMachines();
-    if (machines) this.commandLoop.submit({ kind: 'machines-listed', askedAt, machines });
+    if (machines) this.commandLoop.submit({ kind: 'machines-listed', requestedAt, machines });
   }
 
   private areMachineTypesDue(): boolean {
--- a/test/compound-failures.test.ts
+++ b/test/compound-failures.test.ts
@@ -91,7 +91,7 @@
     const run = (now: number, ...commands: Parameters<typeof applyCommands>[1][number][]) =>
       applyCommands(state, commands, now as Instant, 'lead');
     run(0, { kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
-    run(10, { kind: 'machines-listed', askedAt: 0 as Instant, machines: [] });
+    run(10, { kind: 'machines-listed', requestedAt: 0 as Instant, machines: [] });
     const asked = run(3000, {
       kind: 'job',
       spec: job('job-1', { tasks: 4 }),
--- a/test/fault-handling.test.ts
+++ b/test/fault-handling.test.ts
@@ -161,7 +161,7 @@
         ageS: 900,
       },
     ];
-    driver.send({ kind: 'machines-listed', askedAt: driver.now as Instant, machines });
+    driver.send({ kind: 'machines-listed', requestedAt: driver.now as Instant, machines });
     expect(driver.advance(10_000).filter((effect) => effect.kind === 'delete-machines')).toEqual(
       [],
     );
@@ -248,7 +248,7 @@
     ).toEqual([]);
     applyCommands(
       state,
-      [{ kind: 'machines-listed', askedAt: 3000 as Instant, machines: [] }],
+      [{ kind: 'machines-listed', requestedAt: 3000 as Instant, machines: [] }],
       3000 as Instant,
       'lead',
     );
--- a/test/support/builders.ts
+++ b/test/support/builders.ts
@@ -115,7 +115,7 @@
         storeWritesPerSecond: 100,
         maxValueBytes: 8192,
         maxAttemptsPerMachine: 64,
-        timeOfDayOffsetMs: 0,
+        wallClockOffsetMs: 0,
       },
       change,
     ),
--- a/test/support/core-driver.ts
+++ b/test/support/core-driver.ts
@@ -26,7 +26,7 @@
   constructor(state: CoreState = core()) {
     this.state = state;
     this.send({ kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
-    this.send({ kind: 'machines-listed', askedAt: 0 as Instant, machines: [] });
+    this.send({ kind: 'machines-listed', requestedAt: 0 as Instant, machines: [] });
     this.advance(3000);
   }
 
--- a/test/support/simulated-world/faults.ts
+++ b/test/support/simulated-world/faults.ts
@@ -257,8 +257,10 @@
     const leader = leaders.current();
     if (!leader) return;
     const machines = fleet.list();
-    const askedAt = sim.now as Instant;
-    sim.after(sim.delay(), () => leader.queue.push({ kind: 'machines-listed', askedAt, machines }));
+    const requestedAt = sim.now as Instant;
+    sim.after(sim.delay(), () =>
+      leader.queue.push({ kind: 'machines-listed', requestedAt, machines }),
+    );
   }
 
   /** Ends all faults; a leader is elected if there is none. */
--- a/test/support/simulated-world/leaders.ts
+++ b/test/support/simulated-world/leaders.ts
@@ -142,7 +142,7 @@
     queue.push({ kind: 'recovery-completed' });
     queue.push({
       kind: 'machines-listed',
-      askedAt: this.sim.now as Instant,
+      requestedAt: this.sim.now as Instant,
       machines: this.fleet.list(),
     });
   }
