--- a/packages/extension-api/src/index.ts
+++ b/packages/extension-api/src/index.ts
@@ -1,9 +1,9 @@
 /**
- * What optional packages may know of the daemon: types only, and nothing of its insides. Packages
- * import from here alone, so that the core can change without them.
+ * Public types for optional packages. A package imports from this module only, so that the core's
+ * internals can change without affecting it.
  */
 
-/** The extension interface: what a package sees of the fleet, and what it may ask for. */
+/** The extension interface: read-only views of the fleet, events and requests. */
 export type {
   AttemptView,
   Extension,
@@ -19,12 +19,12 @@
   OperatorAnswer,
   OperatorCall,
 } from '../../../src/core/extensions/extension.js';
-/** What the program loads of a package: its configuration and its commands. */
+/** The entry points of a package: its configuration parser and its commands. */
 export type {
   CommandTools,
   ExtensionPackage,
 } from '../../../src/core/extensions/extension-package.js';
-/** Records of a package in the key-value store. */
+/** Records that a package keeps in the key-value store. */
 export type { ExtensionRecord, RecordWrite } from '../../../src/core/model/extension-record.js';
 /** Branded identifiers. */
 export type {
@@ -42,7 +42,7 @@
 } from '../../../src/core/model/ids.js';
 /** Jobs as users submit them. */
 export type { JobSpec } from '../../../src/core/model/job.js';
-/** Machine types as the cloud offers them. */
+/** Machine types that the cloud offers. */
 export type { MachineType } from '../../../src/core/model/machine.js';
-/** A moment on the steady clock. */
+/** A point on the steady clock, in milliseconds. */
 export type { Instant } from '../../../src/core/model/time.js';
--- a/src/core/apply-commands.ts
+++ b/src/core/apply-commands.ts
@@ -1,8 +1,9 @@
 /**
- * The core's one entry: commands in, effects out. No input or output, no clock, no randomness.
+ * Entry point of the core: takes commands and returns effects. The core performs no input or
+ * output, reads no clock and uses no randomness.
  *
- * A step applies the commands; then a leader ticks its fleet, runs a scheduling round and builds
- * the next batch to store; last, heartbeats are replied to.
+ * A step first applies the commands. A leader then manages the fleet, runs a scheduling round and
+ * builds the next batch to store. Last, the step replies to heartbeats.
  */
 
 import type { CoreState } from './core-state.js';
@@ -32,14 +33,15 @@
 import { placeCriticalReplicasOnly, runSchedulingRound } from './scheduling/backfill.js';
 
 const TICK_MS = 500;
-/** Rounds without an event, so that scores that change with time alone take effect. */
+/** Interval of scheduling rounds without a change: some scores depend on the time alone. */
 const ROUND_EVERY_MS = 2000;
-/** Heartbeat intervals that pass after recovery before placing: one interval at its longest. */
+/** Delay from recovery to the first round, in heartbeat intervals: the longest one interval. */
 const REPORT_WAIT_INTERVALS = 1.3;
 
 /**
- * The ledger is read. Workers report first, before tasks are placed: otherwise, at a first start,
- * whichever jobs arrive first take the few machines that are up, not those that rank best.
+ * Ends recovery, after the whole ledger has been read. Scheduling waits until workers have
+ * reported: otherwise, at the first start of a cluster, the jobs that arrive first would take the
+ * few machines that are up, instead of the jobs that rank highest.
  */
 const completeRecovery = (state: CoreState, now: Instant): void => {
   state.isRecovered = true;
@@ -101,7 +103,10 @@
   for (const machine of state.machines.values()) dispatchKills(machine, now, effects);
 };
 
-/** All that a leader without a valid lease sends by itself: see `belongsToEndedJob`. */
+/**
+ * Sends the only commands that a leader without a valid lease initiates: kills of attempts of ended
+ * jobs (see `belongsToEndedJob`).
+ */
 const runKeepAliveTick = (state: CoreState, now: Instant, effects: Effect[]): void => {
   state.lastTickAt = now;
   for (const machine of state.machines.values())
@@ -120,16 +125,22 @@
   });
 };
 
-/** Whatever an unreadable ledger record held has ended by now, or its machine has reported it. */
+/**
+ * Marks the unreadable ledger segments for deletion. By the first scheduling round each attempt
+ * recorded in them has ended, or its machine has reported it.
+ */
 const discardUnreadableSegments = (state: CoreState): void => {
   for (const key of state.unreadableSegments) state.obsoleteSegments.add(key);
   state.unreadableSegments.clear();
 };
 
-/** Runs a round if one is due; while workers report first, replicas alone are placed. */
+/**
+ * Runs a scheduling round if one is due. Until `schedulingStartsAt`, only critical replicas are
+ * placed.
+ */
 const runScheduling = (state: CoreState, now: Instant, effects: Effect[]): void => {
   if (now < state.schedulingStartsAt) {
-    // What an unreadable record held may be anywhere: a replica could run twice.
+    // Attempts of an unreadable segment may be on any machine: a replica could run twice.
     if (state.unreadableSegments.size === 0)
       logPlacements(state, placeCriticalReplicasOnly(state, now).placed, effects);
     return;
@@ -141,7 +152,7 @@
   logPlacements(state, runSchedulingRound(state, now).placed, effects);
 };
 
-/** What a leader with a valid lease does in a step, once it knows the ledger. */
+/** The phases of a step that only a recovered leader with a valid lease runs. */
 const runLeaderPhases = (state: CoreState, now: Instant, effects: Effect[]): void => {
   const isTick = isTickDue(state, now);
   state.extensions?.decide(isTick);
@@ -151,8 +162,8 @@
 };
 
 /**
- * One step of the core: applies the commands and returns the effects to carry out, in order.
- * `authority` bounds what may be decided: without a valid lease nothing is placed or stored.
+ * Runs one step of the core: applies the commands and returns the effects to carry out, in order.
+ * `authority` limits the step: without a valid lease nothing is placed or stored.
  */
 export const applyCommands = (
   state: CoreState,
--- a/src/core/core-state.ts
+++ b/src/core/core-state.ts
@@ -1,4 +1,4 @@
-/** The whole state of a leader: one value, changed only by `applyCommands` and what it calls. */
+/** The whole state of a leader, modified only by `applyCommands` and the functions it calls. */
 
 import type { ExtensionRuntime } from './extensions/extension-runtime.js';
 import type {
@@ -23,128 +23,128 @@
 import type { Team } from './model/team.js';
 import type { Instant, Millis } from './model/time.js';
 
-/** What a term of leadership is started with; constant during the term. */
+/** Configuration of a term of leadership; constant during the term. */
 export interface CoreConfig {
   readonly fencingToken: FencingToken;
   /** When this node acquired the leader key. */
   readonly acquiredAt: Instant;
   readonly teams: ReadonlyMap<TeamName, Team>;
   readonly policy: Policy;
-  /** The interval at which workers report. */
+  /** The interval at which workers send heartbeats. */
   readonly heartbeatIntervalMs: Millis;
-  /** Life of a worker's lease, which each reply to its heartbeats renews. */
+  /** Duration of a worker's lease, which each reply to its heartbeats renews. */
   readonly workerLeaseMs: Millis;
-  /** How long a leader without a valid lease may go on answering heartbeats. */
+  /** How long a leader without a valid lease may continue to reply to heartbeats. */
   readonly graceAfterLeaseLossMs: Millis;
-  /** How far the cloud's list of machines lags behind, nominally. */
+  /** Nominal delay with which the cloud's machine list shows a change. */
   readonly listLagMs: Millis;
-  /** How many operations one transaction of the key-value store takes. */
+  /** Maximum number of operations in one transaction of the key-value store. */
   readonly maxTransactionOperations: number;
-  /** Mutations a second that the key-value store is sure to take of the leader's batches. */
+  /** Mutations per second that the key-value store always accepts from the leader's batches. */
   readonly storeWritesPerSecond: number;
-  /** Size of the largest value that the key-value store takes, in bytes. */
+  /** Maximum size of a value in the key-value store, in bytes. */
   readonly maxValueBytes: number;
-  /** Attempts that one machine may hold at a time: its heartbeats must stay readable. */
+  /** Maximum number of attempts on one machine, which bounds the size of its heartbeats. */
   readonly maxAttemptsPerMachine: number;
-  /** The time of day, in milliseconds, when the steady clock stood at 0. */
+  /** Wall-clock time, in milliseconds since the epoch, at which the steady clock was 0. */
   readonly wallClockOffsetMs: number;
 }
 
-/** All that the leader knows: one flat object, since every step reads it; parts by owner. */
+/** State of the leader: one flat object, since every step reads it, in sections by owner. */
 export interface CoreState {
   readonly config: CoreConfig;
 
   // ---- Steps (apply-commands.ts): when periodic work is due ----------------------------------
 
-  /** When machines were last managed, kills repeated and extensions asked for decisions. */
+  /** Time of the last tick: fleet management, resending of kills, decisions of extensions. */
   lastTickAt: Instant;
-  /** When the last scheduling round was. */
+  /** Time of the last scheduling round. */
   lastRoundAt: Instant;
-  /** Something has changed that the next scheduling round should take into account. */
+  /** Whether something has changed that a scheduling round must take into account. */
   isRoundDue: boolean;
 
-  // ---- Recovery: what holds a new leader back ------------------------------------------------
+  // ---- Recovery: what a new leader waits for before it schedules -----------------------------
 
-  /** All that the store held has been told. */
+  /** Whether the whole stored state has been read. */
   isRecovered: boolean;
-  /** No scheduling round before then: workers must be able to report what they run. */
+  /** No scheduling round runs before this time, so that workers can report their tasks first. */
   schedulingStartsAt: Instant;
-  /** Ledger segments that could not be read: what they entered may be on any machine. */
+  /** Ledger segments that could not be read: their attempts may be on any machine. */
   readonly unreadableSegments: Set<SegmentKey>;
 
   // ---- Lifecycle (lifecycle/): jobs, attempts, and replies to workers ------------------------
 
-  /** Unfinished jobs, and those whose completion is yet to be stored. */
+  /** Unfinished jobs, and ended jobs whose completion is not yet stored. */
   readonly jobs: Map<JobId, Job>;
-  /** Jobs that ended of late, and when: a record of them as open is older than their end. */
+  /** End times of recently ended jobs: a record that shows such a job as open is outdated. */
   readonly recentlyEndedJobs: Map<JobId, Instant>;
-  /** What the attempts that may be on a machine take of their teams' quotas. */
+  /** Resources of each team that attempts use, where the attempt may be on a machine. */
   readonly teamUsage: Map<TeamName, { cpus: number; gpus: number }>;
-  /** Counts the attempts that this leader has numbered. */
+  /** How many attempt ids this leader has assigned. */
   nextAttemptOffset: number;
-  /** Machines whose heartbeat waits for its reply. */
+  /** Machines whose last heartbeat has not been replied to. */
   readonly machinesAwaitingReply: Set<Machine>;
 
   // ---- Scheduling (scheduling/) --------------------------------------------------------------
 
-  /** The job at the head of the queue, for which capacity is reserved; null for none. */
+  /** The job at the head of the queue, for which capacity is reserved; null if there is none. */
   queueHead: JobId | null;
-  /** When the head is expected to start; null when that is not known, or there is no head. */
+  /** Expected start time of the queue head; null when it is unknown or there is no head. */
   shadowTime: Instant | null;
-  /** When there was last a service that may use on-demand machines only; null for never. */
+  /** When a service restricted to on-demand machines last existed; null for never. */
   lastOnDemandServiceAt: Instant | null;
-  /** The most processors that one such service took of late, all its replicas together. */
+  /** Largest number of processors of one such recent service, over all its replicas. */
   largestServiceCpus: number;
 
-  // ---- Fleet (fleet/): machines, and what the cloud offers -----------------------------------
+  // ---- Fleet (fleet/): machines, machine types and provisioning ------------------------------
 
   readonly machines: Map<MachineId, Machine>;
-  /** Machines that the cloud has deleted; what they still report is late and changes nothing. */
+  /** Machines that the cloud has deleted: their late heartbeats are ignored. */
   readonly deletedMachines: Set<MachineId>;
-  /** Machine types of the cloud; empty until they are known. */
+  /** Machine types that the cloud offers; empty until they are known. */
   readonly types: Map<MachineTypeName, MachineType>;
-  /** What the cloud provisions, by the pools' keys. */
+  /** Instance pools by `InstancePool.key`. */
   readonly instancePools: Map<string, InstancePool>;
   /**
-   * The cloud's list was read under this term. Before, a provision request could double what a
-   * former leader has provisioned.
+   * Whether the cloud's machine list has been read under this term. Before that, a provision
+   * request could duplicate machines that a former leader has provisioned.
    */
   hasReadMachineList: boolean;
-  /** When there was last unfinished work: for a while baseline capacity stays provisioned. */
+  /** Last time with unfinished work: baseline capacity stays provisioned for a while after. */
   lastDemandAt: Instant;
   /** Counts provision requests; the fencing token in each request's id keeps it unique. */
   nextProvisionRequest: number;
 
-  // ---- Ledger (ledger/): what is stored, and what waits to be --------------------------------
+  // ---- Ledger (ledger/): stored segments, and changes not yet stored -------------------------
 
   /** Number of the next batch. */
   nextBatch: number;
-  /** The batch that is being stored; the next one waits for its result. */
+  /** The batch that is being stored, or null; the next batch is built after its result. */
   pendingBatch: Batch | null;
-  /** The newest revision that was stored under this term. */
+  /** The newest revision stored under this term. */
   storedRevision: Revision;
-  /** Attempts that wait for their ledger entry. */
+  /** Attempts whose ledger entry is not yet in a batch. */
   readonly awaitingLedgerEntry: Set<Placement>;
-  /** Segments in the key-value store, the oldest first. */
+  /** Ledger segments that are not obsolete, the oldest first. */
   readonly segments: Map<SegmentKey, LedgerSegment>;
-  /** Segments in which nothing matters any more: they wait for their deletion. */
+  /** Segments without live rows, to be deleted from the store. */
   readonly obsoleteSegments: Set<SegmentKey>;
   /** Number of the next segment. */
   nextSegment: number;
-  /** Chunks of which newer progress is known than is stored, by job and chunk number. */
+  /** Chunks with progress that is not yet in a batch, by `JOB/CHUNK_NUMBER`. */
   readonly unsavedProgress: Map<string, { job: Job; chunk: number }>;
-  /** Since when there is unsaved progress; null for none. */
+  /** Since when there has been unsaved progress; null if there is none. */
   unsavedProgressSince: Instant | null;
-  /** Ended jobs whose completion waits to be stored. */
+  /** Ended jobs whose completion is not yet in a batch. */
   readonly unsavedCompletions: Set<Job>;
 
   // ---- Extensions (extensions/) --------------------------------------------------------------
 
-  /** null where no extension is enabled. */
+  /** null when no extension is enabled. */
   extensions: ExtensionRuntime | null;
 }
 
-/** The state of a leader that has recovered nothing yet. */
+/** The initial state of a leader, before recovery. */
 export const createCore = (config: CoreConfig): CoreState => ({
   config,
   lastTickAt: config.acquiredAt,
--- a/src/core/extensions/extension-host.ts
+++ b/src/core/extensions/extension-host.ts
@@ -1,6 +1,6 @@
 /**
- * Runs extensions inside the core's steps. One that throws is logged and left out for the rest of
- * that step; scheduling goes on. While it is left out, disruptions that need its consent wait.
+ * Runs extensions within the core's steps. An extension that throws is logged and skipped for the
+ * rest of the step, while scheduling continues. A skipped extension consents to no disruption.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -23,22 +23,22 @@
 import type { ExtensionRuntime } from './extension-runtime.js';
 import { CoreFleetView } from './fleet-view.js';
 
-/** The answer to a call of an extension that has thrown. */
-const FAULT_ANSWER: OperatorAnswer = { status: 503, body: { error: 'fault' } };
+/** The answer to an operator's call when the extension has thrown. */
+const EXTENSION_FAILED_ANSWER: OperatorAnswer = { status: 503, body: { error: 'fault' } };
 
-/** The extensions of one term, and what they have requested. */
+/** Runs the extensions of one term and carries out their requests. */
 export class ExtensionHost implements ExtensionRuntime {
   readonly pendingWrites: ExtensionWrites[] = [];
   /** Extensions that have thrown in this step. */
   private readonly failedInStep = new Set<Extension>();
   private readonly effects: Effect[] = [];
   private readonly fleet: FleetView;
-  /** Something came in since the extensions last decided. */
+  /** Whether an operator's call or a result has arrived since the last `decide`. */
   private isDecisionDue = false;
   private now = 0 as Instant;
-  /** Who made each provision request that is not yet answered. */
+  /** The extension that made each provision request which is not yet answered. */
   private readonly provisionRequests = new Map<ProvisionRequestId, Extension>();
-  /** Machines kept from new work, also those that have not been heard of yet. */
+  /** Cordoned machines, including those that this leader does not know yet. */
   private readonly cordonedMachines = new Set<MachineId>();
 
   constructor(
@@ -55,7 +55,8 @@
 
   load(name: string, records: readonly ExtensionRecord[]): void {
     const extension = this.find(name);
-    if (extension) this.guard(extension, undefined, () => extension.load(records, this.moment()));
+    if (extension)
+      this.callWithFallback(extension, undefined, () => extension.load(records, this.moment()));
   }
 
   observe(event: ExtensionEvent): void {
@@ -85,7 +86,7 @@
     const extension = this.find(name);
     if (!extension) return;
     this.isDecisionDue = true;
-    const answer = this.guard(extension, FAULT_ANSWER, () =>
+    const answer = this.callWithFallback(extension, EXTENSION_FAILED_ANSWER, () =>
       extension.call(call, ticket, this.fleet, this.moment()),
     );
     if (answer) this.answer(ticket, answer);
@@ -93,23 +94,25 @@
 
   mayScaleIn(machine: MachineView): boolean {
     return this.extensions.every((extension) =>
-      this.guard(extension, false, () => extension.mayScaleIn(machine)),
+      this.callWithFallback(extension, false, () => extension.mayScaleIn(machine)),
     );
   }
 
   mayEvictReplica(attempt: AttemptView): boolean {
     return this.extensions.every((extension) =>
-      this.guard(extension, false, () => extension.mayEvictReplica(attempt)),
+      this.callWithFallback(extension, false, () => extension.mayEvictReplica(attempt)),
     );
   }
 
   decide(isTickDue: boolean): void {
-    // A machine that a new leader hears of only now may have been cordoned under a former one.
+    // A machine that this leader has just discovered may have been cordoned under a former leader.
     for (const id of this.cordonedMachines) this.setCordoned(id, true);
     if (!isTickDue && !this.isDecisionDue) return;
     this.isDecisionDue = false;
     for (const extension of this.extensions) {
-      const requests = this.guard(extension, [], () => extension.decide(this.fleet, this.moment()));
+      const requests = this.callWithFallback(extension, [], () =>
+        extension.decide(this.fleet, this.moment()),
+      );
       for (const request of requests) this.execute(extension, request);
     }
   }
@@ -127,11 +130,11 @@
   }
 
   private notify(extension: Extension, event: ExtensionEvent): void {
-    this.guard(extension, undefined, () => extension.observe(event, this.moment()));
+    this.callWithFallback(extension, undefined, () => extension.observe(event, this.moment()));
   }
 
-  /** Calls an extension; the fallback stands in for one that throws, or has thrown in this step. */
-  private guard<T>(extension: Extension, fallback: T, call: () => T): T {
+  /** Calls an extension; returns the fallback if it throws or has thrown in this step. */
+  private callWithFallback<T>(extension: Extension, fallback: T, call: () => T): T {
     if (this.failedInStep.has(extension)) return fallback;
     try {
       return call();
@@ -139,7 +142,7 @@
       this.failedInStep.add(extension);
       const { message, stack } = error as Error;
       const fields = { extension: extension.name, message, stack };
-      logEvent(this.effects, 'info', 'extension failed', fields);
+      logEvent(this.effects, 'info', 'extension failed, skipped for this step', fields);
       return fallback;
     }
   }
@@ -179,7 +182,7 @@
     this.state.isRoundDue = true;
   }
 
-  /** A stop that has been requested already keeps its grace. */
+  /** Requests a stop; one that was requested earlier keeps its grace period. */
   private requestStop(request: Extract<ExtensionRequest, { kind: 'stop' }>): void {
     const { machine, attempt, graceS } = request;
     const placement = this.state.machines.get(machine)?.placements.get(attempt);
--- a/src/core/extensions/extension-package.ts
+++ b/src/core/extensions/extension-package.ts
@@ -1,31 +1,31 @@
-/** What the program loads of an optional package: its configuration and its commands. */
+/** The entry points of an optional package: its configuration parser and its commands. */
 import type { Command } from 'commander';
 import type { ExtensionModule } from './extension.js';
 
-/** What commands of a package may use. */
+/** Functions that the program provides to a package's commands. */
 export interface CommandTools {
-  /** Sends a request to the daemon at `host:port`; null when it does not answer. */
+  /** Sends a request to the daemon at `host:port`; returns null when it does not answer. */
   sendRequest(
     at: string,
     method: 'GET' | 'POST',
     path: string,
     body?: object,
   ): Promise<{ readonly status: number; readonly body: unknown } | null>;
-  /** Prints on standard output. */
+  /** Prints to standard output. */
   print(text: string): void;
-  /** Prints one line on standard error. */
+  /** Prints one line to standard error. */
   printError(text: string): void;
-  /** The exit code for when the command has ended. */
+  /** Sets the exit code with which the process ends after the command. */
   setExitCode(code: number): void;
 }
 
 /** An optional package. */
 export interface ExtensionPackage {
-  /** Reads its file under `deploy/`; a fault names the field in one line. */
+  /** Parses the text of its file under `deploy/`; a `fault` names the invalid field in one line. */
   configure(
     text: string,
     known: { readonly teams: ReadonlySet<string> },
   ): ExtensionModule | { readonly fault: string };
-  /** Adds its commands to the command line. */
+  /** Adds its commands to the command-line program. */
   addCommands(program: Command, tools: CommandTools): void;
 }
--- a/src/core/extensions/extension-runtime.ts
+++ b/src/core/extensions/extension-runtime.ts
@@ -1,4 +1,4 @@
-/** What the core calls of the enabled extensions; `ExtensionHost` implements it. */
+/** The interface through which the core calls extensions; `ExtensionHost` implements it. */
 
 import type { Effect } from '../model/effect.js';
 import type { ExtensionRecord, ExtensionWrites } from '../model/extension-record.js';
@@ -6,28 +6,28 @@
 import type { Instant } from '../model/time.js';
 import type { AttemptView, ExtensionEvent, MachineView, OperatorCall } from './extension.js';
 
-/** The extensions of one term, as the core's steps see them. */
+/** The enabled extensions of one term. */
 export interface ExtensionRuntime {
-  /** Groups of writes that wait for a batch, in order; the batch builder takes them from here. */
+  /** Groups of writes not yet in a batch, in order; the batch builder removes them from here. */
   readonly pendingWrites: ExtensionWrites[];
-  /** Begins a step: extensions that threw in an earlier one are back. */
+  /** Begins a step; extensions that threw in an earlier step are called again. */
   beginStep(now: Instant): void;
-  /** Hands an extension what the key-value store holds for it. */
+  /** Passes an extension its records from the key-value store. */
   load(name: string, records: readonly ExtensionRecord[]): void;
-  /** Tells all extensions of an event. */
+  /** Passes an event to all extensions. */
   observe(event: ExtensionEvent): void;
-  /** The cloud's answer to a provision request; false when no extension made it. */
+  /** Passes on the result of a provision request; false when no extension made the request. */
   handleProvisionResult(event: Extract<ExtensionEvent, { kind: 'provision-result' }>): boolean;
-  /** Writes of a batch are stored, or were refused. */
+  /** Notifies an extension that its writes in a batch were stored or refused. */
   handleStoreResult(writes: ExtensionWrites, kind: 'stored' | 'refused'): void;
-  /** Passes an operator's call on; it is answered by an effect with its ticket. */
+  /** Passes on an operator's call; an effect with the same ticket carries the answer. */
   call(name: string, call: OperatorCall, ticket: ReplyTicket): void;
-  /** Whether all extensions let an idle machine go. */
+  /** Whether all extensions allow an idle machine to be deleted. */
   mayScaleIn(machine: MachineView): boolean;
-  /** Whether all extensions let a replica be evicted. */
+  /** Whether all extensions allow a replica to be evicted. */
   mayEvictReplica(attempt: AttemptView): boolean;
-  /** Lets the extensions decide when it is time, and carries their requests out. */
+  /** Calls the extensions' `decide` when it is due, and carries out their requests. */
   decide(isTickDue: boolean): void;
-  /** Effects gathered since the last call. */
+  /** Returns and clears the effects collected since the last call. */
   takeEffects(): Effect[];
 }
--- a/src/core/extensions/extension.ts
+++ b/src/core/extensions/extension.ts
@@ -1,7 +1,7 @@
 /**
- * The public interface between the core and optional packages. An extension sees what happens in
- * the fleet and may request a few things. It runs inside the command loop, as pure as the core
- * itself: no input or output, no clock, no randomness. It knows nothing of the core but these types.
+ * The public interface between the core and optional packages. An extension observes the fleet and
+ * returns requests. It runs within the command loop and is as pure as the core: no input or output,
+ * no clock, no randomness. It depends on no part of the core but these types.
  */
 import type { AttemptPhase, AttemptRelease } from '../model/attempt.js';
 import type { ExtensionRecord, RecordWrite } from '../model/extension-record.js';
@@ -26,29 +26,29 @@
 import type { Team } from '../model/team.js';
 import type { Instant, Millis } from '../model/time.js';
 
-/** Calls of operators, which are part of this interface. */
+/** Operators' calls, which are part of this interface. */
 export type { OperatorAnswer, OperatorCall } from '../model/operator-call.js';
 
-/** What is known of an attempt at running a task. */
+/** An attempt at running a task on a machine. */
 export interface AttemptView {
-  /** Its task, number and resources, as the ledger holds them. */
+  /** Its task, attempt id and resources, as stored in the ledger. */
   readonly entry: LedgerEntry;
   readonly machine: MachineView;
-  /** null when its job has ended or is unknown. */
+  /** null when the job has ended or is unknown. */
   readonly job: JobView | null;
   readonly phase: AttemptPhase;
   /** When it was first reported as running; null before. */
   readonly startedAt: Instant | null;
-  /** It has been told to stop, or will be, with that grace in seconds; null: it goes on. */
+  /** The pending stop, with its grace period in seconds; null when none is requested. */
   readonly stopRequest: { readonly graceS: number } | null;
-  /** Its task was done by another attempt. */
+  /** Whether another attempt has completed the task. */
   readonly isSuperseded: boolean;
 }
 
 /** An unfinished job. */
 export interface JobView {
   readonly spec: JobSpec;
-  /** How many tasks wait for a machine. */
+  /** Number of tasks waiting for a machine. */
   readonly pendingTasks: number;
   /** Attempts that may be on a machine, by task. */
   readonly attemptsByTask: ReadonlyMap<TaskIndex, readonly AttemptView[]>;
@@ -62,145 +62,145 @@
   readonly zone: ZoneName;
   readonly spot: boolean;
   readonly provisionedAt: Instant;
-  /** It has reported and obeys this leader's fencing token. */
+  /** Whether it has reported and its heartbeats carry this leader's fencing token. */
   readonly isReady: boolean;
-  /** This leader has had a heartbeat of it. */
+  /** Whether this leader has received a heartbeat from it. */
   readonly hasReported: boolean;
   readonly lastHeartbeatAt: Instant;
-  /** Since when it counts as lost; null while it does not. */
+  /** Since when it has counted as lost; null while it does not. */
   readonly lostAt: Instant | null;
-  /** When the cloud takes it away, by its own notice; null without one. */
+  /** When the cloud will reclaim it, according to its reclaim notice; null without a notice. */
   readonly reclaimAt: Instant | null;
-  /** It gets no more work and is deleted once it is empty. */
+  /** Whether it gets no more tasks and is deleted once it is empty. */
   readonly isDraining: boolean;
-  /** Its deletion has been requested. */
+  /** Whether its deletion has been requested. */
   readonly isDeleting: boolean;
-  /** An extension keeps it from new work. */
+  /** Whether an extension excludes it from new placements. */
   readonly isCordoned: boolean;
-  /** Since when no attempt may be on it. */
+  /** Since when no attempt can have been on it. */
   readonly idleSince: Instant;
-  /** Attempts that may be on it, and ended ones that it still holds. */
+  /** Attempts that may be on it, and ended ones that its worker has not yet reaped. */
   readonly placements: ReadonlyMap<AttemptId, AttemptView>;
-  /** Images that it has fetched, as far as is known. */
+  /** Images that it is known to have fetched. */
   readonly images: ReadonlySet<ImageName>;
 }
 
-/** A type of machine in one zone, spot or on demand, that the cloud provisions. */
+/** Machines of one type, in one zone, either spot or on-demand. */
 export interface InstancePoolView {
   readonly type: MachineType;
   readonly zone: ZoneName;
   readonly spot: boolean;
-  /** Requests in a row that were not filled, up to a bound. */
+  /** Consecutive provision requests that were not filled, up to a maximum. */
   readonly refusals: number;
 }
 
-/** The fleet as the leader knows it. Extensions only read it, and keep no part of it. */
+/** The fleet as the leader knows it. Extensions must not modify it or keep references to it. */
 export interface FleetView {
-  /** The leader's fencing token; a new one stands for a new term. */
+  /** The leader's fencing token, which identifies the term. */
   readonly fencingToken: FencingToken;
-  /** The interval at which workers report. */
+  /** The interval at which workers send heartbeats. */
   readonly heartbeatIntervalMs: Millis;
-  /** Size of the largest value that the key-value store takes, in bytes. */
+  /** Maximum size of a value in the key-value store, in bytes. */
   readonly maxValueBytes: number;
-  /** Nominal boot times after which a machine that is not up is given up. */
+  /** A machine that is not up after this many times its nominal boot time is replaced. */
   readonly bootTimeoutFactor: number;
   readonly machines: ReadonlyMap<MachineId, MachineView>;
   /** Unfinished jobs. */
   readonly jobs: ReadonlyMap<JobId, JobView>;
-  /** Machine types of the cloud. */
+  /** Machine types that the cloud offers. */
   readonly types: ReadonlyMap<MachineTypeName, MachineType>;
   readonly teams: ReadonlyMap<TeamName, Team>;
   readonly instancePools: ReadonlyMap<string, InstancePoolView>;
-  /** The job at the head of the queue, for which capacity is reserved. */
+  /** The job at the head of the queue, for which capacity is reserved; null if there is none. */
   readonly queueHead: JobId | null;
-  /** Every machine has had time to report to this leader, and the cloud's list has been read. */
+  /** Whether all machines have had time to report and the cloud's machine list has been read. */
   readonly isSettled: boolean;
   /** Whether a task of an unfinished job is done; false for an unknown job. */
   isTaskDone(job: JobId, index: TaskIndex): boolean;
 }
 
-/** The present, on the steady clock and by the time of day. */
+/** The current time, on the steady clock and on the wall clock. */
 export interface Moment {
   readonly now: Instant;
-  /** Milliseconds since the epoch, within the platform's bound of clocks. */
+  /** Milliseconds since the epoch; its error is within the platform's bound for clocks. */
   readonly wallClockMs: number;
 }
 
-/** What an extension is told. */
+/** An event that the core passes to an extension. */
 export type ExtensionEvent =
-  /** An attempt is certainly not on its machine any more. Sent before the core forgets it. */
+  /** An attempt is certainly no longer on its machine. Sent before the core removes it. */
   | { readonly kind: 'released'; readonly attempt: AttemptView; readonly how: AttemptRelease }
-  /** The answer to one of the extension's own provision requests. */
+  /** The result of one of the extension's own provision requests. */
   | {
       readonly kind: 'provision-result';
       readonly request: ProvisionRequestId;
       readonly result: ProvisionOutcome;
       readonly machines: readonly MachineId[];
     }
-  /** Writes of one request are stored, or refused by the key-value store in any size. */
+  /** Writes of one request are stored, or refused by the store even in a transaction alone. */
   | { readonly kind: 'stored' | 'refused'; readonly writes: readonly RecordWrite[] };
 
-/** What an extension requests of the core. */
+/** A request from an extension to the core. */
 export type ExtensionRequest =
-  /** Keeps a machine from new work, also one that is not known yet, or ends that. */
+  /** Excludes a machine, known or not yet known, from new placements, or ends the exclusion. */
   | { readonly kind: 'cordon' | 'uncordon'; readonly machine: MachineId }
-  /** Stops an attempt; with grace enough, in seconds, a task with checkpoints writes one. */
+  /** Stops an attempt. A task with checkpoints writes one if the grace, in seconds, allows it. */
   | {
       readonly kind: 'stop';
       readonly machine: MachineId;
       readonly attempt: AttemptId;
       readonly graceS: number;
     }
-  /** Gives a machine back to the cloud once nothing is on it; cannot be taken back. */
+  /** Drains a machine and deletes it once it is empty; cannot be cancelled. */
   | { readonly kind: 'return-machine'; readonly machine: MachineId }
   /** Provisions machines; answered by a `provision-result` event. */
   | ({ readonly kind: 'provision' } & ProvisionRequest)
-  /** Writes that are stored together or not at all; at most `MAX_WRITES_PER_REQUEST`. */
+  /** Stores writes atomically; at most `MAX_WRITES_PER_REQUEST`. */
   | { readonly kind: 'write'; readonly writes: readonly RecordWrite[] }
-  /** Answers a call whose answer had to wait. */
+  /** Answers a call for which `call` returned null. */
   | { readonly kind: 'answer'; readonly ticket: ReplyTicket; readonly answer: OperatorAnswer }
   | ({ readonly kind: 'log' } & LogRecord);
 
-/** As many mutations as the smallest transaction of any known deployment takes. */
+/** The number of mutations that fit the smallest transaction limit of any known deployment. */
 export const MAX_WRITES_PER_REQUEST = 3;
 
-/** The decisions of an optional package, for one term of leadership. */
+/** The part of an optional package that runs in the core, for one term of leadership. */
 export interface Extension {
-  /** Its name: that of its package, its routes and its records. */
+  /** Its name, which also identifies its package, its routes and its records. */
   readonly name: string;
-  /** Takes what the key-value store holds for it, when the term begins. */
+  /** Loads its records from the key-value store, at the start of the term. */
   load(records: readonly ExtensionRecord[], moment: Moment): void;
-  /** Takes notice of an event. */
+  /** Handles an event. */
   observe(event: ExtensionEvent, moment: Moment): void;
-  /** Called about twice a second while this node leads, and once an answer or a call came in. */
+  /** Called about twice a second while this node leads, and after each result or call. */
   decide(fleet: FleetView, moment: Moment): readonly ExtensionRequest[];
-  /** Answers a call at once, or, when it returns null, by an `answer` request later. */
+  /** Answers a call immediately, or returns null and answers later with an `answer` request. */
   call(
     call: OperatorCall,
     ticket: ReplyTicket,
     fleet: FleetView,
     moment: Moment,
   ): OperatorAnswer | null;
-  /** Whether a machine on which nothing runs may be deleted for lack of work. */
+  /** Whether an idle machine may be deleted by scale-in. */
   mayScaleIn(machine: MachineView): boolean;
-  /** Whether a replica may be stopped on a machine that leaves by the daemon's own decision. */
+  /** Whether a replica may be evicted from a machine that the daemon itself decided to remove. */
   mayEvictReplica(attempt: AttemptView): boolean;
 }
 
 /** An HTTP route that an extension serves. */
 export interface ExtensionRoute {
-  /** Names the route in calls. */
+  /** The route's name in `OperatorCall.route`. */
   readonly name: string;
   readonly method: 'GET' | 'POST';
-  /** In Hono's form; at most one parameter, `:subject`. */
+  /** In Hono's path syntax; at most one parameter, `:subject`. */
   readonly path: string;
 }
 
-/** What an enabled package gives the daemon. */
+/** What an enabled package provides to the daemon. */
 export interface ExtensionModule {
-  /** The same as its extension's. */
+  /** The same as its extension's name. */
   readonly name: string;
   readonly routes: readonly ExtensionRoute[];
-  /** Makes a new extension for a term of leadership. */
+  /** Creates the extension for a term of leadership. */
   create(): Extension;
 }
--- a/src/core/extensions/fleet-view.ts
+++ b/src/core/extensions/fleet-view.ts
@@ -1,11 +1,11 @@
-/** The leader's state as extensions see it. */
+/** The leader's state as a `FleetView` for extensions. */
 
 import type { CoreState } from '../core-state.js';
 import { isTaskDone } from '../lifecycle/job-tasks.js';
 import type { JobId, TaskIndex } from '../model/ids.js';
 import type { FleetView } from './extension.js';
 
-/** Shows extensions the core's state as it is, without copies. */
+/** Exposes the core's state without copying it. */
 export class CoreFleetView implements FleetView {
   constructor(private readonly state: CoreState) {}
 
--- a/src/core/ledger/batch-builder.ts
+++ b/src/core/ledger/batch-builder.ts
@@ -1,6 +1,6 @@
 /**
- * Builds the batches in which the leader stores what it has decided: completions, attempts,
- * progress, compaction, deletions of obsolete segments, and writes of extensions.
+ * Builds the batches in which the leader stores its decisions: completions, attempts, progress,
+ * compaction, deletions of obsolete segments, and writes of extensions.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -11,18 +11,18 @@
 import { BatchDraft, isLongLived } from './batch-draft.js';
 import { compactSparseSegments } from './compaction.js';
 
-/** Progress only spares work after a failover: it may wait this long for other writes. */
+/** How long progress may wait for other writes: it only avoids repeated work after a failover. */
 const MAX_PROGRESS_DELAY_MS = 700;
-/** A completion writes the job's terminal state and deletes the job's own record. */
+/** A completion writes the job's outcome and deletes the job's own record. */
 const COMPLETION_MUTATIONS = 2;
 const COMPLETION_BYTES = 300;
-/** Share of a batch that completions may fill while starts wait for their ledger entry. */
+/** Share of a batch's mutations for completions while attempts wait for their ledger entry. */
 const COMPLETION_SHARE = 0.5;
-/** Share of a batch that extensions may fill: starts and ends must not wait for them. */
+/** Share of a batch for extensions, whose writes must not delay starts and completions. */
 const EXTENSION_SHARE = 0.25;
 const MAX_DELETIONS_PER_BATCH = 8;
-/** With this many obsolete segments a batch is made for their deletion alone. */
-const MIN_DELETIONS_ALONE = 4;
+/** With this many obsolete segments, a batch is built for deletions alone. */
+const MIN_DELETIONS_FOR_OWN_BATCH = 4;
 
 const addCompletions = (state: CoreState, draft: BatchDraft): void => {
   const { maxMutations } = draft;
@@ -57,8 +57,8 @@
 };
 
 /**
- * Progress that is not due only fills up what is written anyway: written with every batch, it
- * would take most of the mutations.
+ * Adds unsaved progress. Progress that is not due only fills a segment that is written anyway: a
+ * segment for it in every batch would take most of the mutations.
  */
 const addProgress = (state: CoreState, draft: BatchDraft, now: Instant): void => {
   const { unsavedProgress, unsavedProgressSince } = state;
@@ -70,8 +70,8 @@
       unsavedProgress.delete(key);
       continue;
     }
-    // A new leader looks for no attempts of tasks that it reads as done. While another attempt may
-    // be on a machine, and counts against its team, the task is not stored as done.
+    // A new leader recovers no attempts of tasks that are stored as done. While a superseded
+    // attempt may be on a machine, and counts against its team's quota, progress is not stored.
     if (job.supersededAttempts > 0) continue;
     const chunk = chunkOf(job, number);
     const isRecorded = isDue
@@ -86,8 +86,8 @@
 
 const addCompactionAndDeletions = (state: CoreState, draft: BatchDraft): void => {
   const { obsoleteSegments } = state;
-  if (!draft.hasWrites && obsoleteSegments.size < MIN_DELETIONS_ALONE) return;
-  // While starts wait for their entries nothing is moved: short attempts end by themselves.
+  if (!draft.hasWrites && obsoleteSegments.size < MIN_DELETIONS_FOR_OWN_BATCH) return;
+  // No compaction while attempts wait for their entries: rows of short attempts soon end anyway.
   if (draft.hasNewSegments && state.awaitingLedgerEntry.size === 0)
     compactSparseSegments(state, draft);
   let deletions = 0;
@@ -103,7 +103,7 @@
   const pending = state.extensions?.pendingWrites;
   if (!pending) return;
   const room = draft.maxMutations - draft.mutations;
-  // A group is stored together, and the smallest share must hold one.
+  // A group of writes is stored atomically, so even the smallest share must fit one group.
   const limit = Math.max(MAX_WRITES_PER_REQUEST, Math.floor(room * EXTENSION_SHARE));
   let mutations = 0;
   for (let next = pending[0]; next; next = pending[0]) {
@@ -115,12 +115,12 @@
   }
 };
 
-/** Builds one batch if there is something to store; the next one waits until this one is stored. */
+/** Builds a batch if there is something to store and no batch is being stored. */
 export const buildNextBatch = (state: CoreState, now: Instant, effects: Effect[]): void => {
   if (state.pendingBatch) return;
   const draft = new BatchDraft(state);
   addCompletions(state, draft);
-  // Replicas first: there are few, and somebody waits for each.
+  // Replicas first: they are few, and users wait for each of them.
   addPlacements(state, draft, true);
   addPlacements(state, draft, false);
   addProgress(state, draft, now);
--- a/src/core/ledger/batch-draft.ts
+++ b/src/core/ledger/batch-draft.ts
@@ -1,4 +1,4 @@
-/** One batch in the making: its operations, its open segments, and how much room is left. */
+/** A batch under construction: its operations, its open segments and the remaining room. */
 
 import type { CoreState } from '../core-state.js';
 import type { Batch, Job, LedgerSegment, Placement, ProgressChunk } from '../model/entities.js';
@@ -8,21 +8,21 @@
 import { SegmentDraft } from './segment-draft.js';
 import { maxSegmentBytes, segmentKey } from './segments.js';
 
-/** Size of a batch's values, in bytes: well below what one transaction may hold. */
+/** Maximum size of a batch's values, in bytes: well below the limit of one transaction. */
 const MAX_BATCH_BYTES = 40_000;
 /**
- * Mutations of a batch, where one transaction takes fewer. It is then stored in several, one after
- * the other: batches of one small transaction would cost a step of the command loop for each.
+ * A batch may have this many mutations even if one transaction takes fewer. It is then stored in
+ * several consecutive ones: a batch for each would cost a step of the command loop each.
  */
 const MIN_MUTATIONS_BY_TRANSACTION = 24;
-/** All of a batch waits for its last mutation: it holds what is written in this many seconds. */
+/** A batch takes effect after its last mutation, so all must be writable within this time. */
 const MAX_BATCH_WRITE_S = 0.5;
-/** Whatever the write rate, a batch may have this many mutations. */
+/** A batch may have this many mutations however low the write rate is. */
 const MIN_MUTATIONS_BY_RATE = 4;
 
 /**
- * Replicas of services stay for as long as their job. They get segments of their own, which do not
- * become sparse as short attempts end.
+ * Whether the attempt is a service's replica, which lasts as long as its job. Replicas get segments
+ * of their own, which do not become sparse as short attempts end.
  */
 export const isLongLived = (placement: Placement): boolean =>
   placement.job !== null && isService(placement.job);
@@ -33,23 +33,23 @@
     Math.max(MIN_MUTATIONS_BY_RATE, Math.ceil(config.storeWritesPerSecond * MAX_BATCH_WRITE_S)),
   );
 
-/** A batch that is being built. Whatever is added moves in the ledger's state at once. */
+/** A batch under construction. Each addition updates the ledger's part of the state at once. */
 export class BatchDraft {
-  /** What the core has to know of the batch once it is stored. */
+  /** The changes to apply once the batch is stored. */
   readonly batch: Batch;
-  /** Completions and extension writes; segments and deletions follow them in `finish`. */
+  /** Completions and extension writes; `finish` appends segments and deletions. */
   readonly operations: StoreOperation[] = [];
   /** Segments that this batch writes. */
   readonly newSegments = new Set<LedgerSegment>();
   readonly maxMutations: number;
-  /** Mutations of the store's records so far. */
+  /** Number of mutations in the batch so far. */
   mutations = 0;
   private readonly segmentDrafts: SegmentDraft[] = [];
   private readonly obsoleteKeys: SegmentKey[] = [];
   private readonly maxSegmentBytes: number;
-  /** Size of all but the open segments. */
+  /** Size of everything but the open segments, in bytes. */
   private closedBytes = 0;
-  /** The segments that take further rows, by how long their rows last. */
+  /** The segments that accept further rows, by the lifetime of their rows. */
   private openLongLived: SegmentDraft | null = null;
   private openShortLived: SegmentDraft | null = null;
 
@@ -65,7 +65,7 @@
     };
   }
 
-  /** Whether something is stored anyway, so that more may go along. */
+  /** Whether the batch already stores something, so that optional writes may be added. */
   get hasWrites(): boolean {
     return this.segmentDrafts.length > 0 || this.operations.length > 0;
   }
@@ -78,14 +78,14 @@
     return this.openShortLived !== null;
   }
 
-  /** Adds an operation of that many mutations and about that many bytes. */
+  /** Adds an operation with its number of mutations and its approximate size in bytes. */
   addOperation(operation: StoreOperation, mutations: number, bytes = 0): void {
     this.operations.push(operation);
     this.mutations += mutations;
     this.closedBytes += bytes;
   }
 
-  /** Enters an attempt in an open segment, else in a new one; false when the batch is full. */
+  /** Records an attempt in an open segment, else in a new one; false when the batch is full. */
   recordPlacement(placement: Placement): boolean {
     const longLived = isLongLived(placement);
     const open = longLived ? this.openLongLived : this.openShortLived;
@@ -99,7 +99,7 @@
     return true;
   }
 
-  /** Records a chunk's progress in an open segment, else in a new one; false: the batch is full. */
+  /** Records a chunk's progress in an open or new segment; false when the batch is full. */
   recordProgress(job: Job, number: number, chunk: ProgressChunk): boolean {
     if (this.recordProgressInOpenSegment(job, number, chunk)) return true;
     const next = this.draftSegment();
@@ -110,25 +110,25 @@
     return true;
   }
 
-  /** Records a chunk's progress only where a segment that is written anyway has room. */
+  /** Records a chunk's progress only if the open segment of short-lived rows has room. */
   recordProgressInOpenSegment(job: Job, number: number, chunk: ProgressChunk): boolean {
     return this.openShortLived?.recordProgress(job, number, chunk) ?? false;
   }
 
-  /** Deletes an obsolete segment from the store, after all that this batch writes. */
+  /** Deletes an obsolete segment from the store, after all writes of this batch. */
   deleteSegment(key: SegmentKey): void {
     this.obsoleteKeys.push(key);
     this.mutations += 1;
   }
 
-  /** The operations in the order in which they must be stored. */
+  /** Returns the operations in the order in which they must be stored. */
   finish(): readonly StoreOperation[] {
     for (const draft of this.segmentDrafts) this.operations.push(draft.toOperation());
     for (const key of this.obsoleteKeys) this.operations.push({ kind: 'delete-segment', key });
     return this.operations;
   }
 
-  /** null when the batch has no room for one more segment. */
+  /** Returns an empty segment draft, or null when the batch has no room for another segment. */
   private draftSegment(): SegmentDraft | null {
     const openBytes = (this.openShortLived?.bytes ?? 0) + (this.openLongLived?.bytes ?? 0);
     if (this.mutations + 1 > this.maxMutations) return null;
@@ -138,7 +138,7 @@
     return new SegmentDraft(this.state, key, this.maxSegmentBytes);
   }
 
-  /** Takes a drafted segment in. One that fits not even its first row never uses up a key. */
+  /** Adds a segment after its first row; a draft too small for that row uses no segment key. */
   private addSegment(draft: SegmentDraft): void {
     const { segment } = draft;
     this.state.nextSegment += 1;
--- a/src/core/ledger/batch-result.ts
+++ b/src/core/ledger/batch-result.ts
@@ -1,4 +1,4 @@
-/** What follows from a batch that is stored, or of which the store refused operations. */
+/** Handles the result of a batch: stored, or stored except for refused operations. */
 
 import type { CoreState } from '../core-state.js';
 import { releasePlacement } from '../lifecycle/attempts.js';
@@ -10,16 +10,16 @@
 import type { StoreOperation } from '../model/ledger-record.js';
 import { addMillis, type Instant, type Millis } from '../model/time.js';
 
-/** How long a job waits after the store refused an attempt's entry, before it is tried again. */
+/** Delay before a job is placed again after the store refused the entry of its attempt. */
 const RETRY_DELAY_AFTER_REFUSAL_MS = 30_000 as Millis;
 
-interface RefusedSubjects {
+interface RefusedJobsAndAttempts {
   readonly jobs: ReadonlySet<JobId>;
   readonly attempts: ReadonlySet<AttemptId>;
 }
 
-/** The jobs whose progress or completion, and the attempts whose entries, are not stored. */
-const refusedSubjects = (refused: readonly StoreOperation[]): RefusedSubjects => {
+/** Returns the jobs and attempts whose progress, completion or entry was not stored. */
+const refusedJobsAndAttempts = (refused: readonly StoreOperation[]): RefusedJobsAndAttempts => {
   const jobs = new Set<JobId>();
   const attempts = new Set<AttemptId>();
   for (const operation of refused) {
@@ -32,7 +32,7 @@
   return { jobs, attempts };
 };
 
-/** An attempt that could not be entered was never sent to its machine: its task waits again. */
+/** Requeues tasks of attempts whose entries were refused: they were never sent to a machine. */
 const requeueRefusedAttempts = (
   state: CoreState,
   batch: Batch,
@@ -48,14 +48,14 @@
   }
 };
 
-/** Operations that the store takes in no size hold up only what they speak of. */
+/** Withdraws refused operations from the batch, so that they delay only what they concern. */
 const handleRefusedOperations = (
   state: CoreState,
   batch: Batch,
   refused: readonly StoreOperation[],
   now: Instant,
 ): void => {
-  const { jobs, attempts } = refusedSubjects(refused);
+  const { jobs, attempts } = refusedJobsAndAttempts(refused);
   requeueRefusedAttempts(state, batch, attempts, now);
   for (const operation of refused) {
     if (operation.kind !== 'write-extension-records') continue;
@@ -68,7 +68,7 @@
   batch.completedJobs = batch.completedJobs.filter((job) => !jobs.has(job.spec.id));
 };
 
-/** Dispatches, settles and reports what the pending batch stored; a late result changes nothing. */
+/** Applies the changes of the pending batch; the late result of another batch is ignored. */
 export const handleBatchStored = (
   state: CoreState,
   command: Extract<Command, { kind: 'batch-stored' }>,
--- a/src/core/ledger/compaction.ts
+++ b/src/core/ledger/compaction.ts
@@ -1,24 +1,24 @@
-/** Compaction of the placement ledger: what is left of sparse segments moves into new ones. */
+/** Compaction of the placement ledger: moves the live rows of sparse segments to new segments. */
 
 import type { CoreState } from '../core-state.js';
 import type { LedgerSegment } from '../model/entities.js';
 import type { BatchDraft } from './batch-draft.js';
 import { liveRowCount } from './segments.js';
 
-/** A segment is sparse when no more than this share of it still matters. */
+/** A segment is sparse when at most this share of its initial rows is live. */
 const SPARSE_SHARE = 0.4;
 const MAX_SEGMENTS_PER_BATCH = 6;
 
 const isSparse = (segment: LedgerSegment): boolean =>
   liveRowCount(segment) <= segment.initialRowCount * SPARSE_SHARE;
 
-/** Moves what a segment holds into the batch's own segments; false when not all of it could go. */
+/** Moves a segment's live rows into the batch's segments; false if some could not be moved. */
 const moveRows = (segment: LedgerSegment, draft: BatchDraft): boolean => {
   for (const placement of [...segment.placements]) {
     if (!draft.recordPlacement(placement)) return false;
   }
   for (const [chunk, { job, number }] of [...segment.chunks]) {
-    // Its newest bits may tell a task as done of which an attempt is still on a machine.
+    // The chunk's bits may mark a task as done whose superseded attempt is still on a machine.
     if (job.supersededAttempts > 0) return false;
     if (!draft.recordProgress(job, number, chunk)) return false;
   }
@@ -26,9 +26,9 @@
 };
 
 /**
- * Moves the rows of sparse segments, the oldest first, so that a few long tasks do not keep alive
- * many segments that a new leader would have to read. The batch moves and deletes, the deletion
- * last; a segment larger than one may be under today's limits moves in pieces.
+ * Moves the live rows of sparse segments, the oldest first, so that a few long tasks do not keep
+ * many segments that a new leader would have to read. The batch writes the moved rows before it
+ * deletes their old segment. A segment larger than the current limit moves in several parts.
  */
 export const compactSparseSegments = (state: CoreState, draft: BatchDraft): void => {
   let compacted = 0;
--- a/src/core/ledger/recovery.ts
+++ b/src/core/ledger/recovery.ts
@@ -1,4 +1,4 @@
-/** Recovery of a new leader from the ledger rows that former leaders have stored. */
+/** Restores a new leader's state from the ledger rows that former leaders have stored. */
 
 import type { CoreState } from '../core-state.js';
 import { getOrCreateChunk, isTaskDone, recountPendingTasks } from '../lifecycle/job-tasks.js';
@@ -13,28 +13,28 @@
 import { detachChunk, getOrCreateSegment } from './segments.js';
 
 const TASKS_PER_BYTE = 8;
-/** Progress that counts as unsaved since then is due at once. */
-const LONG_AGO = 0 as Instant;
+/** Progress unsaved since then is due at once. */
+const OVERDUE_SINCE = 0 as Instant;
 
 interface MergeResult {
-  /** The row told of tasks that were not known as done. */
-  readonly hasNews: boolean;
-  /** The row alone tells all that is now known of the chunk. */
-  readonly isComplete: boolean;
+  /** Whether the row marks tasks as done that were not known as done. */
+  readonly hasNewDoneTasks: boolean;
+  /** Whether the row includes all tasks of the chunk that are now known as done. */
+  readonly rowCoversChunk: boolean;
 }
 
-/** Adds a row's bits to a chunk; `offset` is the chunk's first byte in the row, or before it. */
+/** Merges a row's bits into a chunk, which begins `offset` bytes after (negative: before) the row. */
 const mergeBits = (chunk: ProgressChunk, row: Uint8Array, offset: number): MergeResult => {
-  let hasNews = false;
-  let isComplete = true;
+  let hasNewDoneTasks = false;
+  let rowCoversChunk = true;
   for (const [i, known] of chunk.bits.entries()) {
     const stored = row[offset + i] ?? 0;
     const merged = known | stored;
-    hasNews ||= merged !== known;
-    isComplete &&= merged === stored;
+    hasNewDoneTasks ||= merged !== known;
+    rowCoversChunk &&= merged === stored;
     chunk.bits[i] = merged;
   }
-  return { hasNews, isComplete };
+  return { hasNewDoneTasks, rowCoversChunk };
 };
 
 const recoverChunk = (
@@ -46,20 +46,24 @@
 ): void => {
   const chunkStart = (number * job.tasksPerChunk) as TaskIndex;
   const chunk = getOrCreateChunk(job, chunkStart);
-  // Several segments may tell of one chunk; mostly the newest tells all that the others do.
+  // Several segments may have rows of one chunk; usually the newest row includes the others.
   const isFirst = chunk.segment === null;
-  const { hasNews, isComplete } = mergeBits(chunk, bits, (chunkStart - firstTask) / TASKS_PER_BYTE);
-  if (!isFirst && !hasNews) return;
+  const { hasNewDoneTasks, rowCoversChunk } = mergeBits(
+    chunk,
+    bits,
+    (chunkStart - firstTask) / TASKS_PER_BYTE,
+  );
+  if (!isFirst && !hasNewDoneTasks) return;
   detachChunk(state, chunk);
   chunk.segment = segment;
   segment.chunks.set(chunk, { job, number });
   segment.initialRowCount += 1;
-  if (isComplete) return;
-  // Rows of smaller chunks each tell their own tasks only: they are stored anew as one, before any
-  // of their segments is deleted.
+  if (rowCoversChunk) return;
+  // Rows of smaller chunks each cover a part of this chunk: it is stored again as one row before
+  // any of their segments is deleted.
   chunk.version += 1;
   state.unsavedProgress.set(`${job.spec.id}/${number}`, { job, chunk: number });
-  state.unsavedProgressSince = LONG_AGO;
+  state.unsavedProgressSince = OVERDUE_SINCE;
 };
 
 const countDoneTasks = ({ chunks }: Job): number => {
@@ -77,14 +81,14 @@
   firstTask % TASKS_PER_BYTE === 0 &&
   firstTask < job.spec.tasks;
 
-/** Takes up which tasks of a job are done; a row that fits no such job is passed over. */
+/** Restores which tasks of a job are done; ignores a row that does not match the known job. */
 export const recoverProgress = (
   state: CoreState,
   row: Extract<Command, { kind: 'recovered-progress' }>,
 ): void => {
   const job = state.jobs.get(row.job);
   const segment = getOrCreateSegment(state, row.segment);
-  // A service is never done, in no part.
+  // Tasks of a service are never done.
   if (!job || isService(job) || !isRowWithinJob(row, job)) return;
   const { tasksPerChunk } = job;
   const rowEnd = row.firstTask + Math.max(1, row.bits.length) * TASKS_PER_BYTE;
@@ -97,7 +101,7 @@
   recountPendingTasks(job);
 };
 
-/** Takes up which attempts may be on a machine. Progress must be recovered first. */
+/** Restores the attempts that may be on a machine. Progress must be recovered first. */
 export const recoverAttempts = (
   state: CoreState,
   row: Extract<Command, { kind: 'recovered-attempts' }>,
@@ -108,7 +112,7 @@
   for (const entry of row.entries) {
     segment.initialRowCount += 1;
     const job = state.jobs.get(entry.job);
-    // A task that is stored as done needs no second look: its result is safe.
+    // The result of a task that is stored as done is safe: its attempts need no reconciliation.
     if (job && isTaskDone(job, entry.index)) continue;
     if (!machine.placements.has(entry.attempt))
       recoverPlacement(state, machine, entry, now, segment);
--- a/src/core/ledger/segment-draft.ts
+++ b/src/core/ledger/segment-draft.ts
@@ -1,4 +1,4 @@
-/** One ledger segment in the making: takes attempts and progress while its value has room. */
+/** A ledger segment under construction: accepts attempts and progress while it has room. */
 
 import type { CoreState } from '../core-state.js';
 import type { Job, LedgerSegment, Placement, ProgressChunk } from '../model/entities.js';
@@ -18,7 +18,7 @@
 const JOB_BYTES = 14;
 const PROGRESS_BYTES = 20;
 
-/** Names from outside may need escapes in JSON: their URI form is never shorter. */
+/** Upper bound of a name's length in JSON, where external names may need escapes. */
 const escapedLength = (name: string): number => encodeURIComponent(name).length;
 
 const base64Length = (bytes: number): number => Math.ceil(bytes / 3) * 4;
@@ -27,15 +27,15 @@
   readonly entries: LedgerEntry[];
 }
 
-/** A ledger segment that is being filled; its estimated size never falls below the stored one. */
+/** A ledger segment under construction; its estimated size is never below the stored size. */
 export class SegmentDraft {
-  /** What the core keeps of the segment once it is written. */
+  /** The core's record of the segment. */
   readonly segment: LedgerSegment;
-  /** Estimated size of the stored value. */
+  /** Estimated size of the stored value, in bytes. */
   bytes = FRAME_BYTES;
   private readonly machineRows = new Map<MachineId, MachineRow>();
   private readonly progressRows: ProgressRow[] = [];
-  /** Jobs named in it: a stored segment names each once. */
+  /** Jobs in this segment, whose attributes the stored value holds once per job. */
   private readonly jobs = new Set<JobId>();
 
   constructor(
@@ -46,7 +46,7 @@
     this.segment = createSegment(key);
   }
 
-  /** Enters an attempt and detaches it from its former segment; false when there is no room. */
+  /** Records an attempt and detaches it from its former segment; false when there is no room. */
   recordPlacement(placement: Placement): boolean {
     if (!this.reserve(this.placementBytes(placement))) return false;
     const { entry } = placement;
@@ -59,7 +59,7 @@
     return true;
   }
 
-  /** Records which tasks of a chunk are done, as of now; false when there is no room. */
+  /** Records which tasks of a chunk are now done; false when there is no room. */
   recordProgress(job: Job, number: number, chunk: ProgressChunk): boolean {
     const bytes = PROGRESS_BYTES + job.spec.id.length + base64Length(chunk.bits.length);
     if (!this.reserve(bytes)) return false;
@@ -75,7 +75,7 @@
     return true;
   }
 
-  /** The operation that stores the segment. */
+  /** Returns the operation that stores the segment. */
   toOperation(): StoreOperation {
     return {
       kind: 'write-segment',
--- a/src/core/ledger/segments.ts
+++ b/src/core/ledger/segments.ts
@@ -1,25 +1,25 @@
-/** Segments of the placement ledger: what each still holds, and when it becomes obsolete. */
+/** Segments of the placement ledger: their live rows, and when a segment becomes obsolete. */
 import type { CoreConfig, CoreState } from '../core-state.js';
 import type { LedgerSegment, Placement, ProgressChunk } from '../model/entities.js';
 import type { FencingToken, SegmentKey } from '../model/ids.js';
 
-/** Bound of a segment's value where the store would take more: a long write holds up its batch. */
+/** Maximum size of a segment even if the store accepts more: a large write delays its batch. */
 const MAX_SEGMENT_BYTES = 14_000;
-/** Share of a value that a segment fills: sizes are estimated, and the store counts its own way. */
+/** Share of the maximum value size: sizes are estimates, and the store may count differently. */
 const VALUE_FILL_SHARE = 0.96;
 
-/** How many bytes a segment's value may have, within the settings' bound for any value. */
+/** Maximum size of a segment's value in bytes, within the configured maximum value size. */
 export const maxSegmentBytes = ({ maxValueBytes }: CoreConfig): number =>
   Math.min(maxValueBytes * VALUE_FILL_SHARE, MAX_SEGMENT_BYTES);
 
-/** Where segments stand in the key-value store. */
+/** Key prefix of segments in the key-value store. */
 export const SEGMENT_PREFIX = 'l/';
 
-/** The key of a term's segment of that number. The fencing token in it keeps every key new. */
+/** Key of a term's segment by number; the fencing token makes keys unique across terms. */
 export const segmentKey = (fencingToken: FencingToken, number: number): SegmentKey =>
   `${SEGMENT_PREFIX}${fencingToken}/${number}` as SegmentKey;
 
-/** A segment that holds nothing yet. */
+/** Creates an empty segment. */
 export const createSegment = (key: SegmentKey): LedgerSegment => ({
   key,
   placements: new Set(),
@@ -27,7 +27,7 @@
   initialRowCount: 0,
 });
 
-/** The segment of that key, added as the newest one if it is not known. */
+/** Returns the segment with this key, added as the newest one if it is unknown. */
 export const getOrCreateSegment = (state: CoreState, key: SegmentKey): LedgerSegment => {
   let segment = state.segments.get(key);
   if (!segment) {
@@ -37,25 +37,25 @@
   return segment;
 };
 
-/** How many attempts and chunks a segment still speaks for. */
+/** Number of a segment's live rows: attempts and chunks whose current row it holds. */
 export const liveRowCount = ({ placements, chunks }: LedgerSegment): number =>
   placements.size + chunks.size;
 
-/** Marks a segment for deletion once nothing in it matters. */
+/** Marks a segment for deletion if it has no live rows. */
 export const markSegmentIfObsolete = (state: CoreState, segment: LedgerSegment): void => {
-  // During recovery a segment that seems empty may have rows yet to be read.
+  // During recovery, a segment without live rows may have rows that are not yet read.
   if (!state.isRecovered || liveRowCount(segment) > 0) return;
   if (state.segments.delete(segment.key)) state.obsoleteSegments.add(segment.key);
 };
 
-/** From now on another segment speaks for the attempt, or none needs to. */
+/** Removes an attempt from its segment: its row moves to another segment, or it has ended. */
 export const detachPlacement = (state: CoreState, placement: Placement): void => {
   const { segment } = placement;
   placement.segment = null;
   if (segment?.placements.delete(placement)) markSegmentIfObsolete(state, segment);
 };
 
-/** From now on another segment tells the chunk's progress, or none needs to. */
+/** Removes a chunk from its segment: its row moves to another one, or its job has ended. */
 export const detachChunk = (state: CoreState, chunk: ProgressChunk): void => {
   const { segment } = chunk;
   chunk.segment = null;
--- a/src/core/log-event.ts
+++ b/src/core/log-event.ts
@@ -2,7 +2,7 @@
 import type { Effect } from './model/effect.js';
 import type { LogFields, LogLevel } from './model/log-record.js';
 
-/** Adds a log record: `text` is a short event name, and all that varies is in the fields. */
+/** Adds a log record: `text` is a constant event name, and variable data is in `fields`. */
 export const logEvent = (
   effects: Effect[],
   level: LogLevel,
