--- a/src/core/apply-commands.ts
+++ b/src/core/apply-commands.ts
@@ -1,9 +1,8 @@
 /**
- * Entry point of the core: takes commands and returns effects. The core performs no input or
- * output, reads no clock and uses no randomness.
+ * Entry point of the core: commands in, effects out. No input or output, no clock, no randomness.
  *
- * A step first applies the commands. A leader then manages the fleet, runs a scheduling round and
- * builds the next batch to store. Last, the step replies to heartbeats.
+ * A step applies the commands. A leader then manages the fleet, runs a scheduling round and builds
+ * the next batch to store. Last, the step replies to heartbeats.
  */
 
 import type { CoreState } from './core-state.js';
@@ -33,15 +32,15 @@
 import { placeCriticalReplicasOnly, runSchedulingRound } from './scheduling/backfill.js';
 
 const TICK_MS = 500;
-/** Interval of scheduling rounds without a change: some scores depend on the time alone. */
+/** Interval of rounds without an event: some scores change with time alone. */
 const ROUND_EVERY_MS = 2000;
-/** Delay from recovery to the first round, in heartbeat intervals: the longest one interval. */
+/** Delay from recovery to the first round: covers the longest heartbeat interval. */
 const REPORT_WAIT_INTERVALS = 1.3;
 
 /**
- * Ends recovery, after the whole ledger has been read. Scheduling waits until workers have
- * reported: otherwise, at the first start of a cluster, the jobs that arrive first would take the
- * few machines that are up, instead of the jobs that rank highest.
+ * Ends recovery. Scheduling waits until workers have reported: otherwise, at the first start of a
+ * cluster, the jobs that arrive first would take the few machines that are up, instead of those
+ * that rank highest.
  */
 const completeRecovery = (state: CoreState, now: Instant): void => {
   state.isRecovered = true;
@@ -103,10 +102,7 @@
   for (const machine of state.machines.values()) dispatchKills(machine, now, effects);
 };
 
-/**
- * Sends the only commands that a leader without a valid lease initiates: kills of attempts of ended
- * jobs (see `belongsToEndedJob`).
- */
+/** Sends the only kills that a leader without a valid lease sends: see `belongsToEndedJob`. */
 const runKeepAliveTick = (state: CoreState, now: Instant, effects: Effect[]): void => {
   state.lastTickAt = now;
   for (const machine of state.machines.values())
@@ -125,19 +121,13 @@
   });
 };
 
-/**
- * Marks the unreadable ledger segments for deletion. By the first scheduling round each attempt
- * recorded in them has ended, or its machine has reported it.
- */
+/** Marks unreadable segments for deletion: their attempts have ended or been reported by now. */
 const discardUnreadableSegments = (state: CoreState): void => {
   for (const key of state.unreadableSegments) state.obsoleteSegments.add(key);
   state.unreadableSegments.clear();
 };
 
-/**
- * Runs a scheduling round if one is due. Until `schedulingStartsAt`, only critical replicas are
- * placed.
- */
+/** Runs a round if one is due; before `schedulingStartsAt`, places only critical replicas. */
 const runScheduling = (state: CoreState, now: Instant, effects: Effect[]): void => {
   if (now < state.schedulingStartsAt) {
     // Attempts of an unreadable segment may be on any machine: a replica could run twice.
--- a/src/core/core-state.ts
+++ b/src/core/core-state.ts
@@ -58,7 +58,6 @@
 
   /** Time of the last tick: fleet management, resending of kills, decisions of extensions. */
   lastTickAt: Instant;
-  /** Time of the last scheduling round. */
   lastRoundAt: Instant;
   /** Whether something has changed that a scheduling round must take into account. */
   isRoundDue: boolean;
@@ -101,7 +100,7 @@
   readonly machines: Map<MachineId, Machine>;
   /** Machines that the cloud has deleted: their late heartbeats are ignored. */
   readonly deletedMachines: Set<MachineId>;
-  /** Machine types that the cloud offers; empty until they are known. */
+  /** The cloud's machine types; empty until known. */
   readonly types: Map<MachineTypeName, MachineType>;
   /** Instance pools by `InstancePool.key`. */
   readonly instancePools: Map<string, InstancePool>;
@@ -117,7 +116,6 @@
 
   // ---- Ledger (ledger/): stored segments, and changes not yet stored -------------------------
 
-  /** Number of the next batch. */
   nextBatch: number;
   /** The batch that is being stored, or null; the next batch is built after its result. */
   pendingBatch: Batch | null;
@@ -129,7 +127,6 @@
   readonly segments: Map<SegmentKey, LedgerSegment>;
   /** Segments without live rows, to be deleted from the store. */
   readonly obsoleteSegments: Set<SegmentKey>;
-  /** Number of the next segment. */
   nextSegment: number;
   /** Chunks with progress that is not yet in a batch, by `JOB/CHUNK_NUMBER`. */
   readonly unsavedProgress: Map<string, { job: Job; chunk: number }>;
--- a/src/core/extensions/extension-host.ts
+++ b/src/core/extensions/extension-host.ts
@@ -33,12 +33,12 @@
   private readonly failedInStep = new Set<Extension>();
   private readonly effects: Effect[] = [];
   private readonly fleet: FleetView;
-  /** Whether an operator's call or a result has arrived since the last `decide`. */
+  /** Whether a call or a result has arrived since the last `decide`. */
   private isDecisionDue = false;
   private now = 0 as Instant;
-  /** The extension that made each provision request which is not yet answered. */
+  /** The extension that made each unanswered provision request. */
   private readonly provisionRequests = new Map<ProvisionRequestId, Extension>();
-  /** Cordoned machines, including those that this leader does not know yet. */
+  /** Cordoned machines, known and not yet known. */
   private readonly cordonedMachines = new Set<MachineId>();
 
   constructor(
--- a/src/core/extensions/extension-package.ts
+++ b/src/core/extensions/extension-package.ts
@@ -15,17 +15,17 @@
   print(text: string): void;
   /** Prints one line to standard error. */
   printError(text: string): void;
-  /** Sets the exit code with which the process ends after the command. */
+  /** Sets the exit code of the process. */
   setExitCode(code: number): void;
 }
 
 /** An optional package. */
 export interface ExtensionPackage {
-  /** Parses the text of its file under `deploy/`; a `fault` names the invalid field in one line. */
+  /** Parses its file under `deploy/`; a fault names the invalid field in one line. */
   configure(
     text: string,
     known: { readonly teams: ReadonlySet<string> },
   ): ExtensionModule | { readonly fault: string };
-  /** Adds its commands to the command-line program. */
+  /** Adds its commands to the program. */
   addCommands(program: Command, tools: CommandTools): void;
 }
--- a/src/core/extensions/extension-runtime.ts
+++ b/src/core/extensions/extension-runtime.ts
@@ -16,9 +16,9 @@
   load(name: string, records: readonly ExtensionRecord[]): void;
   /** Passes an event to all extensions. */
   observe(event: ExtensionEvent): void;
-  /** Passes on the result of a provision request; false when no extension made the request. */
+  /** Passes on a provision request's result; false when no extension made the request. */
   handleProvisionResult(event: Extract<ExtensionEvent, { kind: 'provision-result' }>): boolean;
-  /** Notifies an extension that its writes in a batch were stored or refused. */
+  /** Reports writes of a batch as stored or refused. */
   handleStoreResult(writes: ExtensionWrites, kind: 'stored' | 'refused'): void;
   /** Passes on an operator's call; an effect with the same ticket carries the answer. */
   call(name: string, call: OperatorCall, ticket: ReplyTicket): void;
@@ -26,8 +26,8 @@
   mayScaleIn(machine: MachineView): boolean;
   /** Whether all extensions allow a replica to be evicted. */
   mayEvictReplica(attempt: AttemptView): boolean;
-  /** Calls the extensions' `decide` when it is due, and carries out their requests. */
+  /** Lets the extensions decide when due, and carries out their requests. */
   decide(isTickDue: boolean): void;
-  /** Returns and clears the effects collected since the last call. */
+  /** Returns and clears the collected effects. */
   takeEffects(): Effect[];
 }
--- a/src/core/extensions/extension.ts
+++ b/src/core/extensions/extension.ts
@@ -26,7 +26,6 @@
 import type { Team } from '../model/team.js';
 import type { Instant, Millis } from '../model/time.js';
 
-/** Operators' calls, which are part of this interface. */
 export type { OperatorAnswer, OperatorCall } from '../model/operator-call.js';
 
 /** An attempt at running a task on a machine. */
@@ -62,14 +61,14 @@
   readonly zone: ZoneName;
   readonly spot: boolean;
   readonly provisionedAt: Instant;
-  /** Whether it has reported and its heartbeats carry this leader's fencing token. */
+  /** Whether its last heartbeat carried this leader's fencing token. */
   readonly isReady: boolean;
-  /** Whether this leader has received a heartbeat from it. */
+  /** Whether it has sent this leader a heartbeat. */
   readonly hasReported: boolean;
   readonly lastHeartbeatAt: Instant;
   /** Since when it has counted as lost; null while it does not. */
   readonly lostAt: Instant | null;
-  /** When the cloud will reclaim it, according to its reclaim notice; null without a notice. */
+  /** When the cloud reclaims it, by its notice; null without a notice. */
   readonly reclaimAt: Instant | null;
   /** Whether it gets no more tasks and is deleted once it is empty. */
   readonly isDraining: boolean;
@@ -79,7 +78,7 @@
   readonly isCordoned: boolean;
   /** Since when no attempt can have been on it. */
   readonly idleSince: Instant;
-  /** Attempts that may be on it, and ended ones that its worker has not yet reaped. */
+  /** Attempts that may be on it, and ended ones not yet reaped. */
   readonly placements: ReadonlyMap<AttemptId, AttemptView>;
   /** Images that it is known to have fetched. */
   readonly images: ReadonlySet<ImageName>;
@@ -90,7 +89,7 @@
   readonly type: MachineType;
   readonly zone: ZoneName;
   readonly spot: boolean;
-  /** Consecutive provision requests that were not filled, up to a maximum. */
+  /** Consecutive unfilled provision requests, up to a maximum. */
   readonly refusals: number;
 }
 
@@ -107,7 +106,7 @@
   readonly machines: ReadonlyMap<MachineId, MachineView>;
   /** Unfinished jobs. */
   readonly jobs: ReadonlyMap<JobId, JobView>;
-  /** Machine types that the cloud offers. */
+  /** The cloud's machine types. */
   readonly types: ReadonlyMap<MachineTypeName, MachineType>;
   readonly teams: ReadonlyMap<TeamName, Team>;
   readonly instancePools: ReadonlyMap<string, InstancePoolView>;
@@ -142,7 +141,7 @@
 
 /** A request from an extension to the core. */
 export type ExtensionRequest =
-  /** Excludes a machine, known or not yet known, from new placements, or ends the exclusion. */
+  /** Excludes a machine, even an unknown one, from new placements, or ends that. */
   | { readonly kind: 'cordon' | 'uncordon'; readonly machine: MachineId }
   /** Stops an attempt. A task with checkpoints writes one if the grace, in seconds, allows it. */
   | {
@@ -164,17 +163,16 @@
 /** The number of mutations that fit the smallest transaction limit of any known deployment. */
 export const MAX_WRITES_PER_REQUEST = 3;
 
-/** The part of an optional package that runs in the core, for one term of leadership. */
+/** The part of a package that runs in the core, for one term of leadership. */
 export interface Extension {
   /** Its name, which also identifies its package, its routes and its records. */
   readonly name: string;
-  /** Loads its records from the key-value store, at the start of the term. */
+  /** Loads its records from the key-value store at the start of the term. */
   load(records: readonly ExtensionRecord[], moment: Moment): void;
-  /** Handles an event. */
   observe(event: ExtensionEvent, moment: Moment): void;
   /** Called about twice a second while this node leads, and after each result or call. */
   decide(fleet: FleetView, moment: Moment): readonly ExtensionRequest[];
-  /** Answers a call immediately, or returns null and answers later with an `answer` request. */
+  /** Answers a call, or returns null and answers later with an `answer` request. */
   call(
     call: OperatorCall,
     ticket: ReplyTicket,
--- a/src/core/ledger/batch-builder.ts
+++ b/src/core/ledger/batch-builder.ts
@@ -11,7 +11,7 @@
 import { BatchDraft, isLongLived } from './batch-draft.js';
 import { compactSparseSegments } from './compaction.js';
 
-/** How long progress may wait for other writes: it only avoids repeated work after a failover. */
+/** How long progress may wait for other writes: it only saves work after a failover. */
 const MAX_PROGRESS_DELAY_MS = 700;
 /** A completion writes the job's outcome and deletes the job's own record. */
 const COMPLETION_MUTATIONS = 2;
--- a/src/core/ledger/batch-draft.ts
+++ b/src/core/ledger/batch-draft.ts
@@ -15,7 +15,7 @@
  * several consecutive ones: a batch for each would cost a step of the command loop each.
  */
 const MIN_MUTATIONS_BY_TRANSACTION = 24;
-/** A batch takes effect after its last mutation, so all must be writable within this time. */
+/** A batch takes effect after its last mutation: all must be writable within this time. */
 const MAX_BATCH_WRITE_S = 0.5;
 /** A batch may have this many mutations however low the write rate is. */
 const MIN_MUTATIONS_BY_RATE = 4;
@@ -65,7 +65,7 @@
     };
   }
 
-  /** Whether the batch already stores something, so that optional writes may be added. */
+  /** Whether the batch stores anything, so that optional writes may be added. */
   get hasWrites(): boolean {
     return this.segmentDrafts.length > 0 || this.operations.length > 0;
   }
@@ -78,7 +78,7 @@
     return this.openShortLived !== null;
   }
 
-  /** Adds an operation with its number of mutations and its approximate size in bytes. */
+  /** Adds an operation with its mutations and its approximate size in bytes. */
   addOperation(operation: StoreOperation, mutations: number, bytes = 0): void {
     this.operations.push(operation);
     this.mutations += mutations;
@@ -110,7 +110,7 @@
     return true;
   }
 
-  /** Records a chunk's progress only if the open segment of short-lived rows has room. */
+  /** Records a chunk's progress only if the open short-lived segment has room. */
   recordProgressInOpenSegment(job: Job, number: number, chunk: ProgressChunk): boolean {
     return this.openShortLived?.recordProgress(job, number, chunk) ?? false;
   }
@@ -121,14 +121,14 @@
     this.mutations += 1;
   }
 
-  /** Returns the operations in the order in which they must be stored. */
+  /** Returns all operations in the order in which to store them. */
   finish(): readonly StoreOperation[] {
     for (const draft of this.segmentDrafts) this.operations.push(draft.toOperation());
     for (const key of this.obsoleteKeys) this.operations.push({ kind: 'delete-segment', key });
     return this.operations;
   }
 
-  /** Returns an empty segment draft, or null when the batch has no room for another segment. */
+  /** null when the batch has no room for another segment. */
   private draftSegment(): SegmentDraft | null {
     const openBytes = (this.openShortLived?.bytes ?? 0) + (this.openLongLived?.bytes ?? 0);
     if (this.mutations + 1 > this.maxMutations) return null;
--- a/src/core/ledger/compaction.ts
+++ b/src/core/ledger/compaction.ts
@@ -1,4 +1,4 @@
-/** Compaction of the placement ledger: moves the live rows of sparse segments to new segments. */
+/** Compaction of the placement ledger: moves live rows of sparse segments to new ones. */
 
 import type { CoreState } from '../core-state.js';
 import type { LedgerSegment } from '../model/entities.js';
--- a/src/core/ledger/recovery.ts
+++ b/src/core/ledger/recovery.ts
@@ -17,13 +17,13 @@
 const OVERDUE_SINCE = 0 as Instant;
 
 interface MergeResult {
-  /** Whether the row marks tasks as done that were not known as done. */
+  /** Whether the row marks further tasks as done. */
   readonly hasNewDoneTasks: boolean;
-  /** Whether the row includes all tasks of the chunk that are now known as done. */
+  /** Whether the row includes all tasks of the chunk now known as done. */
   readonly rowCoversChunk: boolean;
 }
 
-/** Merges a row's bits into a chunk, which begins `offset` bytes after (negative: before) the row. */
+/** Merges a row's bits into a chunk that begins at the row's byte `offset`, which may be < 0. */
 const mergeBits = (chunk: ProgressChunk, row: Uint8Array, offset: number): MergeResult => {
   let hasNewDoneTasks = false;
   let rowCoversChunk = true;
--- a/src/core/ledger/segment-draft.ts
+++ b/src/core/ledger/segment-draft.ts
@@ -75,7 +75,6 @@
     return true;
   }
 
-  /** Returns the operation that stores the segment. */
   toOperation(): StoreOperation {
     return {
       kind: 'write-segment',
--- a/src/core/ledger/segments.ts
+++ b/src/core/ledger/segments.ts
@@ -8,7 +8,7 @@
 /** Share of the maximum value size: sizes are estimates, and the store may count differently. */
 const VALUE_FILL_SHARE = 0.96;
 
-/** Maximum size of a segment's value in bytes, within the configured maximum value size. */
+/** Maximum size of a segment's value, in bytes. */
 export const maxSegmentBytes = ({ maxValueBytes }: CoreConfig): number =>
   Math.min(maxValueBytes * VALUE_FILL_SHARE, MAX_SEGMENT_BYTES);
 
@@ -19,7 +19,6 @@
 export const segmentKey = (fencingToken: FencingToken, number: number): SegmentKey =>
   `${SEGMENT_PREFIX}${fencingToken}/${number}` as SegmentKey;
 
-/** Creates an empty segment. */
 export const createSegment = (key: SegmentKey): LedgerSegment => ({
   key,
   placements: new Set(),
--- a/src/core/model/attempt.ts
+++ b/src/core/model/attempt.ts
@@ -1,15 +1,15 @@
-/** States and ends of attempts at running tasks. */
+/** Phases of an attempt, and how an attempt is released. */
 import type { TaskPhase } from './heartbeat.js';
 
 /**
- * Where an attempt stands. `unconfirmed`: known from the ledger or a heartbeat, and its machine has
- * yet to confirm it; `persisting`: its ledger entry is being written; `dispatched`: its start goes
- * out with each reply to its machine; from then on as the worker reports.
+ * Phase of an attempt. `unconfirmed`: known from the ledger or a heartbeat, but its machine has not
+ * confirmed it; `persisting`: its ledger entry is being written; `dispatched`: each reply to its machine
+ * carries its start. The worker reports the later phases.
  */
 export type AttemptPhase = 'unconfirmed' | 'persisting' | 'dispatched' | TaskPhase;
 
 /**
- * How an attempt came off its machine. `reported`: its worker says that the task ended, by itself
- * or by a command; `gone`: its machine, agent epoch or lease ended.
+ * Why an attempt was released. `reported`: its worker reported that the task ended, by itself or by
+ * a command; `gone`: its machine, agent epoch or lease ended.
  */
 export type AttemptRelease = 'reported' | 'gone';
--- a/src/core/model/command.ts
+++ b/src/core/model/command.ts
@@ -1,4 +1,4 @@
-/** Inputs of the core: everything that may change its state. */
+/** Inputs of the core, which alone change its state. */
 
 import type { ExtensionRecord } from './extension-record.js';
 import type { Heartbeat } from './heartbeat.js';
@@ -16,19 +16,19 @@
 import type { OperatorCall } from './operator-call.js';
 import type { Instant } from './time.js';
 
-/** An input of the core. Those that wait for an answer carry a ticket, which an effect returns. */
+/** An input of the core; an effect with the same ticket answers a command with a ticket. */
 export type Command =
-  /** An accepted job; also at recovery, and more than once. */
+  /** An accepted job, also during recovery; it may be repeated. */
   | { readonly kind: 'job'; readonly spec: JobSpec; readonly submittedAt: Instant }
-  /** Recovery, in this order: jobs, progress, attempts, records of extensions, completion. */
+  /** Recovery sends jobs, progress, attempts, extension records and completion in this order. */
   | ({ readonly kind: 'recovered-progress'; readonly segment: SegmentKey } & ProgressRow)
   | ({ readonly kind: 'recovered-attempts'; readonly segment: SegmentKey } & LedgerRow)
-  /** A ledger segment that cannot be read: what it entered may be on any machine. */
+  /** A ledger segment that cannot be read: its attempts may be on any machine. */
   | { readonly kind: 'unreadable-segment'; readonly segment: SegmentKey }
-  /** All that the store held has been told. */
+  /** The whole stored state has been sent. */
   | { readonly kind: 'recovery-completed' }
   | { readonly kind: 'cancel-job'; readonly job: JobId; readonly ticket: ReplyTicket }
-  /** The ticket is null where a worker's reply to commands brought the heartbeat. */
+  /** The ticket is null if the heartbeat came in a worker's response to `send-commands`. */
   | {
       readonly kind: 'heartbeat';
       readonly heartbeat: Heartbeat;
@@ -38,13 +38,13 @@
       readonly kind: 'batch-stored';
       /** The batch's number, from its `store-batch` effect. */
       readonly batch: number;
-      /** Operations that the store takes in no size; the others of the batch are stored. */
+      /** Operations that the store refused even when split; all others are stored. */
       readonly refused?: readonly StoreOperation[];
       /** The newest revision stored under this term. */
       readonly revision?: Revision;
     }
   | { readonly kind: 'machine-types'; readonly types: readonly MachineType[] }
-  /** The cloud's list, as it answered a question of that time. */
+  /** The cloud's machine list, from a request sent at `requestedAt`. */
   | {
       readonly kind: 'machines-listed';
       readonly requestedAt: Instant;
@@ -54,16 +54,16 @@
       readonly kind: 'provision-result';
       readonly request: ProvisionRequestId;
       readonly result: ProvisionOutcome;
-      /** The machines that it brought, perhaps fewer than were asked for. */
+      /** The provisioned machines, which may be fewer than requested. */
       readonly machines: readonly MachineId[];
     }
-  /** Without `ok` it is not known whether the machines are deleted. */
+  /** If `ok` is false, it is unknown whether the machines are deleted. */
   | {
       readonly kind: 'deletion-result';
       readonly machines: readonly MachineId[];
       readonly ok: boolean;
     }
-  /** What the store holds for an extension, at recovery. */
+  /** An extension's stored records, during recovery. */
   | {
       readonly kind: 'extension-records';
       readonly extension: string;
@@ -75,5 +75,5 @@
       readonly call: OperatorCall;
       readonly ticket: ReplyTicket;
     }
-  /** Time has passed. */
+  /** No input: runs periodic work. */
   | { readonly kind: 'tick' };
--- a/src/core/model/effect.ts
+++ b/src/core/model/effect.ts
@@ -1,4 +1,4 @@
-/** Outputs of the core: what the service has to carry out. */
+/** Outputs of the core, which the service carries out. */
 
 import type { JobId, MachineId, ReplyTicket, TeamName } from './ids.js';
 import type { JobOutcome } from './job.js';
@@ -10,20 +10,20 @@
 
 /** An output of the core. */
 export type Effect =
-  /** null: the heartbeat gets no answer from this leader. */
+  /** `commands` is null when this leader refuses the heartbeat. */
   | {
       readonly kind: 'reply-to-heartbeat';
       readonly ticket: ReplyTicket;
       readonly commands: readonly WorkerCommand[] | null;
     }
-  /** To be stored in this order; answered by `batch-stored`. */
+  /** Stores the operations in this order; answered by `batch-stored`. */
   | {
       readonly kind: 'store-batch';
       /** The batch's number under this term. */
       readonly batch: number;
       readonly operations: readonly StoreOperation[];
     }
-  /** Answers a cancellation; null where no such job is unfinished. */
+  /** Answers a cancellation; `outcome` is null if no such job is unfinished. */
   | {
       readonly kind: 'cancellation-settled';
       readonly ticket: ReplyTicket;
@@ -46,7 +46,7 @@
       readonly ticket: ReplyTicket;
       readonly answer: OperatorAnswer;
     }
-  /** Commands that do not wait for the machine's next heartbeat, for this agent epoch only. */
+  /** Sends commands before the machine's next heartbeat, valid for this agent epoch only. */
   | {
       readonly kind: 'send-commands';
       readonly machine: MachineId;
@@ -57,5 +57,5 @@
     }
   | ({ readonly kind: 'log' } & LogRecord);
 
-/** What the service may do now: everything, only keep workers' leases alive, or nothing. */
+/** What a leader may do: everything, only keep workers' leases alive, or nothing. */
 export type Authority = 'lead' | 'keep-alive' | 'none';
--- a/src/core/model/entities.ts
+++ b/src/core/model/entities.ts
@@ -1,6 +1,6 @@
 /**
- * Jobs, machines and the placements that join them, as the leader tracks them. They refer to one
- * another, so they stand in one module.
+ * Jobs, machines and placements, as the leader tracks them. The types refer to one another, so they
+ * share a module.
  */
 
 import type { AttemptPhase } from './attempt.js';
@@ -26,48 +26,47 @@
 export interface Placement {
   readonly entry: LedgerEntry;
   readonly machine: Machine;
-  /** null when the job has ended or is unknown: then it is only counted and killed. */
+  /** null if the job has ended or is unknown: the attempt is then only counted and killed. */
   readonly job: Job | null;
-  /** When this leader placed it, or first learnt of it. */
+  /** When this leader placed or first discovered it. */
   readonly placedAt: Instant;
   phase: AttemptPhase;
   /** When it was first reported as running; null before. */
   startedAt: Instant | null;
-  /** The agent epoch in whose replies its start has gone out; null for none. */
+  /** The agent epoch in which its start was sent; null before. */
   dispatchedEpoch: number | null;
-  /** It has to stop, with that grace in seconds; `sentAt`: when it was last told to. */
+  /** Requested stop, with its grace in seconds and when the kill was last sent; null for none. */
   stopRequest: { graceS: number; sentAt: Instant | null } | null;
-  /** Its task was done by another attempt. */
+  /** Whether another attempt has completed the task. */
   isSuperseded: boolean;
-  /** The progress chunk and version that must be stored before the worker may drop the result. */
+  /** Progress that must be stored before the worker may drop the result. */
   requiredProgress: { chunk: number; version: number } | null;
-  /** The ledger segment that holds it; null before its entry is written, and once it has ended. */
+  /** The ledger segment with its entry; null before the entry is in a batch, and once ended. */
   segment: LedgerSegment | null;
 }
 
 /**
- * One segment of the placement ledger. It stays while anything in it still matters: an attempt that
- * may be on its machine, or the newest progress of a chunk of an unfinished job.
+ * A segment of the placement ledger. It is kept while it has a live row: the entry of an attempt
+ * that may be on its machine, or the newest progress of a chunk of an unfinished job.
  */
 export interface LedgerSegment {
   readonly key: SegmentKey;
-  /** The attempts that it speaks for. */
+  /** Attempts whose current entry it holds. */
   readonly placements: Set<Placement>;
-  /** The chunks that it speaks for, each with its job and its number there. */
+  /** Chunks whose current progress it holds, each with its job and its number in the job. */
   readonly chunks: Map<ProgressChunk, { job: Job; number: number }>;
-  /** How many rows it held when it was written: compaction compares what is left with it. */
+  /** Number of rows when it was written; compaction compares the live rows with it. */
   initialRowCount: number;
 }
 
-/** A chunk of a job: consecutive tasks of whose progress one ledger row tells. */
+/** A range of consecutive tasks of a job, whose progress is stored as one ledger row. */
 export interface ProgressChunk {
-  /** One bit for each task, the lowest bit of the first byte for the first task; 1 for done. */
+  /** One bit per task, the first task in the lowest bit of the first byte; 1 means done. */
   bits: Uint8Array;
-  /** Grows with each change of the bits. */
+  /** Increases with each change of the bits. */
   version: number;
-  /** The newest version that is stored. */
   storedVersion: number;
-  /** The ledger segment that speaks for it; null while none does. */
+  /** The ledger segment with its current progress; null if there is none. */
   segment: LedgerSegment | null;
 }
 
@@ -75,140 +74,139 @@
 export interface Job {
   readonly spec: JobSpec;
   readonly submittedAt: Instant;
-  /** Since when nothing of it has been on a machine. */
+  /** Since when none of its tasks has been on a machine. */
   idleSince: Instant;
-  /** It has waited so long that capacity reserved for others does not hold back one task of it. */
+  /** Set while a round places one task of it on reserved capacity, after a long wait. */
   isStarving: boolean;
-  /** What its tasks need of a machine: equal for jobs that suit the same machines. */
+  /** Its requirements of a machine: equal for jobs that fit the same machines. */
   readonly requirementsKey: string;
-  /** Size of its progress chunks, a multiple of 8; the last one may be smaller. */
+  /** Tasks per progress chunk, a multiple of 8; the last chunk may be smaller. */
   readonly tasksPerChunk: number;
-  /** Its chunks by number, from 0; one without done tasks may be missing. */
+  /** Its chunks by number, from 0; a chunk without done tasks may be missing. */
   readonly chunks: Map<number, ProgressChunk>;
-  /** How many of its tasks are done. */
   doneCount: number;
-  /** Attempts that may still be on a machine though another has done their task. */
+  /** Number of superseded attempts that may still be on a machine. */
   supersededAttempts: number;
-  /** The lowest task that was never placed under this term. */
+  /** The lowest task index that has not been placed under this term. */
   nextUnplacedTask: number;
-  /** Tasks whose attempts ended without a result, and that wait again. */
+  /** Tasks that wait again because their attempts ended without a result. */
   readonly requeuedTasks: number[];
-  /** How many tasks wait for a machine. */
+  /** Number of tasks waiting for a machine. */
   pendingTasks: number;
   /** Attempts that may be on a machine, by task. */
   readonly attemptsByTask: Map<TaskIndex, Placement[]>;
-  /** How many attempts may be on machines of each zone. */
+  /** Number of attempts that may be on machines, by zone. */
   readonly attemptsByZone: Map<ZoneName, number>;
-  /** Machines on which a task failed since the last success. */
+  /** Machines on which its tasks failed since the last success. */
   readonly failedMachines: Set<MachineId>;
-  /** No task of it is placed before then. */
+  /** No task of it is placed before this time. */
   retryAt: Instant;
-  /** Failures of its tasks since the last success; of a service, of its replicas. */
+  /** Number of failures of its tasks or replicas since the last success. */
   consecutiveFailures: number;
-  /** When a task of it last failed; 0 for never. */
+  /** When one of its tasks last failed; 0 for never. */
   lastFailureAt: Instant;
-  /** Set when it ends; it stays here until its completion is stored. */
+  /** Set when it ends; the job is removed once its completion is stored. */
   terminalState: TerminalState;
-  /** Callers that wait for their cancellation to be stored. */
+  /** Tickets of callers that wait for the cancellation to be stored. */
   cancellationTickets: ReplyTicket[];
-  /** Why its tasks wait, in words for its user; empty when not known. */
+  /** Why its tasks wait, as text for users; empty when unknown. */
   waitingReason: string;
 }
 
 /** A provisioned machine. */
 export interface Machine {
   readonly id: MachineId;
-  /** `host:port` of its worker; empty while it is not known. */
+  /** `host:port` of its worker; empty while unknown. */
   endpoint: string;
   type: MachineTypeName;
   zone: ZoneName;
   spot: boolean;
   provisionedAt: Instant;
-  /** When this leader first heard of it. */
+  /** When this leader discovered it. */
   readonly firstSeenAt: Instant;
   /** Agent epoch of its newest heartbeat; 0 for none. */
   agentEpoch: number;
   /** Sequence number of its newest heartbeat. */
   heartbeatSequence: number;
-  /** Agent epoch of the newest heartbeat that this leader has answered; 0 for none. */
+  /** Agent epoch of the newest heartbeat that this leader has replied to; 0 for none. */
   acknowledgedEpoch: number;
-  /** Its last heartbeat carried our fencing token, in an agent epoch that we have answered. */
+  /** Its last heartbeat carried this leader's fencing token, in the acknowledged epoch. */
   isReady: boolean;
   hasReported: boolean;
-  /** Provisioned under this very term: no former leader can have sent it a start. */
+  /** Provisioned under this term: no former leader can have sent it a start. */
   isProvisionedThisTerm: boolean;
-  /** The cloud's list has shown it. */
+  /** Whether the cloud has listed it. */
   isListed: boolean;
   lastHeartbeatAt: Instant;
-  /** Since when it counts as lost; null while it does not. */
+  /** Since when it has counted as lost; null while it does not. */
   lostAt: Instant | null;
   /** Why it counts as lost; empty while it does not. */
   lostReason: string;
-  /** When the cloud takes it away, by its own notice; null without one. */
+  /** When the cloud reclaims it, by its notice; null without a notice. */
   reclaimAt: Instant | null;
-  /** It gets no more work and is deleted once it is empty. */
+  /** Whether it gets no more tasks and is deleted once it is empty. */
   isDraining: boolean;
-  /** Its deletion has been requested. */
+  /** Whether its deletion has been requested. */
   isDeleting: boolean;
-  /** An extension keeps it from new work. */
+  /** Whether an extension excludes it from new placements. */
   isCordoned: boolean;
-  /** Its deletion is not requested before then: the last one may have failed a moment ago. */
+  /** Its deletion is not requested before this time, to delay the retry of a failed one. */
   deleteNotBefore: Instant;
   /** Attempts that may be on it, and ended ones that its worker has not yet reaped. */
   readonly placements: Map<AttemptId, Placement>;
-  /** How many attempts may be on it. */
+  /** Number of attempts that may be on it. */
   attemptCount: number;
   usedCpus: number;
   usedGpus: number;
   usedMemoryGb: number;
-  /** Since when no attempt may be on it. */
+  /** Since when no attempt can have been on it. */
   idleSince: Instant;
-  /** Images that it has fetched, as far as is known. */
+  /** Images that it is known to have fetched. */
   readonly images: Set<ImageName>;
-  /** Jobs of which a task failed on it since the last success. */
+  /** Jobs with a task that failed on it since the last success. */
   readonly failedJobs: Set<JobId>;
-  /** It refused a start for lack of room, and gets no more work before then. */
+  /** It gets no work before this time, after it refused a start for lack of resources. */
   saturatedUntil: Instant;
-  /** The starts of the last reply; the next heartbeat of a higher sequence must show them. */
+  /** Starts in the last reply: a heartbeat with a higher sequence number must list them. */
   dispatchedStarts: { heartbeatSequence: number; attempts: AttemptId[] } | null;
-  /** Replies in a row that did not reach it, as far as its heartbeats tell. */
+  /** Consecutive replies that did not arrive, as inferred from its heartbeats. */
   unacknowledgedReplies: number;
-  /** Until when it gets no work because of that; then it is tried once more. */
+  /** After unacknowledged replies, it gets no work before this time, then is tried again. */
   quarantinedUntil: Instant;
-  /** Since when its heartbeats do not show that our replies reach it; null while they do. */
+  /** Since when its heartbeats have not shown that replies arrive; null while they do. */
   unverifiedSince: Instant | null;
-  /** Our replies do not reach it: it gets no more work and is replaced. */
+  /** Replies do not reach it: it gets no more work and is replaced. */
   isUnreachable: boolean;
-  /** Kept for services: jobs that may use spot machines leave it alone. */
+  /** Reserved for services: array jobs that allow spot machines are not placed on it. */
   isReservedForServices: boolean;
-  /** A heartbeat of it that waits for its reply, and since when. */
+  /** Its heartbeat that waits for a reply, and since when. */
   pendingReply: { ticket: ReplyTicket; since: Instant } | null;
 }
 
-/** A type of machine in one zone, spot or on demand, that the cloud provisions. */
+/** Machines of one type, in one zone, either spot or on-demand. */
 export interface InstancePool {
-  /** Its key in the state's map of pools. */
+  /** Its key in `CoreState.instancePools`. */
   readonly key: string;
   readonly type: MachineType;
   readonly zone: ZoneName;
   readonly spot: boolean;
-  /** No request before then. */
+  /** No provision request is made before this time. */
   retryAt: Instant;
-  /** Requests in a row that were not filled, up to a bound. */
+  /** Consecutive unfilled provision requests, up to a maximum. */
   refusals: number;
-  /** Requests whose answer has not come. */
+  /** Provision requests without a result yet. */
   readonly outstandingRequests: Map<ProvisionRequestId, { count: number; requestedAt: Instant }>;
 }
 
-/** What a batch that is being stored changes once it is stored. */
+/** The changes to apply once a batch is stored. */
 export interface Batch {
-  /** Its number under this term. */
+  /** The batch's number under this term. */
   readonly id: number;
-  /** Attempts that may be dispatched then. */
+  /** Attempts whose entries it stores, which may then be dispatched. */
   readonly recordedPlacements: Placement[];
-  /** Chunks, with the version that it stores. */
+  /** Chunk numbers with the versions that it stores. */
   progress: { job: Job; chunk: number; version: number }[];
-  /** Jobs that have ended then. */
+  /** Jobs whose completion it stores. */
   completedJobs: Job[];
   extensionWrites: ExtensionWrites[];
 }
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -1,10 +1,10 @@
-/** What users submit: jobs, their kinds, priorities and outcomes. */
+/** Jobs as users submit them: shapes, priorities and outcomes. */
 import type { ImageName, JobId, MachineTypeName, TeamName, ZoneName } from './ids.js';
 
-/** How urgent a job is; a higher one may preempt a lower one. */
+/** Priority of a job; a job may preempt jobs of lower priority. */
 export type Priority = 'critical' | 'urgent' | 'standard' | 'best_effort';
 
-/** Priorities as numbers, the most urgent the largest. */
+/** Numeric priority levels, the largest for the most urgent. */
 export const PRIORITY_LEVEL: Record<Priority, number> = {
   critical: 3,
   urgent: 2,
@@ -13,51 +13,51 @@
   best_effort: 0,
 };
 
-/** array: each task runs to its end. service: its replicas run until it is cancelled. */
+/** `array`: each task runs to completion. `service`: replicas run until the job is cancelled. */
 export type JobShape = 'array' | 'service';
 
-/** A job as submitted. Amounts are those of one task. */
+/** A job as submitted. Resource amounts are per task. */
 export interface JobSpec {
   readonly id: JobId;
   readonly shape: JobShape;
-  /** The class of jobs it belongs to; the settings say what is expected of each class. */
+  /** The class of jobs it belongs to, to which settings can refer. */
   readonly jobClass: string;
   readonly team: TeamName;
   readonly priority: Priority;
-  /** How many tasks, at least 1; of a service, how many replicas. */
+  /** Number of tasks, or of a service's replicas; at least 1. */
   readonly tasks: number;
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
-  /** The types of machine on which it may run; null for any. */
+  /** Machine types on which it may run; null for any. */
   readonly machineTypes: readonly MachineTypeName[] | null;
   /** The only zone in which it may run; null for any. */
   readonly zone: ZoneName | null;
-  /** All its tasks must run in the same zone. */
+  /** Whether all its tasks must run in the same zone. */
   readonly singleZone: boolean;
-  /** At most half of its tasks, rounded up, may be in one zone. */
+  /** Whether at most half of its tasks, rounded up, may be in one zone. */
   readonly spreadZones: boolean;
   /** Whether it may run on spot machines. */
   readonly allowsSpot: boolean;
   readonly image: ImageName;
   /** Size of the image, in gigabytes. */
   readonly imageGb: number;
-  /** The user's estimate of a task's run time, in seconds, without the image's fetch. */
+  /** The user's estimate of a task's run time, in seconds, without fetching the image. */
   readonly estimateS: number;
-  /** Seconds of progress between checkpoints; 0: none, and its work is lost when it is stopped. */
+  /** Seconds of progress between checkpoints; 0: none, so that stopping a task loses its work. */
   readonly checkpointIntervalS: number;
   /** Seconds that a task needs to write a checkpoint when it is stopped. */
   readonly checkpointWriteS: number;
-  /** Seconds from its submission by which it should be done; null for no deadline. */
+  /** Deadline in seconds after its submission; null for none. */
   readonly deadlineS: number | null;
 }
 
-/** Whether the job is a service: its tasks, the replicas, run until it is cancelled. */
+/** Whether the job is a service, whose tasks are replicas that run until it is cancelled. */
 export const isService = ({ spec }: { readonly spec: Pick<JobSpec, 'shape'> }): boolean =>
   spec.shape === 'service';
 
 /** How a job ended. */
 export type JobOutcome = 'done' | 'cancelled';
 
-/** The outcome of a job that has ended and whose completion is yet to be stored; else `none`. */
+/** The outcome of an ended job whose completion is not yet stored; `none` before it ends. */
 export type TerminalState = 'none' | JobOutcome;
--- a/src/core/model/ledger-record.ts
+++ b/src/core/model/ledger-record.ts
@@ -5,7 +5,7 @@
 import type { JobOutcome } from './job.js';
 import type { MachineAttributes } from './machine.js';
 
-/** What the ledger holds of one attempt: enough to count it when its job is gone. */
+/** Ledger entry of an attempt, sufficient to count its resources when its job is gone. */
 export interface LedgerEntry {
   readonly job: JobId;
   readonly index: TaskIndex;
@@ -16,7 +16,7 @@
   readonly memoryGb: number;
 }
 
-/** Attempts that one ledger segment enters on one machine. */
+/** The attempts on one machine that a ledger segment records. */
 export interface LedgerRow {
   readonly machine: MachineId;
   readonly attributes: MachineAttributes;
@@ -24,20 +24,20 @@
 }
 
 /**
- * Which tasks of one chunk of a job are done: the whole chunk each time, so that the newest row
- * tells all of it.
+ * Which tasks of a chunk of a job are done. A row always covers the whole chunk, so that the newest
+ * row suffices.
  */
 export interface ProgressRow {
   readonly job: JobId;
   /** The chunk's first task, a multiple of 8. */
   readonly firstTask: number;
-  /** One bit for each task, the lowest bit of the first byte for the first task; 1 for done. */
+  /** One bit per task, the first task in the lowest bit of the first byte; 1 means done. */
   readonly bits: Uint8Array;
 }
 
-/** One operation of a batch. Each is stored whole; the batch may take several transactions. */
+/** An operation of a batch, stored atomically; the batch may take several transactions. */
 export type StoreOperation =
-  /** A new ledger segment: what one batch entered and finished, over many machines and jobs. */
+  /** Writes a new ledger segment, with attempts and progress of several machines and jobs. */
   | {
       readonly kind: 'write-segment';
       readonly key: SegmentKey;
@@ -46,13 +46,13 @@
     }
   /** Deletes an obsolete segment. */
   | { readonly kind: 'delete-segment'; readonly key: SegmentKey }
-  /** Records of an extension, stored together. */
+  /** Writes records of an extension atomically. */
   | {
       readonly kind: 'write-extension-records';
       readonly extension: string;
       readonly writes: readonly RecordWrite[];
     }
-  /** Stores how a job ended, and deletes the job's own record. */
+  /** Stores a job's outcome and deletes the job's own record. */
   | {
       readonly kind: 'job-completion';
       readonly job: JobId;
--- a/src/core/model/log-record.ts
+++ b/src/core/model/log-record.ts
@@ -1,9 +1,9 @@
-/** Log records of the pure core and of extensions; the service writes them. */
+/** Log records of the core and of extensions, which the service writes. */
 
-/** `info` for what operators should see, `debug` for what explains single decisions. */
+/** `info`: events that operators should see; `debug`: explanations of single decisions. */
 export type LogLevel = 'info' | 'debug';
 
-/** What a structured field may hold: JSON, or undefined for a field that is left out. */
+/** Value of a structured field: JSON, or undefined to omit the field. */
 export type LogValue =
   | string
   | number
@@ -13,12 +13,12 @@
   | readonly LogValue[]
   | { readonly [name: string]: LogValue };
 
-/** Structured fields, named as in code: `jobId`, `machineId` … */
+/** Structured fields, named as in the code, for example `jobId` and `machineId`. */
 export interface LogFields {
   readonly [name: string]: LogValue;
 }
 
-/** One log line: `text` is a short event name, and all that varies is in the fields. */
+/** A log line: `text` is a constant event name, and variable data is in `fields`. */
 export interface LogRecord {
   readonly level: LogLevel;
   readonly text: string;
--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -7,11 +7,11 @@
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
-  /** Gigabytes of an image that it fetches in a second. */
+  /** Rate at which it fetches images, in gigabytes per second. */
   readonly fetchGbPerS: number;
-  /** On-demand price of an hour. */
+  /** On-demand price per hour. */
   readonly price: number;
-  /** Spot price of an hour. */
+  /** Spot price per hour. */
   readonly spotPrice: number;
   /** Nominal boot time, in seconds. */
   readonly bootS: number;
@@ -19,14 +19,14 @@
   readonly zones: readonly ZoneName[];
 }
 
-/** What the ledger says of the machine itself: its zone counts before it has reported. */
+/** A machine's attributes in the ledger: its zone counts before the machine reports. */
 export interface MachineAttributes {
   readonly type: MachineTypeName;
   readonly zone: ZoneName;
   readonly spot: boolean;
 }
 
-/** A machine as the cloud's list shows it, which may be seconds old. */
+/** A machine in the cloud's machine list, which may be seconds old. */
 export interface ListedMachine {
   readonly id: MachineId;
   /** `host:port` of its worker. */
@@ -35,11 +35,11 @@
   readonly zone: ZoneName;
   readonly spot: boolean;
   readonly status: 'booting' | 'running' | 'failed';
-  /** Seconds from the provision request to the time that the list describes. */
+  /** Seconds since the provision request, at the time that the list describes. */
   readonly ageS: number;
 }
 
-/** Machines to provision, under a request id that is never used again for others. */
+/** A request for machines, under a request id that is never reused for another request. */
 export interface ProvisionRequest {
   readonly request: ProvisionRequestId;
   readonly type: MachineTypeName;
@@ -49,7 +49,7 @@
 }
 
 /**
- * How the cloud answered a provision request. `refused`: no machine comes of it; `unknown`: it may
- * have been carried out, and the list of machines will tell.
+ * Result of a provision request. `refused`: no machine was provisioned; `unknown`: it may have been
+ * carried out, which the cloud's machine list will show.
  */
 export type ProvisionOutcome = 'ok' | 'refused' | 'unknown';
--- a/src/core/model/operator-call.ts
+++ b/src/core/model/operator-call.ts
@@ -1,12 +1,12 @@
-/** Calls of operators to an extension, as HTTP carries them. */
+/** Operators' HTTP calls to an extension. */
 
-/** A call: which of the extension's routes, with its parameter and its body. */
+/** A call to one of the extension's routes. */
 export interface OperatorCall {
   /** The route's name, as the extension declares it. */
   readonly route: string;
-  /** Value of the path's parameter; empty for a route without one. */
+  /** Value of the path parameter; empty for a route without one. */
   readonly subject: string;
-  /** The body as parsed JSON, unchecked. */
+  /** The body as parsed JSON, not validated. */
   readonly body: unknown;
 }
 
--- a/src/core/model/policy.ts
+++ b/src/core/model/policy.ts
@@ -1,39 +1,39 @@
-/** The operators' policy: weights, thresholds and delays. README has each name and default. */
+/** The operators' policy: weights, thresholds and delays. README lists names and defaults. */
 
-/** Operators' policy. `…S` are seconds, `…Ms` milliseconds; weights multiply a job's scores. */
+/** Operators' policy. `…S` is in seconds, `…Ms` in milliseconds; weights multiply job scores. */
 export interface Policy {
-  /** Points for each hour of waiting. */
+  /** Points per hour of waiting. */
   readonly ageFactor: number;
-  /** Weight of the deadline score, which grows as a job's deadline comes near. */
+  /** Weight of the deadline score, which increases as a job's deadline approaches. */
   readonly deadlineWeight: number;
-  /** Weight of the scarcity score: the demand for a job's GPU types over what the fleet has. */
+  /** Weight of the scarcity score: demand for a job's GPU types relative to the fleet's supply. */
   readonly scarcityWeight: number;
-  /** Weight of the shortness score: short jobs first. */
+  /** Weight of the shortness score, which favours short jobs. */
   readonly shortnessWeight: number;
-  /** Points for each level of the job's own priority: our addition to the four scores. */
+  /** Points per priority level, an addition of this project to the four scores. */
   readonly priorityWeight: number;
-  /** The deadline score takes a task to last this many times its estimate. */
+  /** Factor on a task's estimate that the deadline score assumes as its run time. */
   readonly deadlineEstimateFactor: number;
-  /** Deadline score of a job whose deadline is far. Without a deadline, or past it: 0. */
+  /** Deadline score of a job with a distant deadline; 0 without a deadline or after it. */
   readonly deadlineScoreMin: number;
-  /** Deadline score of a job that would end just at its deadline. */
+  /** Deadline score of a job that would end exactly at its deadline. */
   readonly deadlineScoreMax: number;
-  /** A job that has waited this long gets its first task ahead of better ranked ones. */
+  /** After this wait, a job's first task is placed ahead of jobs that rank higher. */
   readonly firstTaskAfterS: number;
-  /** Lowest priority level at which the head of the queue may preempt tasks with checkpoints. */
+  /** Lowest priority level at which the queue head may preempt tasks with checkpoints. */
   readonly preemptionMinPriority: number;
-  /** How long the head must have waited before it may preempt. */
+  /** How long the queue head must have waited before it may preempt. */
   readonly preemptionDelayS: number;
-  /** Share of the teams' summed guarantees that is kept provisioned while work comes in. */
+  /** Share of the teams' total guarantees that stays provisioned while jobs arrive. */
   readonly baselineCapacityShare: number;
-  /** Provisioned processors, as a multiple of what the unfinished work needs. */
+  /** Provisioned processors as a multiple of those that unfinished work needs. */
   readonly capacityHeadroom: number;
-  /** A machine that has been idle for this long goes back to the cloud. */
+  /** A machine that has been idle for this long is deleted. */
   readonly scaleInAfterIdleS: number;
   /** A machine that is not up after this many times its nominal boot time is replaced. */
   readonly bootTimeoutFactor: number;
-  /** Heartbeats missed in a row after which a machine is replaced. */
+  /** Consecutive missed heartbeats after which a machine is replaced. */
   readonly missedHeartbeatLimit: number;
-  /** Life of the leader's lease. */
+  /** Duration of the leader's lease. */
   readonly leaderLeaseMs: number;
 }
--- a/src/core/model/team.ts
+++ b/src/core/model/team.ts
@@ -1,7 +1,7 @@
 /** Teams and their quotas. */
 import type { TeamName } from './ids.js';
 
-/** A team: its guaranteed share, and the quota that its running tasks never exceed. */
+/** A team, with its guaranteed resources and the quota that its running tasks never exceed. */
 export interface Team {
   readonly name: TeamName;
   /** Guaranteed processors. */
--- a/src/core/model/worker-command.ts
+++ b/src/core/model/worker-command.ts
@@ -1,9 +1,9 @@
-/** What the leader tells a worker to do. */
+/** Commands from the leader to a worker. */
 import type { AttemptId, JobId, TaskIndex } from './ids.js';
 
 /**
- * A command to a worker, about one attempt. Each may be repeated, but a start after its reap: the
- * worker no longer knows the attempt then, and would run it again.
+ * A command to a worker about one attempt. Commands may be repeated, except a start after the
+ * attempt's reap: the worker no longer knows the attempt then, and would run it again.
  */
 export type WorkerCommand =
   /** Runs a task. */
@@ -13,7 +13,7 @@
       readonly index: TaskIndex;
       readonly attempt: AttemptId;
     }
-  /** Stops a task. One with checkpoints writes one first where the grace, in seconds, allows it. */
+  /** Stops a task. A task with checkpoints writes one first if the grace, in seconds, allows it. */
   | {
       readonly op: 'kill';
       readonly job: JobId;
@@ -21,7 +21,7 @@
       readonly attempt: AttemptId;
       readonly graceS: number;
     }
-  /** Takes an ended task out of the heartbeats. */
+  /** Removes an ended task from the worker's heartbeats. */
   | {
       readonly op: 'reap';
       readonly job: JobId;
