--- a/src/core/apply-commands.ts
+++ b/src/core/apply-commands.ts
@@ -102,7 +102,7 @@
   for (const machine of state.machines.values()) dispatchKills(machine, now, effects);
 };
 
-/** Sends the only kills that a leader without a valid lease sends: see `belongsToEndedJob`. */
+/** Sends the kills that need no valid lease, see `belongsToEndedJob`, and nothing else. */
 const runKeepAliveTick = (state: CoreState, now: Instant, effects: Effect[]): void => {
   state.lastTickAt = now;
   for (const machine of state.machines.values())
--- a/src/core/extensions/extension-host.ts
+++ b/src/core/extensions/extension-host.ts
@@ -38,7 +38,7 @@
   private now = 0 as Instant;
   /** The extension that made each unanswered provision request. */
   private readonly provisionRequests = new Map<ProvisionRequestId, Extension>();
-  /** Cordoned machines, known and not yet known. */
+  /** Cordoned machines, including those not yet in the state. */
   private readonly cordonedMachines = new Set<MachineId>();
 
   constructor(
--- a/src/core/extensions/extension.ts
+++ b/src/core/extensions/extension.ts
@@ -141,7 +141,7 @@
 
 /** A request from an extension to the core. */
 export type ExtensionRequest =
-  /** Excludes a machine, even an unknown one, from new placements, or ends that. */
+  /** Excludes a machine, even one not yet known, from placements, or allows them again. */
   | { readonly kind: 'cordon' | 'uncordon'; readonly machine: MachineId }
   /** Stops an attempt. A task with checkpoints writes one if the grace, in seconds, allows it. */
   | {
--- a/src/core/ledger/batch-draft.ts
+++ b/src/core/ledger/batch-draft.ts
@@ -12,7 +12,7 @@
 const MAX_BATCH_BYTES = 40_000;
 /**
  * A batch may have this many mutations even if one transaction takes fewer. It is then stored in
- * several consecutive ones: a batch for each would cost a step of the command loop each.
+ * several in sequence: a batch per transaction would cost a step of the command loop for each.
  */
 const MIN_MUTATIONS_BY_TRANSACTION = 24;
 /** A batch takes effect after its last mutation: all must be writable within this time. */
@@ -138,7 +138,7 @@
     return new SegmentDraft(this.state, key, this.maxSegmentBytes);
   }
 
-  /** Adds a segment after its first row; a draft too small for that row uses no segment key. */
+  /** Adds a draft that holds its first row; a draft too small for that row uses no segment key. */
   private addSegment(draft: SegmentDraft): void {
     const { segment } = draft;
     this.state.nextSegment += 1;
--- a/src/core/ledger/segment-draft.ts
+++ b/src/core/ledger/segment-draft.ts
@@ -18,7 +18,7 @@
 const JOB_BYTES = 14;
 const PROGRESS_BYTES = 20;
 
-/** Upper bound of a name's length in JSON, where external names may need escapes. */
+/** External names may need escapes in JSON; their URI-encoded form is never shorter. */
 const escapedLength = (name: string): number => encodeURIComponent(name).length;
 
 const base64Length = (bytes: number): number => Math.ceil(bytes / 3) * 4;
