--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -56,7 +56,7 @@
       log,
       jitter,
       extensions: this.extensions,
-      spawn: (name, work) => this.spawn(name, work),
+      runInBackground: (name, work) => this.spawn(name, work),
     });
     this.dependencies = dependencies;
     this.election = new LeaderElection({
--- a/src/service/create-dependencies.ts
+++ b/src/service/create-dependencies.ts
@@ -42,13 +42,13 @@
 };
 
 /** What the caller provides; the rest is opened here, and closed by `closeDependencies`. */
-export type GivenDependencies = Pick<
+export type ProvidedDependencies = Pick<
   Dependencies,
-  'settings' | 'policy' | 'log' | 'jitter' | 'extensions' | 'spawn'
+  'settings' | 'policy' | 'log' | 'jitter' | 'extensions' | 'runInBackground'
 >;
 
 /** Opens the clients of the key-value store, the cloud, the workers and the peers. */
-export const createDependencies = (given: GivenDependencies): Dependencies => {
+export const createDependencies = (given: ProvidedDependencies): Dependencies => {
   const { settings, log } = given;
   const malformedAnswerFrom = makeMalformedAnswerLogger(log);
   const nodes = settings.peers.length + 1;
--- a/src/service/dependencies.ts
+++ b/src/service/dependencies.ts
@@ -29,5 +29,5 @@
   /** null until discovered; no submission is judged before. */
   machineTypes: readonly MachineType[] | null;
   /** Runs work in the background; should it fail, the process ends. */
-  readonly spawn: (name: string, work: () => Promise<void>) => void;
+  readonly runInBackground: (name: string, work: () => Promise<void>) => void;
 }
--- a/src/service/effect-runner.ts
+++ b/src/service/effect-runner.ts
@@ -13,7 +13,7 @@
 
 /** What an effect runner works with. */
 export interface EffectRunnerOptions {
-  readonly dependencies: Pick<Dependencies, 'cloud' | 'log' | 'spawn' | 'workers'>;
+  readonly dependencies: Pick<Dependencies, 'cloud' | 'log' | 'runInBackground' | 'workers'>;
   readonly term: TermContext;
   readonly election: LeaderElection;
   readonly batchWriter: BatchWriter;
@@ -44,13 +44,13 @@
       case 'job-ended':
         return this.announceJobEnd(effect);
       case 'store-batch':
-        return dependencies.spawn('store-batch', () => this.storeBatch(effect));
+        return dependencies.runInBackground('store-batch', () => this.storeBatch(effect));
       case 'provision':
-        return dependencies.spawn('provision', () => this.provision(effect));
+        return dependencies.runInBackground('provision', () => this.provision(effect));
       case 'delete-machines':
-        return dependencies.spawn('delete-machines', () => this.deleteMachines(effect));
+        return dependencies.runInBackground('delete-machines', () => this.deleteMachines(effect));
       case 'send-commands':
-        return dependencies.spawn('send-commands', () => this.sendCommands(effect));
+        return dependencies.runInBackground('send-commands', () => this.sendCommands(effect));
       case 'log':
         return dependencies.log[effect.level](effect.fields, effect.text);
       default:
--- a/src/service/leader-election.ts
+++ b/src/service/leader-election.ts
@@ -155,7 +155,7 @@
   stepDown(): void {
     if (this.fencingToken === null) return;
     this.fencingToken = null;
-    this.heldLease?.end();
+    this.heldLease?.abandon();
     this.heldLease = null;
     this.leaderNode = null;
     this.events.onDeposed();
@@ -193,7 +193,7 @@
     const renewing = lease.keepRenewing();
     const token = await this.claimLeaderKey(lease.id, expected);
     if (token === null || lease.hasEnded) {
-      lease.end();
+      lease.abandon();
       await lease.revoke();
       await sleep(this.jitter.around(RETRY_MS.claimLost));
       return;
--- a/src/service/leader-lease.ts
+++ b/src/service/leader-lease.ts
@@ -85,7 +85,7 @@
   }
 
   /** Gives the lease up on this node: renewals end. */
-  end(): void {
+  abandon(): void {
     this.isOver = true;
   }
 
--- a/src/service/leader-term.ts
+++ b/src/service/leader-term.ts
@@ -142,7 +142,7 @@
 
   /** Recovers the stored state; the watches start when that is done. */
   start(): void {
-    this.dependencies.spawn('state-recovery', () => this.recoverState());
+    this.dependencies.runInBackground('state-recovery', () => this.recoverState());
   }
 
   /** Ends the term: its loops stop, and whoever still waits is answered as timed out. */
@@ -180,9 +180,9 @@
     const jobWatch = new JobWatch({ dependencies, term: this, jobIntake, commandLoop });
     const machinePoller = new MachinePoller(dependencies, this, commandLoop);
     commandLoop.start(commands);
-    dependencies.spawn('job-watch', () => jobWatch.run(jobsRevision));
-    dependencies.spawn('ticks', () => this.runTicks());
-    dependencies.spawn('machine-poller', () => machinePoller.run());
+    dependencies.runInBackground('job-watch', () => jobWatch.run(jobsRevision));
+    dependencies.runInBackground('ticks', () => this.runTicks());
+    dependencies.runInBackground('machine-poller', () => machinePoller.run());
   }
 
   private async runTicks(): Promise<void> {
@@ -217,8 +217,8 @@
   }
 
   /** How many workers this leader hears of when they are suspiciously few; null otherwise. */
-  heartbeatCoverage(): HeartbeatCoverage | null {
-    return this.workerHeartbeats.coverage();
+  lowHeartbeatCoverage(): HeartbeatCoverage | null {
+    return this.workerHeartbeats.lowCoverage();
   }
 
   /** An extension's answer to an operator's call, or null when none comes in time. */
--- a/src/service/peers/peer-monitor.ts
+++ b/src/service/peers/peer-monitor.ts
@@ -96,7 +96,7 @@
     const isLeading = term?.authority() === 'lead';
     if (!store.isDown) this.isolatedSince = null;
     if (!term && !store.isDown) return;
-    const coverage = isLeading ? term.heartbeatCoverage() : null;
+    const coverage = isLeading ? term.lowHeartbeatCoverage() : null;
     if (isLeading && !coverage && !store.isDown) return;
     const peers = [...this.dependencies.peers.values()];
     const healths = await Promise.all(peers.map(requestHealth));
--- a/src/service/pending-replies.ts
+++ b/src/service/pending-replies.ts
@@ -6,7 +6,7 @@
   private next = 1;
 
   /** The next unused ticket. */
-  take(): ReplyTicket {
+  issue(): ReplyTicket {
     const ticket = this.next as ReplyTicket;
     this.next += 1;
     return ticket;
@@ -26,7 +26,7 @@
 
   /** Passes a new ticket to `send` and waits for the reply that is settled under it. */
   request(send: (ticket: ReplyTicket) => void): Promise<T> {
-    const ticket = this.tickets.take();
+    const ticket = this.tickets.issue();
     return new Promise((resolve) => {
       const timer = setTimeout(() => this.settle(ticket, this.timeoutReply), this.timeoutMs);
       this.waiting.set(ticket, (reply) => {
--- a/src/service/worker-heartbeats.ts
+++ b/src/service/worker-heartbeats.ts
@@ -119,7 +119,7 @@
   }
 
   /** How many workers the leader hears of when they are suspiciously few; null otherwise. */
-  coverage(): HeartbeatCoverage | null {
+  lowCoverage(): HeartbeatCoverage | null {
     const { core } = this.options.commandLoop;
     const now = steadyNow();
     const spanMs = seconds(this.options.workers.heartbeatIntervalS) * COVERAGE.recentIntervals;
