--- a/src/service/batch-writer.ts
+++ b/src/service/batch-writer.ts
@@ -83,16 +83,16 @@
   /** Stores a batch; until the outcome is known, it goes on trying. */
   async storeBatch(operations: readonly StoreOperation[]): Promise<StoreBatchResult> {
     const refused: StoreOperation[] = [];
-    const rest = this.toUnits(operations);
-    while (rest.length > 0) {
-      const units = rest.splice(0, this.countUnitsAtOnce(rest));
+    const remaining = this.toWriteUnits(operations);
+    while (remaining.length > 0) {
+      const units = remaining.splice(0, this.countUnitsForNextTransaction(remaining));
       if (!(await this.store(units, refused))) return { kind: 'leadership-lost' };
     }
     return { kind: 'stored', refused };
   }
 
   /** How many of the first units the store is known to take in one transaction; at least one. */
-  private countUnitsAtOnce(units: readonly WriteUnit[]): number {
+  private countUnitsForNextTransaction(units: readonly WriteUnit[]): number {
     let count = 0;
     let mutations = 0;
     for (const unit of units) {
@@ -103,7 +103,7 @@
     return count;
   }
 
-  private toUnits(operations: readonly StoreOperation[]): WriteUnit[] {
+  private toWriteUnits(operations: readonly StoreOperation[]): WriteUnit[] {
     const units: WriteUnit[] = [];
     for (const operation of operations) {
       switch (operation.kind) {
@@ -160,7 +160,7 @@
     }
     if (units.length > 1) return this.storeHalves(units, refused);
     const [unit] = units;
-    return unit ? this.storePieces(unit.operation, refused) : true;
+    return unit ? this.storeInPieces(unit.operation, refused) : true;
   }
 
   private async storeHalves(
@@ -179,7 +179,7 @@
   }
 
   /** Stores a segment that is too large on its own in pieces; refuses any other operation. */
-  private async storePieces(
+  private async storeInPieces(
     operation: StoreOperation,
     refused: StoreOperation[],
   ): Promise<boolean> {
@@ -192,13 +192,13 @@
     }
     for (const segment of segments) {
       if (!(await this.store([segmentUnit(segment)], refused))) return false;
-      this.notePiece(operation.key, segment.key);
+      this.recordPiece(operation.key, segment.key);
     }
     return true;
   }
 
   /** The core knows a segment by one key; its pieces are deleted when it is. */
-  private notePiece(whole: SegmentKey, piece: SegmentKey): void {
+  private recordPiece(whole: SegmentKey, piece: SegmentKey): void {
     const known = this.pieces.get(whole) ?? [];
     for (const key of this.pieces.get(piece) ?? [piece]) known.push(key);
     this.pieces.delete(piece);
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -56,7 +56,7 @@
       log,
       jitter,
       extensions: this.extensions,
-      runInBackground: (name, work) => this.spawn(name, work),
+      runInBackground: (name, work) => this.runInBackground(name, work),
     });
     this.dependencies = dependencies;
     this.election = new LeaderElection({
@@ -85,9 +85,9 @@
   }
 
   start(): void {
-    this.spawn('election', () => this.election.run());
-    this.spawn('machine-type-discovery', () => this.machineTypeDiscovery.run());
-    this.spawn('peer-monitor', () => this.peerMonitor.run());
+    this.runInBackground('election', () => this.election.run());
+    this.runInBackground('machine-type-discovery', () => this.machineTypeDiscovery.run());
+    this.runInBackground('peer-monitor', () => this.peerMonitor.run());
   }
 
   stop(): void {
@@ -99,7 +99,7 @@
     closeDependencies(this.dependencies);
   }
 
-  private spawn(name: string, work: () => Promise<void>): void {
+  private runInBackground(name: string, work: () => Promise<void>): void {
     work().catch((error: Error) => {
       // Work that ends takes its duty with it: a fresh start is better than a controller in part.
       this.dependencies.log.error({ err: error, task: name }, 'background task failed');
--- a/src/service/create-dependencies.ts
+++ b/src/service/create-dependencies.ts
@@ -48,9 +48,9 @@
 >;
 
 /** Opens the clients of the key-value store, the cloud, the workers and the peers. */
-export const createDependencies = (given: ProvidedDependencies): Dependencies => {
-  const { settings, log } = given;
-  const malformedAnswerFrom = makeMalformedAnswerLogger(log);
+export const createDependencies = (provided: ProvidedDependencies): Dependencies => {
+  const { settings, log } = provided;
+  const malformedAnswerLoggerFor = makeMalformedAnswerLogger(log);
   const nodes = settings.peers.length + 1;
   const { allNodes, batches } = RATE_SHARES;
   const nodeShare = { reads: allNodes.reads / nodes, writes: allNodes.writes / nodes };
@@ -58,14 +58,18 @@
     new KeyValueStoreClient(
       settings.keyValueStore,
       rateSharesOf(settings.keyValueStoreLimits, share),
-      malformedAnswerFrom('key-value store'),
+      malformedAnswerLoggerFor('key-value store'),
     );
   const commandSockets = Math.floor(settings.quota.maxConnections * COMMAND_SOCKET_SHARE);
   return {
-    ...given,
+    ...provided,
     store: openStore(nodeShare),
     batchStore: openStore(batches),
-    cloud: new CloudClient(settings.cloud, settings.cloudLimits.rps, malformedAnswerFrom('cloud')),
+    cloud: new CloudClient(
+      settings.cloud,
+      settings.cloudLimits.rps,
+      malformedAnswerLoggerFor('cloud'),
+    ),
     workers: new WorkerClient(Math.max(MIN_COMMAND_SOCKETS, commandSockets)),
     peers: new Map(settings.peers.map((peer) => [peer.node, new PeerClient(peer.node, peer.at)])),
     machineTypes: null,
--- a/src/service/guarded-writer.ts
+++ b/src/service/guarded-writer.ts
@@ -62,7 +62,7 @@
         MAX_RATE_WAIT_MS,
       );
       if (result.kind === 'committed') {
-        this.noteStored(mutations, result.revision);
+        this.recordStored(mutations, result.revision);
         return 'stored';
       }
       if (result.kind === 'too-large') return 'too-large';
@@ -71,7 +71,9 @@
         if (outcome !== 'not-stored') return outcome;
       }
       const isRateRefusal = result.kind === 'refused' && !this.store.isDown;
-      await sleep(this.jitter.around(isRateRefusal ? RATE_REFUSAL_DELAY_MS : retryDelay(retries)));
+      await sleep(
+        this.jitter.around(isRateRefusal ? RATE_REFUSAL_DELAY_MS : retryDelayMs(retries)),
+      );
     }
     return 'leadership-lost';
   }
@@ -88,7 +90,7 @@
     return this.keyRevisions.get(key) ?? ABSENT;
   }
 
-  private noteStored(mutations: readonly Mutation[], revision: Revision): void {
+  private recordStored(mutations: readonly Mutation[], revision: Revision): void {
     this.lastRevision = Math.max(this.lastRevision, revision) as Revision;
     for (const mutation of mutations) {
       if ('del' in mutation) this.keyRevisions.delete(mutation.del);
@@ -117,7 +119,7 @@
     if (first.kind !== 'found' && first.kind !== 'absent') return 'not-stored';
     const revision = first.kind === 'absent' ? ABSENT : first.item.revision;
     if (revision !== this.knownRevision(firstKey)) {
-      this.noteStored(mutations, revision);
+      this.recordStored(mutations, revision);
       return 'stored';
     }
     await this.refreshRevisions(keys);
@@ -134,5 +136,5 @@
   }
 }
 
-const retryDelay = (retries: number): number =>
+const retryDelayMs = (retries: number): number =>
   Math.min(MAX_RETRY_DELAY_MS, FIRST_RETRY_DELAY_MS * 2 ** Math.min(retries, MAX_RETRY_DOUBLINGS));
--- a/src/service/leader-term.ts
+++ b/src/service/leader-term.ts
@@ -172,10 +172,10 @@
     const { keyRevisions } = this.batchWriter;
     const recovery = new StateRecovery({ dependencies, term: this, jobIntake, keyRevisions });
     const recovered = await recovery.recover();
-    if (recovered && this.isCurrent) this.startWatches(recovered);
+    if (recovered && this.isCurrent) this.startLoops(recovered);
   }
 
-  private startWatches({ commands, jobsRevision }: RecoveredState): void {
+  private startLoops({ commands, jobsRevision }: RecoveredState): void {
     const { dependencies, jobIntake, commandLoop } = this;
     const jobWatch = new JobWatch({ dependencies, term: this, jobIntake, commandLoop });
     const machinePoller = new MachinePoller(dependencies, this, commandLoop);
--- a/src/service/machine-type-discovery.ts
+++ b/src/service/machine-type-discovery.ts
@@ -27,35 +27,35 @@
   async run(): Promise<void> {
     const { dependencies } = this;
     while (!this.isStopped && !dependencies.machineTypes) {
-      const storedItem = this.readStored();
+      const storedItem = this.readStoredMachineTypes();
       const listed = await dependencies.cloud.listMachineTypes();
-      if (listed) this.use(listed);
-      if (listed && this.fitsStore(listed) && (await storedItem).kind === 'absent')
-        await this.store(listed);
+      if (listed) this.setMachineTypes(listed);
+      if (listed && this.fitsStoredValue(listed) && (await storedItem).kind === 'absent')
+        await this.storeMachineTypes(listed);
       await storedItem;
       if (!dependencies.machineTypes) await sleep(dependencies.jitter.around(RETRY_MS));
     }
   }
 
-  private use(types: readonly MachineType[]): void {
+  private setMachineTypes(types: readonly MachineType[]): void {
     this.dependencies.machineTypes = types;
     this.onDiscovered(types);
   }
 
-  private async readStored() {
+  private async readStoredMachineTypes() {
     const stored = await this.dependencies.store.get(MACHINE_TYPES_KEY);
     const types = stored.kind === 'found' ? decodeMachineTypes(stored.item.value) : null;
-    if (types && !this.dependencies.machineTypes) this.use(types);
+    if (types && !this.dependencies.machineTypes) this.setMachineTypes(types);
     return stored;
   }
 
   /** Types that are larger than a value may be are left out: the cloud tells them too. */
-  private fitsStore(types: readonly MachineType[]): boolean {
+  private fitsStoredValue(types: readonly MachineType[]): boolean {
     const { maxValueBytes } = this.dependencies.settings.keyValueStoreLimits;
     return Buffer.byteLength(JSON.stringify(types)) <= maxValueBytes;
   }
 
-  private async store(types: readonly MachineType[]): Promise<void> {
+  private async storeMachineTypes(types: readonly MachineType[]): Promise<void> {
     await this.dependencies.store.compareAndSwap(
       [{ key: MACHINE_TYPES_KEY, revision: 0 as Revision }],
       [{ put: MACHINE_TYPES_KEY, value: types }],
--- a/src/service/pending-replies.ts
+++ b/src/service/pending-replies.ts
@@ -15,7 +15,7 @@
 
 /** The callers that wait for one kind of reply. Every caller is answered: no promise stays open. */
 export class PendingReplies<T> {
-  private readonly waiting = new Map<ReplyTicket, (reply: T) => void>();
+  private readonly resolvers = new Map<ReplyTicket, (reply: T) => void>();
 
   constructor(
     private readonly tickets: TicketCounter,
@@ -29,7 +29,7 @@
     const ticket = this.tickets.issue();
     return new Promise((resolve) => {
       const timer = setTimeout(() => this.settle(ticket, this.timeoutReply), this.timeoutMs);
-      this.waiting.set(ticket, (reply) => {
+      this.resolvers.set(ticket, (reply) => {
         clearTimeout(timer);
         resolve(reply);
       });
@@ -39,13 +39,13 @@
 
   /** Replies to the caller under this ticket, unless it has been answered before. */
   settle(ticket: ReplyTicket, reply: T): void {
-    const resolve = this.waiting.get(ticket);
-    this.waiting.delete(ticket);
+    const resolve = this.resolvers.get(ticket);
+    this.resolvers.delete(ticket);
     resolve?.(reply);
   }
 
   /** Answers all that still wait with the time-out's reply: the core will not answer any more. */
   close(): void {
-    for (const ticket of [...this.waiting.keys()]) this.settle(ticket, this.timeoutReply);
+    for (const ticket of [...this.resolvers.keys()]) this.settle(ticket, this.timeoutReply);
   }
 }
--- a/src/service/worker-heartbeats.ts
+++ b/src/service/worker-heartbeats.ts
@@ -16,15 +16,15 @@
 const REDIRECT_LEASE_SHARE = 0.75;
 
 /** When a leader takes the workers that it hears of for suspiciously few. */
-const COVERAGE = {
+const LOW_COVERAGE = {
   /** A worker is heard of if its heartbeat came within this many intervals. */
   recentIntervals: 2.5,
   /** Nothing is said before this many times that span: workers have yet to find the leader. */
-  settlingSpans: 2,
+  settlingWindows: 2,
   /** A single worker may have failed itself. */
   minKnown: 2,
   /** Suspicious is less than one in this many. */
-  suspiciousRatio: 3,
+  divisor: 3,
 } as const;
 
 const REDIRECT: HeartbeatDecision = { kind: 'redirect', leader: null };
@@ -93,8 +93,8 @@
   private shouldRedirectWhileIsolated(machine: MachineId): boolean {
     const now = steadyNow();
     const last = this.redirectedAt.get(machine);
-    const spanMs = seconds(this.options.workers.leaseS) * REDIRECT_LEASE_SHARE;
-    if (last !== undefined && now - last < spanMs) return false;
+    const redirectIntervalMs = seconds(this.options.workers.leaseS) * REDIRECT_LEASE_SHARE;
+    if (last !== undefined && now - last < redirectIntervalMs) return false;
     this.redirectedAt.set(machine, now);
     return true;
   }
@@ -122,16 +122,17 @@
   lowCoverage(): HeartbeatCoverage | null {
     const { core } = this.options.commandLoop;
     const now = steadyNow();
-    const spanMs = seconds(this.options.workers.heartbeatIntervalS) * COVERAGE.recentIntervals;
-    if (now - core.config.acquiredAt < COVERAGE.settlingSpans * spanMs) return null;
+    const windowMs =
+      seconds(this.options.workers.heartbeatIntervalS) * LOW_COVERAGE.recentIntervals;
+    if (now - core.config.acquiredAt < LOW_COVERAGE.settlingWindows * windowMs) return null;
     let recent = 0;
     let known = 0;
     for (const machine of core.machines.values()) {
       if (!machine.hasReported) continue;
       known += 1;
-      if (now - machine.lastHeartbeatAt < spanMs) recent += 1;
+      if (now - machine.lastHeartbeatAt < windowMs) recent += 1;
     }
-    const isSuspicious = known >= COVERAGE.minKnown && recent * COVERAGE.suspiciousRatio < known;
-    return isSuspicious ? { recent, known } : null;
+    const isLow = known >= LOW_COVERAGE.minKnown && recent * LOW_COVERAGE.divisor < known;
+    return isLow ? { recent, known } : null;
   }
 }
