--- a/src/service/batch-writer.ts
+++ b/src/service/batch-writer.ts
@@ -1,4 +1,4 @@
-/** Stores the leader's batches, one after the other, in transactions that the store takes. */
+/** Stores the leader's batches in order, in transactions within the key-value store's limits. */
 
 import type { Log } from '../adapters/logging/log.js';
 import type { Jitter } from '../adapters/runtime/random.js';
@@ -16,25 +16,25 @@
   jobKey,
 } from './stored-records.js';
 
-/** What the batch writer works with. */
+/** Options of a batch writer. */
 export interface BatchWriterOptions {
   readonly store: KeyValueStore;
   readonly fencingToken: FencingToken;
   readonly log: Log;
   readonly jitter: Jitter;
-  /** Mutations of one transaction, by the settings; the store may turn out to take fewer. */
+  /** Maximum mutations of one transaction by the settings; the store may accept fewer. */
   readonly maxMutations?: number;
 }
 
 /**
- * What became of a batch. `refused`: the operations that the store takes in no size; all others are
- * stored. After `leadership-lost` some of the batch may be stored.
+ * Outcome of a batch. `refused` lists the operations that the store rejects at any size; all others
+ * are stored. After `leadership-lost`, part of the batch may be stored.
  */
 export type StoreBatchResult =
   | { readonly kind: 'stored'; readonly refused: readonly StoreOperation[] }
   | { readonly kind: 'leadership-lost' };
 
-/** Mutations that are stored together; units are stored in their order. */
+/** Mutations that share one transaction. Units are stored in order. */
 interface WriteUnit {
   readonly operation: StoreOperation;
   readonly mutations: readonly Mutation[];
@@ -48,14 +48,14 @@
 const countMutations = (units: readonly WriteUnit[]): number =>
   units.reduce((sum, unit) => sum + unit.mutations.length, 0);
 
-/** Writes batches under one fencing token. */
+/** Writes the batches of one leader term under its fencing token. */
 export class BatchWriter {
   private readonly writer: GuardedWriter;
   private readonly log: Log;
   private maxMutations: number;
-  /** Segments that had to be split: the keys of their pieces, by the key that the core knows. */
+  /** Keys of the pieces of each split segment, by the key under which the core knows it. */
   private readonly pieces = new Map<SegmentKey, SegmentKey[]>();
-  /** How many units the store has refused as too large on their own. */
+  /** Number of single units that the store rejected as too large. */
   private oversizedUnits = 0;
   private hasLoggedTooLarge = false;
 
@@ -65,22 +65,22 @@
     this.maxMutations = maxMutations ?? Number.POSITIVE_INFINITY;
   }
 
-  /** Revision of each key that this leader has read or written. */
+  /** Last known revision of each key that this leader has read or written. */
   get keyRevisions(): Map<string, Revision> {
     return this.writer.keyRevisions;
   }
 
-  /** Revision of the newest transaction that is known to be stored under this token. */
+  /** Revision of the newest transaction known to be stored under this token. */
   get lastRevision(): Revision {
     return this.writer.lastRevision;
   }
 
-  /** Ends retries: a batch of unknown outcome then counts as lost. */
+  /** Stops retries; a batch whose outcome is still unknown returns `leadership-lost`. */
   stop(): void {
     this.writer.stop();
   }
 
-  /** Stores a batch; until the outcome is known, it goes on trying. */
+  /** Stores a batch, retrying until its outcome is known or `stop` is called. */
   async storeBatch(operations: readonly StoreOperation[]): Promise<StoreBatchResult> {
     const refused: StoreOperation[] = [];
     const remaining = this.toWriteUnits(operations);
@@ -91,7 +91,7 @@
     return { kind: 'stored', refused };
   }
 
-  /** How many of the first units the store is known to take in one transaction; at least one. */
+  /** Number of leading units that fit the known limit of one transaction; at least one. */
   private countUnitsForNextTransaction(units: readonly WriteUnit[]): number {
     let count = 0;
     let mutations = 0;
@@ -125,7 +125,7 @@
           units.push(segmentUnit(operation));
           break;
         case 'delete-segment':
-          // Each piece on its own: a segment may have more pieces than one transaction takes.
+          // One unit per piece: a segment may have more pieces than one transaction allows.
           for (const key of this.pieces.get(operation.key) ?? [operation.key])
             if (this.keyRevisions.has(key)) units.push({ operation, mutations: [{ del: key }] });
           this.pieces.delete(operation.key);
@@ -135,7 +135,7 @@
     return units;
   }
 
-  /** A deletion of what is not there is left out. */
+  /** Omits deletions of keys that are not stored. */
   private toExtensionMutations(extension: string, writes: readonly RecordWrite[]): Mutation[] {
     const mutations: Mutation[] = [];
     for (const { key, value } of writes) {
@@ -147,16 +147,19 @@
   }
 
   /**
-   * Stores units in one transaction, or in smaller ones where the store refuses it as too large:
-   * its limits may have fallen below what any setting said. What was refused is never sent again
-   * unchanged. False when leadership is lost.
+   * Stores units in one transaction, or in smaller ones if the store rejects it as too large: its
+   * limits may have fallen below all configured values. A rejected transaction is never resent
+   * unchanged. Returns false if leadership is lost.
    */
   private async store(units: readonly WriteUnit[], refused: StoreOperation[]): Promise<boolean> {
     const outcome = await this.writer.write(units.flatMap((unit) => unit.mutations));
     if (outcome !== 'too-large') return outcome === 'stored';
     if (!this.hasLoggedTooLarge) {
       this.hasLoggedTooLarge = true;
-      this.log.info({ mutations: countMutations(units) }, 'batch too large, splitting it');
+      this.log.info(
+        { mutations: countMutations(units) },
+        'store rejected a transaction as too large; splitting the batch',
+      );
     }
     if (units.length > 1) return this.storeHalves(units, refused);
     const [unit] = units;
@@ -172,13 +175,13 @@
     const oversizedBefore = this.oversizedUnits;
     if (!(await this.store(firstHalf, refused))) return false;
     if (!(await this.store(units.slice(middle), refused))) return false;
-    // Where each unit was taken as it is, the number of mutations was at fault.
+    // No single unit was too large, so the number of mutations caused the rejection.
     if (this.oversizedUnits === oversizedBefore)
       this.maxMutations = Math.min(this.maxMutations, countMutations(firstHalf));
     return true;
   }
 
-  /** Stores a segment that is too large on its own in pieces; refuses any other operation. */
+  /** Stores an oversized segment in pieces; refuses other operations and unsplittable segments. */
   private async storeInPieces(
     operation: StoreOperation,
     refused: StoreOperation[],
@@ -186,7 +189,10 @@
     this.oversizedUnits += 1;
     const segments = operation.kind === 'write-segment' ? splitSegment(operation) : null;
     if (operation.kind !== 'write-segment' || !segments) {
-      this.log.error({ operation: operation.kind }, 'operation refused in any size');
+      this.log.error(
+        { operation: operation.kind },
+        'store rejects an operation at any size; it is not stored',
+      );
       refused.push(operation);
       return true;
     }
@@ -197,7 +203,7 @@
     return true;
   }
 
-  /** The core knows a segment by one key; its pieces are deleted when it is. */
+  /** Records the keys of a stored piece, to be deleted with the segment that the core knows. */
   private recordPiece(whole: SegmentKey, piece: SegmentKey): void {
     const known = this.pieces.get(whole) ?? [];
     for (const key of this.pieces.get(piece) ?? [piece]) known.push(key);
--- a/src/service/command-loop.ts
+++ b/src/service/command-loop.ts
@@ -1,10 +1,10 @@
 /**
- * The single owner of the leader's state: commands queue up and are applied in batches. The pause
- * after a batch grows with what the batch cost, so that under load each batch takes in more.
+ * The single owner of the leader's state: commands are queued and applied in batches. The pause
+ * after a batch grows with the batch's duration, so that batches are larger under load.
  *
- * On a fraction of a core, processor time used beyond the share is paid for later by standing
- * still. The pause counts that in: decisions take about a third of the share, and answering
- * requests has the rest.
+ * A process with a fractional-core quota is throttled after using more processor time than its
+ * quota. The pause accounts for this: applying commands takes about a third of the quota, and the
+ * rest is left for answering requests.
  */
 import { steadyNow } from '../adapters/runtime/clock.js';
 import { applyCommands } from '../core/apply-commands.js';
@@ -13,34 +13,35 @@
 import type { Authority, Effect } from '../core/model/effect.js';
 import type { Instant } from '../core/model/time.js';
 
-/** Bounds of the pause after a batch. */
+/** Limits of the pause after a batch. */
 const BATCH_PAUSE = {
   maxMs: 250,
-  /** The pause is at least this many times what the batch took. */
+  /** The pause is at least this many times the batch's duration, up to `maxMs`. */
   minFactor: 2.5,
-  /** Share of the processor quota that applying commands may take. */
+  /** Share of the processor quota that applying commands may use. */
   processorShare: 0.35,
 } as const;
 
 /**
- * A command that has waited for longer is applied at once, within the running turn. After a
- * failover a whole fleet sends heartbeats together, and one turn of the event loop may last for
- * seconds; a timer would fire only at its end, too late for workers, which wait 4 s.
+ * Once the oldest command has been queued for longer, `submit` applies the batch synchronously.
+ * After a failover the whole fleet sends heartbeats at once, and one turn of the event loop may
+ * last for seconds: a timer would fire only after it, too late for workers, which time out after
+ * 4 s.
  */
 const MAX_QUEUE_DELAY_MS = 300;
 
-/** What a command loop works on and with. */
+/** Options of a command loop. */
 export interface CommandLoopOptions {
   readonly core: CoreState;
-  /** Asked anew for every batch. */
+  /** Evaluated for every batch. */
   readonly authority: () => Authority;
   readonly runEffect: (effect: Effect) => void;
   readonly clock?: () => Instant;
-  /** Processor quota in cores; may be a fraction. */
+  /** Processor quota in cores, possibly fractional. */
   readonly cores?: number;
 }
 
-/** Queues commands, applies them to the core in batches and runs the effects in their order. */
+/** Queues commands, applies them to the core in batches and runs the effects in order. */
 export class CommandLoop {
   readonly core: CoreState;
   private readonly authority: () => Authority;
@@ -49,13 +50,13 @@
   private readonly pauseFactor: number;
   private queue: Command[] = [];
   private timer: NodeJS.Timeout | null = null;
-  /** The earliest time of the next batch. */
+  /** Earliest time of the next batch. */
   private nextBatchAt = 0;
-  /** When the oldest command in the queue came in. */
+  /** When the oldest command in the queue was submitted, counting from `start`. */
   private oldestQueuedAt: Instant | null = null;
   private isApplying = false;
   private isStopped = false;
-  /** Until `start`, commands only queue up: a new leader still recovers the state they apply to. */
+  /** Until `start`, commands are only queued: the state they apply to is being recovered. */
   private isStarted = false;
 
   constructor({ core, authority, runEffect, clock = steadyNow, cores = 1 }: CommandLoopOptions) {
@@ -66,7 +67,7 @@
     this.pauseFactor = Math.max(BATCH_PAUSE.minFactor, 1 / (cores * BATCH_PAUSE.processorShare));
   }
 
-  /** Queues a command; it is applied with the next batch. */
+  /** Queues a command for the next batch; does nothing after `stop`. */
   submit(command: Command): void {
     if (this.isStopped) return;
     this.queue.push(command);
@@ -79,14 +80,14 @@
     } else this.scheduleBatch();
   }
 
-  /** Starts applying: what was recovered goes before anything that has come in since. */
+  /** Starts applying commands: first the recovered ones, then those already queued. */
   start(recovered: readonly Command[]): void {
     this.queue = [...recovered, ...this.queue];
     this.isStarted = true;
     this.scheduleBatch();
   }
 
-  /** Ends the loop for good; what is still in the queue is never applied. */
+  /** Stops the loop permanently; queued commands are never applied. */
   stop(): void {
     this.isStopped = true;
     if (this.timer) clearTimeout(this.timer);
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -1,4 +1,4 @@
-/** One controller: leads or follows, and answers users, operators, workers and its peers. */
+/** One controller: leads or follows, and serves users, operators, workers and peers. */
 import type { Settings } from '../adapters/configuration/settings.js';
 import type { Log } from '../adapters/logging/log.js';
 import type { Jitter } from '../adapters/runtime/random.js';
@@ -25,17 +25,17 @@
 import { PeerRequestHandler } from './peers/peer-request-handler.js';
 import { requestOperatorCall } from './peers/peer-requests.js';
 
-/** What a controller is started with. */
+/** Options of a controller. */
 export interface ControllerOptions {
   readonly settings: Settings;
   readonly policy: Policy;
   readonly log: Log;
   readonly jitter: Jitter;
-  /** Enabled extensions; none unless given. */
+  /** Enabled extensions; none by default. */
   readonly extensions?: readonly ExtensionModule[];
 }
 
-/** Joins the parts of a controller, and owns the term of leadership while this node has one. */
+/** Wires the components of a controller, and owns the leader term while this node leads. */
 export class Controller implements ControllerApi {
   readonly election: LeaderElection;
   readonly users: JobService;
@@ -101,13 +101,13 @@
 
   private runInBackground(name: string, work: () => Promise<void>): void {
     work().catch((error: Error) => {
-      // Work that ends takes its duty with it: a fresh start is better than a controller in part.
+      // A failed task no longer does its work: a restart is better than a partial controller.
       this.dependencies.log.error({ err: error, task: name }, 'background task failed');
       if (!this.isStopped) process.exit(1);
     });
   }
 
-  /** What this node may do at this moment, as far as it leads. */
+  /** What this node may do at this moment; `none` unless it leads. */
   authority(): Authority {
     return this.leaderTerm?.authority() ?? 'none';
   }
@@ -130,7 +130,10 @@
     endedTerm?.stop();
   }
 
-  /** A node that reaches neither the key-value store nor a peer can do nothing for users. */
+  /**
+   * False until the machine types are known, and while this node is isolated: without the key-value
+   * store and all peers it cannot serve users.
+   */
   isReady(): boolean {
     return this.dependencies.machineTypes !== null && !this.peerMonitor.isIsolated();
   }
@@ -139,18 +142,18 @@
     if (this.leaderTerm) return this.leaderTerm.handleHeartbeat(heartbeat);
     this.peerMonitor.recordRedirect(heartbeat.machine);
     const leader = this.election.leaderNode;
-    // Its own name would send the worker back here.
+    // A redirect to this node itself would send the worker back here.
     return { kind: 'redirect', leader: leader === this.dependencies.settings.node ? null : leader };
   }
 
-  /** Answered here when this node leads, else by the leader; null when neither can. */
+  /** Answered here if this node leads, otherwise by the leader; null if neither can answer. */
   async handleOperatorCall(extension: string, call: OperatorCall): Promise<OperatorAnswer | null> {
     if (this.leaderTerm) return this.leaderTerm.handleOperatorCall(extension, call);
     const leader = this.peerMonitor.leaderPeer();
     return leader && requestOperatorCall(leader, extension, call);
   }
 
-  /** Answers another controller's question, in the form in which it goes over the link. */
+  /** Answers a question of a peer, in the form in which the answer is sent. */
   handlePeerRequest(question: PeerQuestion): Promise<unknown> {
     return this.peerRequests.handle(question);
   }
--- a/src/service/create-dependencies.ts
+++ b/src/service/create-dependencies.ts
@@ -1,4 +1,4 @@
-/** Opens what a controller needs from outside, and shares the outside's limits among it. */
+/** Creates the clients of a controller's external services, and divides their limits. */
 import { CloudClient } from '../adapters/cloud/cloud-client.js';
 import type { Settings } from '../adapters/configuration/settings.js';
 import { KeyValueStoreClient } from '../adapters/key-value-store/key-value-store-client.js';
@@ -10,18 +10,18 @@
 import { MIN_BATCH_WRITE_SHARE } from './write-share.js';
 
 /**
- * Shares of the key-value store's limits. Admissions of all nodes may go beyond what the leader's
- * batches leave: users come first, and a batch that is refused for the rate is sent again.
+ * Shares of the key-value store's rate limits. All nodes' admissions together may exceed what the
+ * leader's batches leave: users have priority, and a batch refused by the rate limit is retried.
  */
 const RATE_SHARES = {
   batches: { reads: 0.3, writes: MIN_BATCH_WRITE_SHARE },
   allNodes: { reads: 0.7, writes: 1.25 },
 } as const;
-/** Share of all sockets that commands sent to workers may use at a time, and the least of them. */
+/** Share of the connection quota for commands sent to workers, and the minimum of sockets. */
 const COMMAND_SOCKET_SHARE = 0.08;
 const MIN_COMMAND_SOCKETS = 10;
 
-/** This part of the store's limits, as they are and once the store has lowered them. */
+/** A share of the store's current limits, and of the limits that apply once it lowers them. */
 const rateSharesOf = (
   { rps, writeRps, nextRps, nextWriteRps }: Settings['keyValueStoreLimits'],
   { reads, writes }: { readonly reads: number; readonly writes: number },
@@ -31,7 +31,7 @@
   lowered: { rps: nextRps * reads, writeRps: nextWriteRps * writes },
 });
 
-/** Logs an answer that is none of the protocol's once for each kind of request. */
+/** Logs answers that do not follow the protocol, once for each service and kind of request. */
 const makeMalformedAnswerLogger = (log: Log) => {
   const logged = new Once();
   return (service: string) =>
@@ -41,13 +41,13 @@
     };
 };
 
-/** What the caller provides; the rest is opened here, and closed by `closeDependencies`. */
+/** Dependencies provided by the caller; the others are created by `createDependencies`. */
 export type ProvidedDependencies = Pick<
   Dependencies,
   'settings' | 'policy' | 'log' | 'jitter' | 'extensions' | 'runInBackground'
 >;
 
-/** Opens the clients of the key-value store, the cloud, the workers and the peers. */
+/** Creates the clients of the key-value store, the cloud, the workers and the peers. */
 export const createDependencies = (provided: ProvidedDependencies): Dependencies => {
   const { settings, log } = provided;
   const malformedAnswerLoggerFor = makeMalformedAnswerLogger(log);
@@ -76,7 +76,7 @@
   };
 };
 
-/** Closes what `createDependencies` has opened. */
+/** Closes the clients of the key-value store, the cloud and the peers. */
 export const closeDependencies = ({ store, batchStore, cloud, peers }: Dependencies): void => {
   store.close();
   batchStore.close();
--- a/src/service/dependencies.ts
+++ b/src/service/dependencies.ts
@@ -1,4 +1,4 @@
-/** What the parts of a controller share: settings, logging, and the clients of the outside. */
+/** Settings, logging and clients of external services that a controller's components share. */
 import type { CloudClient } from '../adapters/cloud/cloud-client.js';
 import type { Settings } from '../adapters/configuration/settings.js';
 import type { Log } from '../adapters/logging/log.js';
@@ -11,23 +11,23 @@
 import type { KeyValueStore } from '../ports/key-value-store.js';
 import type { Peer } from '../ports/peer.js';
 
-/** Made once for each controller; all but the machine types stays as it is. */
+/** Created once for each controller; only `machineTypes` changes afterwards. */
 export interface Dependencies {
   readonly settings: Settings;
   readonly policy: Policy;
   readonly log: Log;
   readonly jitter: Jitter;
-  /** For admissions and reads; it draws on another share of the write limit than the batches. */
+  /** For admissions and reads; its share of the write limit is separate from the batches'. */
   readonly store: KeyValueStore;
-  /** For the leader's batches and watches. */
+  /** For the leader's batches, listings and watches. */
   readonly batchStore: KeyValueStore;
   readonly cloud: CloudClient;
   readonly workers: WorkerClient;
   readonly peers: ReadonlyMap<NodeId, Peer>;
   /** Enabled extensions. */
   readonly extensions: readonly ExtensionModule[];
-  /** null until discovered; no submission is judged before. */
+  /** null until discovered; until then submissions are answered as unavailable. */
   machineTypes: readonly MachineType[] | null;
-  /** Runs work in the background; should it fail, the process ends. */
+  /** Runs a named task in the background; the process exits if the task fails. */
   readonly runInBackground: (name: string, work: () => Promise<void>) => void;
 }
--- a/src/service/effect-runner.ts
+++ b/src/service/effect-runner.ts
@@ -1,4 +1,4 @@
-/** Carries the core's effects out: one short handler for each kind. */
+/** Executes the core's effects, with one handler for each kind. */
 import type { Effect } from '../core/model/effect.js';
 import type { JobId } from '../core/model/ids.js';
 import type { BatchWriter } from './batch-writer.js';
@@ -11,7 +11,7 @@
 
 type EffectOf<K extends Effect['kind']> = Extract<Effect, { kind: K }>;
 
-/** What an effect runner works with. */
+/** Dependencies of an effect runner. */
 export interface EffectRunnerOptions {
   readonly dependencies: Pick<Dependencies, 'cloud' | 'log' | 'runInBackground' | 'workers'>;
   readonly term: TermContext;
@@ -19,18 +19,18 @@
   readonly batchWriter: BatchWriter;
   readonly replies: TermReplies;
   readonly commandLoop: CommandLoop;
-  /** Called once a job's end is stored. */
+  /** Called once a job's completion is stored. */
   readonly onJobEnded: (id: JobId, completion: JobCompletion) => void;
 }
 
 const cancellationOutcome = ({ outcome }: EffectOf<'cancellation-settled'>): CancellationOutcome =>
   outcome === null ? { kind: 'unknown-job' } : { kind: 'ended', outcome };
 
-/** Runs effects for as long as the term lasts, and submits their results as commands. */
+/** Runs effects during one leader term, and submits their results as commands. */
 export class EffectRunner {
   constructor(private readonly options: EffectRunnerOptions) {}
 
-  /** Starts an effect without waiting for it. After the term's end nothing is started. */
+  /** Starts an effect without waiting for its result; does nothing after the term's end. */
   run(effect: Effect): void {
     const { dependencies, replies, term } = this.options;
     if (!term.isCurrent) return;
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Asked as a request to the cloud is sent: the right may have ended while it waited. */
+  /** Checked when a queued request to the cloud is sent: the authority may have ended by then. */
   private readonly mayChangeFleet = (): boolean => {
     const { term } = this.options;
     return term.isCurrent && term.authority() === 'lead';
@@ -75,7 +75,7 @@
     const result = await batchWriter.storeBatch(ops);
     if (!term.isCurrent) return;
     const revision = batchWriter.lastRevision;
-    // Without the right to write, this node does not lead any more.
+    // After `leadership-lost` this node may no longer write, so it no longer leads.
     if (result.kind === 'stored')
       commandLoop.submit({ kind: 'batch-stored', batch, refused: result.refused, revision });
     else election.stepDown();
@@ -89,7 +89,7 @@
     const machines = result.kind === 'provisioned' ? result.machines : [];
     dependencies.log.info(
       { requestId: request, machineType: type, zone, spot, count, outcome, machineIds: machines },
-      'provision',
+      'provision request finished',
     );
     commandLoop.submit({ kind: 'provision-result', request, result: outcome, machines });
   }
@@ -97,7 +97,7 @@
   private async deleteMachines({ machines }: EffectOf<'delete-machines'>): Promise<void> {
     const { commandLoop, dependencies } = this.options;
     const ok = await dependencies.cloud.deleteMachines(machines, this.mayChangeFleet);
-    dependencies.log.info({ machineIds: machines, ok }, 'delete machines');
+    dependencies.log.info({ machineIds: machines, ok }, 'machine deletion request finished');
     commandLoop.submit({ kind: 'deletion-result', machines, ok });
   }
 
@@ -109,7 +109,7 @@
       effect.agentEpoch,
       effect.commands,
     );
-    // The endpoint may belong to another machine by now.
+    // The endpoint may have been reassigned to another machine.
     if (!heartbeat || !term.isCurrent || heartbeat.machine !== effect.machine) return;
     if (heartbeat.fencingToken > term.fencingToken) election.stepDown();
     else commandLoop.submit({ kind: 'heartbeat', heartbeat, ticket: null });
--- a/src/service/guarded-writer.ts
+++ b/src/service/guarded-writer.ts
@@ -1,4 +1,4 @@
-/** The leader's transactions, guarded by the leader key and the revisions of their own keys. */
+/** Leader's transactions, conditional on the leader key and the revisions of the changed keys. */
 
 import { sleep } from '../adapters/runtime/clock.js';
 import type { Jitter } from '../adapters/runtime/random.js';
@@ -6,21 +6,21 @@
 import type { KeyValueStore, Mutation, Precondition } from '../ports/key-value-store.js';
 import { COMPLETION_PREFIX, LEADER_KEY } from './stored-records.js';
 
-/** The revision of a key that is not there. */
+/** Revision that stands for a missing key. */
 const ABSENT = 0 as Revision;
-/** How long a transaction may wait for its share of the write rate, in milliseconds. */
+/** Maximum wait of a transaction for the write rate limiter, in milliseconds. */
 const MAX_RATE_WAIT_MS = 5000;
-/** Pause after the store has refused a transaction for its rate, in milliseconds. */
+/** Pause after the store's rate limit has refused a transaction, in milliseconds. */
 const RATE_REFUSAL_DELAY_MS = 120;
-/** Pauses while the store is down, in milliseconds: doubled up to four times. */
+/** Back-off after other failures, as while the store is down: up to four doublings. */
 const FIRST_RETRY_DELAY_MS = 60;
 const MAX_RETRY_DOUBLINGS = 4;
 const MAX_RETRY_DELAY_MS = 1000;
 
-/** What became of a transaction; too large: surely not executed, in this size. */
+/** Outcome of a transaction; `too-large`: certainly not executed, and not accepted at this size. */
 export type WriteOutcome = 'stored' | 'leadership-lost' | 'too-large';
 
-/** What the guarded writer works with. */
+/** Dependencies of a guarded writer. */
 export interface GuardedWriterOptions {
   readonly store: KeyValueStore;
   readonly fencingToken: FencingToken;
@@ -29,11 +29,11 @@
 
 const keyOf = (mutation: Mutation): string => ('del' in mutation ? mutation.del : mutation.put);
 
-/** Executes transactions one after the other; each is retried until its outcome is known. */
+/** Executes transactions one at a time; each is retried until its outcome is known. */
 export class GuardedWriter {
-  /** Revision of each key that this leader has read or written. */
+  /** Last known revision of each key that this leader has read or written. */
   readonly keyRevisions = new Map<string, Revision>();
-  /** Revision of the newest transaction that is known to be stored under this token. */
+  /** Revision of the newest transaction known to be stored under this token. */
   lastRevision: Revision;
   private readonly store: KeyValueStore;
   private readonly fencingToken: FencingToken;
@@ -47,12 +47,12 @@
     this.lastRevision = fencingToken as number as Revision;
   }
 
-  /** Ends retries: a transaction of unknown outcome then counts as lost. */
+  /** Stops retries; a transaction whose outcome is unknown returns `leadership-lost`. */
   stop(): void {
     this.isStopped = true;
   }
 
-  /** Executes mutations as one transaction, and tries until it is known whether they are stored. */
+  /** Executes mutations as one transaction; retries until it is known whether they are stored. */
   async write(mutations: readonly Mutation[]): Promise<WriteOutcome> {
     const keys = mutations.map(keyOf);
     for (let retries = 0; !this.isStopped; retries += 1) {
@@ -94,15 +94,16 @@
     this.lastRevision = Math.max(this.lastRevision, revision) as Revision;
     for (const mutation of mutations) {
       if ('del' in mutation) this.keyRevisions.delete(mutation.del);
-      // A completion is written once: its revision would only take memory.
+      // Completions are written once: their revisions would only use memory.
       else if (!mutation.put.startsWith(COMPLETION_PREFIX))
         this.keyRevisions.set(mutation.put, revision);
     }
   }
 
   /**
-   * An unanswered transaction may have been executed: the revision of its first key tells, under
-   * the same leader key. `not-stored` also stands for what could not be read.
+   * Determines whether a conflicting or unanswered transaction was executed: while the leader key is
+   * unchanged, a changed revision of its first key shows that it was. Returns `not-stored` also if a
+   * read failed.
    */
   private async readBack(
     mutations: readonly Mutation[],
@@ -126,7 +127,7 @@
     return 'not-stored';
   }
 
-  /** Makes sure of the known revisions before the next try. */
+  /** Rereads the keys' revisions before the next retry. */
   private async refreshRevisions(keys: readonly string[]): Promise<void> {
     for (const key of keys) {
       const result = await this.store.get(key);
