--- a/src/service/batch-writer.ts
+++ b/src/service/batch-writer.ts
@@ -16,13 +16,12 @@
   jobKey,
 } from './stored-records.js';
 
-/** Options of a batch writer. */
 export interface BatchWriterOptions {
   readonly store: KeyValueStore;
   readonly fencingToken: FencingToken;
   readonly log: Log;
   readonly jitter: Jitter;
-  /** Maximum mutations of one transaction by the settings; the store may accept fewer. */
+  /** Configured maximum of mutations per transaction; the store may accept fewer. */
   readonly maxMutations?: number;
 }
 
--- a/src/service/command-loop.ts
+++ b/src/service/command-loop.ts
@@ -2,9 +2,9 @@
  * The single owner of the leader's state: commands are queued and applied in batches. The pause
  * after a batch grows with the batch's duration, so that batches are larger under load.
  *
- * A process with a fractional-core quota is throttled after using more processor time than its
- * quota. The pause accounts for this: applying commands takes about a third of the quota, and the
- * rest is left for answering requests.
+ * With a quota of a fraction of a core, the process is throttled after exceeding it. The pause
+ * accounts for that: applying commands takes about a third of the quota and leaves the rest to
+ * answering requests.
  */
 import { steadyNow } from '../adapters/runtime/clock.js';
 import { applyCommands } from '../core/apply-commands.js';
@@ -30,7 +30,6 @@
  */
 const MAX_QUEUE_DELAY_MS = 300;
 
-/** Options of a command loop. */
 export interface CommandLoopOptions {
   readonly core: CoreState;
   /** Evaluated for every batch. */
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -25,7 +25,6 @@
 import { PeerRequestHandler } from './peers/peer-request-handler.js';
 import { requestOperatorCall } from './peers/peer-requests.js';
 
-/** Options of a controller. */
 export interface ControllerOptions {
   readonly settings: Settings;
   readonly policy: Policy;
@@ -101,7 +100,7 @@
 
   private runInBackground(name: string, work: () => Promise<void>): void {
     work().catch((error: Error) => {
-      // A failed task no longer does its work: a restart is better than a partial controller.
+      // After a failed task, a fresh process is better than a controller that works in part.
       this.dependencies.log.error({ err: error, task: name }, 'background task failed');
       if (!this.isStopped) process.exit(1);
     });
@@ -130,10 +129,7 @@
     endedTerm?.stop();
   }
 
-  /**
-   * False until the machine types are known, and while this node is isolated: without the key-value
-   * store and all peers it cannot serve users.
-   */
+  /** False while machine types are unknown, or neither the key-value store nor a peer is reached. */
   isReady(): boolean {
     return this.dependencies.machineTypes !== null && !this.peerMonitor.isIsolated();
   }
@@ -153,7 +149,7 @@
     return leader && requestOperatorCall(leader, extension, call);
   }
 
-  /** Answers a question of a peer, in the form in which the answer is sent. */
+  /** Answers a peer's question, encoded as it is sent over the peer connection. */
   handlePeerRequest(question: PeerQuestion): Promise<unknown> {
     return this.peerRequests.handle(question);
   }
--- a/src/service/create-dependencies.ts
+++ b/src/service/create-dependencies.ts
@@ -17,11 +17,11 @@
   batches: { reads: 0.3, writes: MIN_BATCH_WRITE_SHARE },
   allNodes: { reads: 0.7, writes: 1.25 },
 } as const;
-/** Share of the connection quota for commands sent to workers, and the minimum of sockets. */
+/** Share of the connection quota for commands sent to workers, and its minimum in sockets. */
 const COMMAND_SOCKET_SHARE = 0.08;
 const MIN_COMMAND_SOCKETS = 10;
 
-/** A share of the store's current limits, and of the limits that apply once it lowers them. */
+/** Applies a share to the store's current limits, and to the lower ones that are announced. */
 const rateSharesOf = (
   { rps, writeRps, nextRps, nextWriteRps }: Settings['keyValueStoreLimits'],
   { reads, writes }: { readonly reads: number; readonly writes: number },
--- a/src/service/effect-runner.ts
+++ b/src/service/effect-runner.ts
@@ -11,7 +11,6 @@
 
 type EffectOf<K extends Effect['kind']> = Extract<Effect, { kind: K }>;
 
-/** Dependencies of an effect runner. */
 export interface EffectRunnerOptions {
   readonly dependencies: Pick<Dependencies, 'cloud' | 'log' | 'runInBackground' | 'workers'>;
   readonly term: TermContext;
--- a/src/service/guarded-writer.ts
+++ b/src/service/guarded-writer.ts
@@ -1,4 +1,4 @@
-/** Leader's transactions, conditional on the leader key and the revisions of the changed keys. */
+/** The leader's transactions, conditional on the leader key and the changed keys' revisions. */
 
 import { sleep } from '../adapters/runtime/clock.js';
 import type { Jitter } from '../adapters/runtime/random.js';
@@ -12,7 +12,7 @@
 const MAX_RATE_WAIT_MS = 5000;
 /** Pause after the store's rate limit has refused a transaction, in milliseconds. */
 const RATE_REFUSAL_DELAY_MS = 120;
-/** Back-off after other failures, as while the store is down: up to four doublings. */
+/** Back-off after other failures, such as an unavailable store: up to four doublings. */
 const FIRST_RETRY_DELAY_MS = 60;
 const MAX_RETRY_DOUBLINGS = 4;
 const MAX_RETRY_DELAY_MS = 1000;
@@ -20,7 +20,6 @@
 /** Outcome of a transaction; `too-large`: certainly not executed, and not accepted at this size. */
 export type WriteOutcome = 'stored' | 'leadership-lost' | 'too-large';
 
-/** Dependencies of a guarded writer. */
 export interface GuardedWriterOptions {
   readonly store: KeyValueStore;
   readonly fencingToken: FencingToken;
@@ -101,9 +100,8 @@
   }
 
   /**
-   * Determines whether a conflicting or unanswered transaction was executed: while the leader key is
-   * unchanged, a changed revision of its first key shows that it was. Returns `not-stored` also if a
-   * read failed.
+   * A transaction that conflicted or got no answer may have been executed: it was if its first key
+   * has a new revision and the leader key is unchanged. Failed reads return `not-stored`.
    */
   private async readBack(
     mutations: readonly Mutation[],
--- a/src/service/job-intake.ts
+++ b/src/service/job-intake.ts
@@ -8,7 +8,7 @@
 import { decodeJob, type JobRecord, jobKey } from './stored-records.js';
 import type { WriteShare } from './write-share.js';
 
-/** All jobs reach the leader through this class, which records their revisions and counts them. */
+/** All jobs reach the leader through here, so that their revisions and rate are recorded. */
 export class JobIntake {
   constructor(
     /** The batch writer's map: it deletes a job's record only at the revision recorded here. */
--- a/src/service/job-watch.ts
+++ b/src/service/job-watch.ts
@@ -1,4 +1,4 @@
-/** Follows the jobs that other controllers admit: changes under the jobs' prefix tell of them. */
+/** Watches the prefix of job records, to learn of jobs that other controllers admit. */
 
 import { sleep } from '../adapters/runtime/clock.js';
 import type { Revision } from '../core/model/ids.js';
@@ -10,11 +10,10 @@
 import { JOB_PREFIX } from './stored-records.js';
 import type { TermContext } from './term-context.js';
 
-/** How long one watch is held open, in milliseconds. */
+/** How long the store holds one watch request open, in milliseconds. */
 const WATCH_HOLD_MS = 15_000;
 const RETRY_MS = 200;
 
-/** What a job watch needs. */
 export interface JobWatchOptions {
   readonly dependencies: Pick<Dependencies, 'batchStore' | 'jitter'>;
   readonly term: TermContext;
@@ -22,15 +21,15 @@
   readonly commandLoop: CommandLoop;
 }
 
-/** Deletions tell nothing new: the leader itself removes a job's record when the job has ended. */
+/** Skips deletions: only the leader itself deletes a job's record, once the job has ended. */
 const writtenItems = (changes: readonly Change[]): StoredItem[] =>
   changes.filter((change) => 'value' in change);
 
-/** Submits the jobs that come in at the key-value store for as long as the term lasts. */
+/** Submits newly stored jobs to the command loop during one leader term. */
 export class JobWatch {
   constructor(private readonly options: JobWatchOptions) {}
 
-  /** Follows the jobs from a revision on, until the term has ended. */
+  /** Watches for changes after revision `from`, until the term has ended. */
   async run(from: Revision): Promise<void> {
     const { dependencies, term } = this.options;
     let revision = from;
@@ -41,7 +40,7 @@
         revision = result.revision;
         this.submitJobs(writtenItems(result.changes));
       } else if (result.kind === 'too-old') {
-        // The store has dropped changes since the revision: everything is listed again.
+        // The store no longer has all changes since this revision: all jobs are listed again.
         const listing = await listPrefix(dependencies, term, JOB_PREFIX);
         if (!listing) return;
         revision = listing.revision;
--- a/src/service/leader-election.ts
+++ b/src/service/leader-election.ts
@@ -1,17 +1,17 @@
 /**
  * Leader election over the key-value store. The leader is the node that wrote the leader key, which
- * hangs on a lease: when the lease ends, the store deletes the key and another node may claim it.
+ * is attached to a lease: when it expires, the store deletes the key and another node may claim it.
  *
  * Why two nodes never lead at once:
- * - The key is claimed by compare-and-swap, and only while absent or left by an earlier run of this
- *   node. The revision of the successful write is the fencing token: each one is higher than all
- *   before it, and the store and the workers turn away what carries an older one.
- * - A lease counts from before its grant or renewal was sent, less the drift of the clocks. The
- *   store counts from when it carried the request out, which is later: this node stops first.
- * - A claim without an answer may have been carried out. The key is read back, and counts as ours
- *   only with our incarnation and our lease: an earlier run or an earlier claim matches neither.
- * - When the outcome stays unknown, the lease is revoked: the store deletes the key if it was
- *   written, and turns a write away that arrives later.
+ * - The key is claimed by compare-and-swap, only while absent or written by an earlier process of
+ *   this node. The revision of the successful write is the fencing token: tokens increase, and the
+ *   store and the workers reject requests with an older one.
+ * - The lease counts from before its grant or renewal was sent, less the clock drift. The store
+ *   counts from when it executed the request, which is later: this node stops first.
+ * - An unanswered claim may have been executed. The key is read back, and counts as this node's
+ *   only with its current incarnation and lease: no earlier process or claim has both.
+ * - If the outcome stays unknown, the lease is revoked: the store deletes the key if it was
+ *   written, and rejects the write if it arrives later.
  */
 
 import type { Log } from '../adapters/logging/log.js';
@@ -23,10 +23,10 @@
 import { LeaderLease } from './leader-lease.js';
 import { decodeLeader, LEADER_KEY } from './stored-records.js';
 
-/** How long one watch of the leader key is held open, in milliseconds. */
+/** How long the store holds one watch of the leader key open, in milliseconds. */
 const WATCH_HOLD_MS = 10_000;
 
-/** Pauses before a request is repeated, in milliseconds; each is drawn around its value. */
+/** Pauses before retries, in milliseconds; jitter is applied to each. */
 const RETRY_MS = {
   read: 250,
   campaignPaused: 200,
@@ -37,40 +37,39 @@
 
 const MAX_CLAIM_READ_BACKS = 5;
 
-/** The revision that a key must have when it is to be written only while absent. */
+/** Expected revision for a key that must be absent. */
 const ABSENT = 0 as Revision;
 
-/** Told of changes of this node's role, synchronously: nothing of the service runs in between. */
+/** Callbacks for role changes; called synchronously, before any other code of the service runs. */
 export interface LeaderElectionEvents {
-  /** This node leads, under this fencing token. */
+  /** This node has become the leader under this fencing token. */
   onElected(fencingToken: FencingToken, at: Instant): void;
-  /** This node does not lead any more. */
+  /** This node no longer leads. */
   onDeposed(): void;
 }
 
-/** What an election needs. */
 export interface LeaderElectionOptions {
   readonly node: NodeId;
   readonly store: KeyValueStore;
-  /** Length of the leader's lease, in milliseconds. */
+  /** Duration of the leader's lease, in milliseconds. */
   readonly leaseMs: number;
   readonly events: LeaderElectionEvents;
   readonly log: Log;
   readonly jitter: Jitter;
 }
 
-/** Campaigns for the leader key, keeps its lease, and knows who leads. */
+/** Campaigns for the leader key, renews its lease and tracks the current leader. */
 export class LeaderElection {
   /**
-   * Names this run of the process, so that what an earlier run of the node has claimed is not taken
-   * for ours. It is compared together with the lease's id.
+   * Identifies this process, so that a claim by an earlier process of this node is not taken for
+   * its own. It is compared together with the lease id.
    */
   readonly incarnation: string;
-  /** The token under which this node leads, or null. */
+  /** Token under which this node leads; null if it does not lead. */
   fencingToken: FencingToken | null = null;
-  /** The leader as last known, or null. */
+  /** Last known leader; null if unknown. */
   leaderNode: NodeId | null = null;
-  /** The highest fencing token of any leader that this node has heard of. */
+  /** Highest fencing token of any leader known to this node. */
   highestKnownToken = 0 as FencingToken;
   private readonly node: NodeId;
   private readonly store: KeyValueStore;
@@ -79,7 +78,7 @@
   private readonly log: Log;
   private readonly jitter: Jitter;
   private heldLease: LeaderLease | null = null;
-  /** Until then this node leaves the leader key to others. */
+  /** Time before which this node does not campaign. */
   private campaignNotBefore = 0;
   private isStopped = false;
 
@@ -93,17 +92,17 @@
     this.incarnation = `${Date.now()}-${process.hrtime.bigint()}`;
   }
 
-  /** Ends campaigns and renewals; the lease is left to expire, as if the process had ended. */
+  /** Stops campaigns and renewals; the lease is left to expire, as if the process had exited. */
   stop(): void {
     this.isStopped = true;
   }
 
-  /** Until when this leader's lease is surely alive; 0 for a node that does not lead. */
+  /** Time until which this leader's lease is certainly valid; 0 if this node does not lead. */
   get leaseValidUntil(): Instant {
     return this.heldLease?.validUntil ?? (0 as Instant);
   }
 
-  /** Follows the leader, and campaigns whenever there is none, until `stop`. */
+  /** Follows the current leader, and campaigns whenever there is none, until `stop`. */
   async run(): Promise<void> {
     while (!this.isStopped) {
       const leader = await this.store.get(LEADER_KEY);
@@ -123,14 +122,15 @@
   private async handleLeaderRecord(value: unknown, revision: Revision): Promise<void> {
     const leader = decodeLeader(value);
     if (leader?.node === this.node) {
-      // Left by an earlier run of this node, which is over. The revision guards a newer claim.
+      // Written by an earlier process of this node, which has ended: the key may be claimed.
+      // Requiring its revision protects a newer claim.
       await this.campaign(revision);
       return;
     }
     this.leaderNode = (leader?.node ?? null) as NodeId | null;
     this.highestKnownToken = revision as number as FencingToken;
     if (!(await this.awaitLeaderKeyDeletion(revision))) return;
-    // The watch has told of the deletion: reading the key again would lengthen the time without a
+    // The watch has reported the deletion: reading the key again would extend the time without a
     // leader by a round trip.
     this.leaderNode = null;
     if (this.mayCampaign()) await this.campaign(ABSENT);
@@ -140,7 +140,7 @@
     return steadyNow() >= this.campaignNotBefore;
   }
 
-  /** True when the key has been deleted and, as far as the watch tells, not been written since. */
+  /** Returns true if the last change that the watch reports is the key's deletion. */
   private async awaitLeaderKeyDeletion(since: Revision): Promise<boolean> {
     const result = await this.store.watch(LEADER_KEY, since, WATCH_HOLD_MS);
     if (result.kind === 'changes') {
@@ -151,7 +151,7 @@
     return false;
   }
 
-  /** Gives leadership up at once: a worker knows a higher token, or a fenced write was refused. */
+  /** Gives up leadership at once, as when a worker knows a higher token or a fenced write fails. */
   stepDown(): void {
     if (this.fencingToken === null) return;
     this.fencingToken = null;
@@ -161,7 +161,7 @@
     this.events.onDeposed();
   }
 
-  /** Takes a peer's word on who leads, where this node cannot read the key-value store itself. */
+  /** Accepts a leader with a higher token from a peer, while this node cannot read the store. */
   learnLeaderFromPeer(node: NodeId, fencingToken: FencingToken): void {
     if (fencingToken <= this.highestKnownToken) return;
     if (this.fencingToken !== null && fencingToken <= this.fencingToken) return;
@@ -170,13 +170,13 @@
     this.leaderNode = node;
   }
 
-  /** Steps down for a peer that the workers reach, and leaves it `pauseMs` to be elected. */
+  /** Steps down in favour of a peer that workers reach, and does not campaign for `pauseMs`. */
   resign(pauseMs: number): void {
     this.campaignNotBefore = steadyNow() + pauseMs;
     this.stepDown();
   }
 
-  /** Claims the leader key if it stands at `expected`, and leads until the lease has ended. */
+  /** Claims the leader key if its revision is `expected`, and leads until the lease has ended. */
   private async campaign(expected: Revision): Promise<void> {
     const lease = await LeaderLease.acquire({
       store: this.store,
@@ -189,7 +189,7 @@
       await sleep(this.jitter.around(RETRY_MS.grant));
       return;
     }
-    // Renewed from the start: the lease must not run out while the key is slow to be written.
+    // Renewed from the start: the lease must not expire while the claim is slow.
     const renewing = lease.keepRenewing();
     const token = await this.claimLeaderKey(lease.id, expected);
     if (token === null || lease.hasEnded) {
@@ -203,7 +203,7 @@
     if (!this.isStopped) await lease.revoke();
   }
 
-  /** The new fencing token, or null when the key was not written or the outcome stays unknown. */
+  /** Returns the fencing token; null if the key was not written or the outcome stays unknown. */
   private async claimLeaderKey(lease: LeaseId, expected: Revision): Promise<FencingToken | null> {
     const value = { node: this.node, life: this.incarnation, lease };
     const writes: Mutation[] = [{ put: LEADER_KEY, value, lease }];
@@ -213,7 +213,7 @@
     return result.kind === 'unknown' ? this.readBackClaim(lease) : null;
   }
 
-  /** Finds out whether an unanswered claim was carried out. */
+  /** Determines whether an unanswered claim was executed. */
   private async readBackClaim(lease: LeaseId): Promise<FencingToken | null> {
     for (let i = 0; i < MAX_CLAIM_READ_BACKS; i += 1) {
       const leader = await this.store.get(LEADER_KEY);
@@ -237,12 +237,12 @@
     this.heldLease = lease;
     this.leaderNode = this.node;
     this.highestKnownToken = fencingToken;
-    this.log.info({ fencingToken }, 'elected');
+    this.log.info({ fencingToken }, 'elected leader');
     this.events.onElected(fencingToken, steadyNow());
   }
 
   private handleLeaseExpired(lease: LeaderLease): void {
-    this.log.info({ fencingToken: this.fencingToken }, 'lease expired');
+    this.log.info({ fencingToken: this.fencingToken }, 'leader lease expired');
     if (this.heldLease === lease) this.stepDown();
   }
 }
--- a/src/service/leader-lease.ts
+++ b/src/service/leader-lease.ts
@@ -1,6 +1,6 @@
 /**
- * The lease on which the leader key hangs, counted so that this node never takes it for alive when
- * the key-value store does not.
+ * The lease to which the leader key is attached. Its validity is computed so that this node never
+ * considers it valid after the key-value store has let it expire.
  */
 
 import { sleep, steadyNow } from '../adapters/runtime/clock.js';
@@ -8,32 +8,31 @@
 import type { Instant } from '../core/model/time.js';
 import type { KeyValueStore, LeaseId } from '../ports/key-value-store.js';
 
-/** Clocks of this node and the store may drift apart by this share of the lease. */
+/** Maximum drift between the clocks of this node and the store, as a share of the lease. */
 const CLOCK_DRIFT = 0.001;
-/** Taken off the lease's length beyond the drift, in milliseconds. */
+/** Subtracted from the lease's duration in addition to the drift, in milliseconds. */
 const MARGIN_MS = 50;
-/** Renewals sent in the time of one lease. */
+/** Renewals sent per lease duration. */
 const RENEWALS_PER_LEASE = 4;
-/** Pause after a renewal that failed, in milliseconds; drawn around this value. */
+/** Pause after a failed renewal, in milliseconds; jitter is applied. */
 const RENEWAL_RETRY_MS = 150;
 
-/** How a renewal ended: `ended` when the lease is gone or given up; `failed` may be repeated. */
+/** Outcome of a renewal: `ended` if the lease has expired or is abandoned; `failed` is retried. */
 type RenewalOutcome = 'renewed' | 'ended' | 'failed';
 
-/** What a lease needs. */
 export interface LeaderLeaseOptions {
   readonly store: KeyValueStore;
   readonly leaseMs: number;
   readonly jitter: Jitter;
-  /** Once true, the lease is renewed no more. */
+  /** Renewals stop once this returns true. */
   readonly isStopped: () => boolean;
-  /** Called once, when the store says that the lease is gone. */
+  /** Called once, when the store reports that the lease has expired. */
   readonly onExpired: (lease: LeaderLease) => void;
 }
 
-/** One lease, from its grant until it has expired or is given up. */
+/** One lease, from its grant until it has expired or is abandoned. */
 export class LeaderLease {
-  /** Until when the store surely keeps it, on this node's clock. */
+  /** Time on this node's clock until which the store certainly keeps the lease. */
   validUntil: Instant;
   private isOver = false;
 
@@ -45,7 +44,7 @@
     this.validUntil = this.validityFrom(sentAt);
   }
 
-  /** Asks the store for a lease; null when it grants none now. */
+  /** Requests a lease from the store; returns null if none is granted. */
   static async acquire(options: LeaderLeaseOptions): Promise<LeaderLease | null> {
     const sentAt = steadyNow();
     const result = await options.store.grantLease(options.leaseMs);
@@ -53,8 +52,8 @@
   }
 
   /**
-   * Renews until the lease has ended. Renewals overlap: a slow answer holds up no later renewal, so
-   * that a store which takes seconds to answer does not cost the leader its lease.
+   * Renews until the lease has ended. Renewals overlap: a slow answer does not delay later ones, so
+   * that a store that takes seconds to answer does not cost the leader its lease.
    */
   async keepRenewing(): Promise<void> {
     const { leaseMs, jitter, isStopped } = this.options;
@@ -79,17 +78,17 @@
     }
   }
 
-  /** True once it has expired or been given up. */
+  /** True once the lease has expired or is abandoned. */
   get hasEnded(): boolean {
     return this.isOver;
   }
 
-  /** Gives the lease up on this node: renewals end. */
+  /** Stops renewals on this node, without revoking the lease. */
   abandon(): void {
     this.isOver = true;
   }
 
-  /** Gives the lease back to the store, which deletes what hangs on it. */
+  /** Revokes the lease at the store, which deletes the keys attached to it. */
   async revoke(): Promise<void> {
     await this.options.store.revokeLease(this.id);
   }
@@ -104,13 +103,13 @@
       return 'ended';
     }
     if (result.kind !== 'renewed') return 'failed';
-    // While the lease lives, nobody else can have claimed the key that hangs on it. Answers may
-    // come in any order: an older one must not shorten it.
+    // While the lease is valid, no other node can have claimed the key attached to it. Answers may
+    // arrive out of order: an older one must not shorten the validity.
     this.validUntil = Math.max(this.validUntil, this.validityFrom(sentAt)) as Instant;
     return 'renewed';
   }
 
-  /** Until when the lease is surely alive if its grant or renewal was sent at this moment. */
+  /** Time until which a lease is certainly valid whose grant or renewal was sent at `sentAt`. */
   private validityFrom(sentAt: Instant): Instant {
     return (sentAt + this.options.leaseMs * (1 - CLOCK_DRIFT) - MARGIN_MS) as Instant;
   }
--- a/src/service/leader-term.ts
+++ b/src/service/leader-term.ts
@@ -1,7 +1,7 @@
 /**
- * One term of leadership: its lifecycle, its authority and the wiring of its parts. The parts
- * recover the state, watch jobs and machines, answer workers and carry effects out; the state
- * itself belongs to the command loop.
+ * One term of leadership: its lifecycle, its authority and the wiring of its components. These
+ * recover the state, watch jobs and machines, answer workers and execute effects; the state itself
+ * is owned by the command loop.
  */
 import { sleep, steadyNow } from '../adapters/runtime/clock.js';
 import { type CoreState, createCore } from '../core/core-state.js';
@@ -28,24 +28,23 @@
 import { type HeartbeatCoverage, WorkerHeartbeats } from './worker-heartbeats.js';
 import { WriteShare } from './write-share.js';
 
-/** Attempts on one machine at most: its heartbeat must fit a request of 64 KiB. */
+/** Maximum attempts on one machine: its heartbeat must fit in a request of 64 KiB. */
 const MAX_ATTEMPTS_PER_MACHINE = 400;
 const TICK_INTERVAL_MS = 250;
 
-/** What a term is started with. */
 export interface LeaderTermOptions {
   readonly dependencies: Dependencies;
   readonly fencingToken: FencingToken;
   /** When this node was elected. */
   readonly acquiredAt: Instant;
   readonly election: LeaderElection;
-  /** Called once a job's end is stored. */
+  /** Called once a job's completion is stored. */
   readonly onJobEnded: (id: JobId, completion: JobCompletion) => void;
   /** True while neither the key-value store nor any peer answers this node. */
   readonly isIsolated: () => boolean;
 }
 
-/** The core of a new term: empty until the stored state is recovered. */
+/** Creates the core of a new term, which is empty until the stored state is recovered. */
 const createTermCore = (
   { dependencies, fencingToken, acquiredAt }: LeaderTermOptions,
   graceAfterLeaseLossMs: Millis,
@@ -75,14 +74,14 @@
   return core;
 };
 
-/** The leader's side of a controller, from its election until it is deposed. */
+/** The leader's components of a controller, from its election until it is deposed. */
 export class LeaderTerm implements TermContext {
   readonly fencingToken: FencingToken;
   /** Owns the leader's state. */
   readonly commandLoop: CommandLoop;
   private readonly dependencies: Dependencies;
   private readonly election: LeaderElection;
-  /** For how long workers may be kept alive once the leader's lease has run out. */
+  /** How long workers may be kept alive after the leader's lease has expired. */
   private readonly graceAfterLeaseLossMs: Millis;
   private readonly replies = new TermReplies();
   private readonly batchWriter: BatchWriter;
@@ -140,12 +139,12 @@
     });
   }
 
-  /** Recovers the stored state; the watches start when that is done. */
+  /** Starts recovering the stored state; the term's loops start afterwards. */
   start(): void {
     this.dependencies.runInBackground('state-recovery', () => this.recoverState());
   }
 
-  /** Ends the term: its loops stop, and whoever still waits is answered as timed out. */
+  /** Ends the term: its loops stop, and waiting callers are answered as timed out. */
   stop(): void {
     this.hasEnded = true;
     this.commandLoop.stop();
@@ -158,7 +157,7 @@
     return !this.hasEnded;
   }
 
-  /** `lead` while the lease is surely valid, then `keep-alive` for a bounded time, then `none`. */
+  /** `lead` while the lease is certainly valid, then `keep-alive` for a grace time, then `none`. */
   authority(): Authority {
     if (!this.isCurrent || this.election.fencingToken !== this.fencingToken) return 'none';
     const now = steadyNow();
@@ -193,35 +192,35 @@
     }
   }
 
-  /** Submits a job that this node has just stored. */
+  /** Submits a job whose record this node has just stored. */
   addAdmittedJob(record: JobRecord, revision: Revision): void {
     this.commandLoop.submit(this.jobIntake.commandForJob(record, revision));
   }
 
-  /** Submits a job that the key-value store holds and this leader did not know yet. */
+  /** Submits a stored job that this leader did not know yet. */
   addStoredJob(key: string, value: unknown, revision: Revision): void {
     for (const command of this.jobIntake.commandsForRecords([{ key, value, revision }]))
       this.commandLoop.submit(command);
   }
 
-  /** Cancels a job, and waits for its end to be stored, for a bounded time. */
+  /** Cancels a job, and waits for a bounded time until its completion is stored. */
   cancelJob(id: JobId): Promise<CancellationOutcome> {
     return this.replies.cancellationReplies.request((ticket) =>
       this.commandLoop.submit({ kind: 'cancel-job', job: id, ticket }),
     );
   }
 
-  /** Decides how a worker's heartbeat is answered. */
+  /** Decides the answer to a worker's heartbeat. */
   handleHeartbeat(heartbeat: Heartbeat): Promise<HeartbeatDecision> {
     return this.workerHeartbeats.handle(heartbeat);
   }
 
-  /** How many workers this leader hears of when they are suspiciously few; null otherwise. */
+  /** The heartbeat coverage if it is suspiciously low, otherwise null. */
   lowHeartbeatCoverage(): HeartbeatCoverage | null {
     return this.workerHeartbeats.lowCoverage();
   }
 
-  /** An extension's answer to an operator's call, or null when none comes in time. */
+  /** An extension's answer to an operator's call; null without authority or after a time-out. */
   handleOperatorCall(extension: string, call: OperatorCall): Promise<OperatorAnswer | null> {
     if (this.authority() !== 'lead') return Promise.resolve(null);
     return this.replies.operatorReplies.request((ticket) =>
--- a/src/service/machine-poller.ts
+++ b/src/service/machine-poller.ts
@@ -1,18 +1,18 @@
-/** Polls the cloud for its machines and machine types while this node leads. */
+/** Polls the cloud for machines and machine types while this node leads. */
 import { sleep, steadyNow } from '../adapters/runtime/clock.js';
 import type { CommandLoop } from './command-loop.js';
 import type { Dependencies } from './dependencies.js';
 import type { TermContext } from './term-context.js';
 
-/** Least time between two polls, in milliseconds; large fleets are polled less often. */
+/** Minimum interval between polls, in milliseconds; large fleets are polled less often. */
 const POLL_INTERVAL_MS = {
   machines: 4000,
   machineTypes: 60_000,
 } as const;
 
-/** Submits what the cloud lists for as long as the term lasts. */
+/** Submits the cloud's lists to the command loop during one leader term. */
 export class MachinePoller {
-  /** When the machine types were last answered; 0 for never in this term. */
+  /** When the machine types were last received; 0 if not yet in this term. */
   private machineTypesReadAt = 0;
 
   constructor(
@@ -34,8 +34,8 @@
   }
 
   private async pollMachines(): Promise<void> {
-    // Taken before the request: ages count back from here, and only a machine provisioned well
-    // before may be judged by its absence from the list.
+    // Taken before the request: ages are relative to this time, and only a machine provisioned well
+    // before it may be judged by its absence from the list.
     const requestedAt = steadyNow();
     const machines = await this.dependencies.cloud.listMachines();
     if (machines) this.commandLoop.submit({ kind: 'machines-listed', requestedAt, machines });
--- a/src/service/machine-type-discovery.ts
+++ b/src/service/machine-type-discovery.ts
@@ -1,4 +1,4 @@
-/** Finds the machine types that the cloud offers, without which no submission can be judged. */
+/** Discovers the cloud's machine types, without which no submission can be validated. */
 import { sleep } from '../adapters/runtime/clock.js';
 import type { Revision } from '../core/model/ids.js';
 import type { MachineType } from '../core/model/machine.js';
@@ -9,7 +9,7 @@
 
 /**
  * Reads the machine types from the key-value store or the cloud, whichever answers first, so that a
- * node that starts while one of them is away need not wait for it.
+ * node can start while one of them is unavailable.
  */
 export class MachineTypeDiscovery {
   private isStopped = false;
@@ -23,7 +23,7 @@
     this.isStopped = true;
   }
 
-  /** Ends once the types are known. */
+  /** Returns once the types are known, or after `stop`. */
   async run(): Promise<void> {
     const { dependencies } = this;
     while (!this.isStopped && !dependencies.machineTypes) {
@@ -49,7 +49,7 @@
     return stored;
   }
 
-  /** Types that are larger than a value may be are left out: the cloud tells them too. */
+  /** A list above the store's value limit is not stored: the cloud provides it as well. */
   private fitsStoredValue(types: readonly MachineType[]): boolean {
     const { maxValueBytes } = this.dependencies.settings.keyValueStoreLimits;
     return Buffer.byteLength(JSON.stringify(types)) <= maxValueBytes;
--- a/src/service/pending-replies.ts
+++ b/src/service/pending-replies.ts
@@ -1,11 +1,10 @@
-/** Callers that wait for the core to reply, each under a ticket and for a bounded time. */
+/** Callers that wait for a reply of the core, each with a ticket and for a bounded time. */
 import type { ReplyTicket } from '../core/model/ids.js';
 
-/** Numbers reply tickets. One counter serves every kind of caller, so a ticket names one caller. */
+/** Issues reply tickets. One counter serves all kinds of callers, so that tickets are unique. */
 export class TicketCounter {
   private next = 1;
 
-  /** The next unused ticket. */
   issue(): ReplyTicket {
     const ticket = this.next as ReplyTicket;
     this.next += 1;
@@ -13,18 +12,18 @@
   }
 }
 
-/** The callers that wait for one kind of reply. Every caller is answered: no promise stays open. */
+/** Callers that wait for one kind of reply. Each gets a reply: no promise stays pending. */
 export class PendingReplies<T> {
   private readonly resolvers = new Map<ReplyTicket, (reply: T) => void>();
 
   constructor(
     private readonly tickets: TicketCounter,
     private readonly timeoutMs: number,
-    /** The reply to callers whom nobody has answered after `timeoutMs`, or at `close`. */
+    /** Reply to callers that have none after `timeoutMs` milliseconds, or at `close`. */
     private readonly timeoutReply: T,
   ) {}
 
-  /** Passes a new ticket to `send` and waits for the reply that is settled under it. */
+  /** Passes a new ticket to `send` and returns the reply that is settled under it. */
   request(send: (ticket: ReplyTicket) => void): Promise<T> {
     const ticket = this.tickets.issue();
     return new Promise((resolve) => {
@@ -37,14 +36,14 @@
     });
   }
 
-  /** Replies to the caller under this ticket, unless it has been answered before. */
+  /** Replies to the caller with this ticket, unless it already has a reply. */
   settle(ticket: ReplyTicket, reply: T): void {
     const resolve = this.resolvers.get(ticket);
     this.resolvers.delete(ticket);
     resolve?.(reply);
   }
 
-  /** Answers all that still wait with the time-out's reply: the core will not answer any more. */
+  /** Gives all waiting callers the time-out reply: the core will not answer any more. */
   close(): void {
     for (const ticket of [...this.resolvers.keys()]) this.settle(ticket, this.timeoutReply);
   }
--- a/src/service/segment-splitting.ts
+++ b/src/service/segment-splitting.ts
@@ -1,4 +1,4 @@
-/** Splits a segment that the key-value store takes in no value of its own. */
+/** Splits a ledger segment that is too large for one value of the key-value store. */
 
 import type { SegmentKey } from '../core/model/ids.js';
 import type { StoreOperation } from '../core/model/ledger-record.js';
@@ -42,7 +42,7 @@
   ];
 };
 
-/** Two segments that hold together what one did, with keys of their own; null for a single row. */
+/** Returns two segments with new keys that divide the rows; null if these cannot be split. */
 export const splitSegment = (segment: SegmentWrite): [SegmentWrite, SegmentWrite] | null => {
   const rows = splitRows(segment);
   if (!rows) return null;
--- a/src/service/state-recovery.ts
+++ b/src/service/state-recovery.ts
@@ -1,7 +1,7 @@
 /**
- * Recovery of the leader's state from the key-value store, at the start of a term. Only a leader
- * writes the ledger, and an earlier leader's writes are refused since the leader key has changed:
- * what is read here is complete. Jobs accepted meanwhile reach the leader by the job watch.
+ * Recovers the leader's state from the key-value store at the start of a term. Only a leader writes
+ * the ledger, and an earlier leader's writes are refused since the leader key has changed: the
+ * ledger read here is complete. Jobs accepted meanwhile reach the leader through the job watch.
  */
 
 import type { Command } from '../core/model/command.js';
@@ -20,15 +20,14 @@
 } from './stored-records.js';
 import type { TermContext } from './term-context.js';
 
-/** What a new leader starts from. */
+/** The state from which a new leader starts. */
 export interface RecoveredState {
-  /** To be applied before any other command, in this order. */
+  /** Must be applied in this order, before any other command. */
   readonly commands: readonly Command[];
-  /** Where the job watch begins: it misses no job that was accepted since the jobs were listed. */
+  /** Revision at which the job watch starts: it reports all jobs accepted since the listing. */
   readonly jobsRevision: Revision;
 }
 
-/** What a recovery needs. */
 export interface StateRecoveryOptions {
   readonly dependencies: Pick<
     Dependencies,
@@ -36,15 +35,15 @@
   >;
   readonly term: TermContext;
   readonly jobIntake: JobIntake;
-  /** The batch writer's; filled with the revision of every key that is read. */
+  /** The batch writer's map; the recovery enters the revision of every key that it reads. */
   readonly keyRevisions: Map<string, Revision>;
 }
 
-/** Reads jobs, ledger and extensions' records, and turns them into commands. */
+/** Reads jobs, ledger and extension records, and converts them into commands. */
 export class StateRecovery {
   constructor(private readonly options: StateRecoveryOptions) {}
 
-  /** The stored state, or null when the term has ended before all of it was read. */
+  /** Returns the stored state, or null if the term ended before all of it was read. */
   async recover(): Promise<RecoveredState | null> {
     const { dependencies, term, jobIntake } = this.options;
     const [jobs, ledger, firstVersionLedger] = await Promise.all([
@@ -75,7 +74,7 @@
     return listPrefix(this.options.dependencies, this.options.term, prefix);
   }
 
-  /** Progress goes before attempts: an attempt of a task that is done is not pursued. */
+  /** Adds progress before attempts, so that an attempt of a finished task is not resumed. */
   private addLedger(items: readonly StoredItem[], commands: Command[]): void {
     const attempts: Command[] = [];
     for (const { key, value, revision } of items) {
@@ -83,7 +82,10 @@
       const segment = key as SegmentKey;
       const record = decodeSegment(value);
       if (!record) {
-        this.options.dependencies.log.error({ key }, 'unreadable record');
+        this.options.dependencies.log.error(
+          { key },
+          'unreadable ledger record; placements wait until all worker leases have expired',
+        );
         commands.push({ kind: 'unreadable-segment', segment });
         continue;
       }
--- a/src/service/store-listing.ts
+++ b/src/service/store-listing.ts
@@ -1,4 +1,4 @@
-/** Lists a prefix of the key-value store for as long as it takes to be answered. */
+/** Lists a prefix of the key-value store, retrying until it answers. */
 
 import { sleep } from '../adapters/runtime/clock.js';
 import type { Revision } from '../core/model/ids.js';
@@ -8,13 +8,13 @@
 
 const RETRY_MS = 200;
 
-/** All items under a prefix; a watch from the revision misses no change after them. */
+/** All items under a prefix; a watch from `revision` on misses no later change. */
 export interface StoreListing {
   readonly items: readonly StoredItem[];
   readonly revision: Revision;
 }
 
-/** Lists a prefix, again after each failure; null once the term has ended. */
+/** Lists a prefix, retrying after each failure; returns null once the term has ended. */
 export const listPrefix = async (
   { batchStore, jitter }: Pick<Dependencies, 'batchStore' | 'jitter'>,
   term: TermContext,
--- a/src/service/stored-records.ts
+++ b/src/service/stored-records.ts
@@ -1,9 +1,9 @@
 /**
- * What the key-value store holds, and under which keys. Each kind of record has one codec, where
- * its stored names stand; every record that is read back is checked.
+ * Records in the key-value store, and their keys. Each kind of record has one codec, which defines
+ * its stored field names; every record is validated when it is decoded.
  */
 
-/** Completions of jobs. */
+/** Job completions. */
 export {
   decodeCompletion,
   encodeCompletion,
@@ -26,7 +26,7 @@
 } from './stored-records/keys.js';
 /** The leader. */
 export { decodeLeader, type LeaderRecord } from './stored-records/leader-record.js';
-/** Machine types of the cloud. */
+/** The cloud's machine types. */
 export { decodeMachineTypes } from './stored-records/machine-types-record.js';
 /** Segments of the placement ledger. */
 export {
--- a/src/service/term-context.ts
+++ b/src/service/term-context.ts
@@ -1,12 +1,12 @@
-/** What the parts of a leader's term may ask of it. */
+/** The interface of a leader term to its components. */
 import type { Authority } from '../core/model/effect.js';
 import type { FencingToken } from '../core/model/ids.js';
 
-/** The term as its parts see it; the leader's term itself is the only one that changes it. */
+/** A leader term as its components see it; only `LeaderTerm` itself changes it. */
 export interface TermContext {
   readonly fencingToken: FencingToken;
-  /** False once the term has ended: its loops end, and late answers are dropped. */
+  /** False once the term has ended: its loops stop, and late answers are discarded. */
   readonly isCurrent: boolean;
-  /** What the leader may do at this moment. It is asked again whenever something goes out. */
+  /** What the leader may do at this moment; checked again whenever a message is sent. */
   authority(): Authority;
 }
--- a/src/service/worker-heartbeats.ts
+++ b/src/service/worker-heartbeats.ts
@@ -1,4 +1,4 @@
-/** Workers' heartbeats on the leader: who is answered, and with what. */
+/** Decides how the leader answers workers' heartbeats. */
 import type { Settings } from '../adapters/configuration/settings.js';
 import type { Log } from '../adapters/logging/log.js';
 import { steadyNow } from '../adapters/runtime/clock.js';
@@ -12,31 +12,30 @@
 import type { TermContext } from './term-context.js';
 import type { TermReplies } from './term-replies.js';
 
-/** While this node is isolated, a worker is redirected once within this share of its lease. */
+/** While isolated, this node redirects a worker at most once in this share of its lease. */
 const REDIRECT_LEASE_SHARE = 0.75;
 
-/** When a leader takes the workers that it hears of for suspiciously few. */
+/** Criteria for suspiciously low heartbeat coverage. */
 const LOW_COVERAGE = {
-  /** A worker is heard of if its heartbeat came within this many intervals. */
+  /** A heartbeat is recent within a window of this many heartbeat intervals. */
   recentIntervals: 2.5,
-  /** Nothing is said before this many times that span: workers have yet to find the leader. */
+  /** Windows after the election without evaluation: workers must first find the leader. */
   settlingWindows: 2,
-  /** A single worker may have failed itself. */
+  /** Minimum of known workers: a single silent one may itself have failed. */
   minKnown: 2,
-  /** Suspicious is less than one in this many. */
+  /** Coverage is low if less than one in this many known workers is recent. */
   divisor: 3,
 } as const;
 
 const REDIRECT: HeartbeatDecision = { kind: 'redirect', leader: null };
 const UNAVAILABLE: HeartbeatDecision = { kind: 'unavailable' };
 
-/** How many of the known workers sent a heartbeat recently. */
+/** How many of the known workers have sent a heartbeat recently. */
 export interface HeartbeatCoverage {
   readonly recent: number;
   readonly known: number;
 }
 
-/** What the handling of heartbeats needs. */
 export interface WorkerHeartbeatsOptions {
   readonly workers: Settings['workers'];
   readonly log: Log;
@@ -48,13 +47,13 @@
   readonly isIsolated: () => boolean;
 }
 
-/** Answers heartbeats during one term, and owns which workers were redirected while isolated. */
+/** Answers heartbeats during one term, and tracks workers redirected while isolated. */
 export class WorkerHeartbeats {
   private readonly redirectedAt = new Map<MachineId, Instant>();
 
   constructor(private readonly options: WorkerHeartbeatsOptions) {}
 
-  /** Decides a heartbeat's answer; it waits for the core, for a bounded time. */
+  /** Decides the answer to a heartbeat; waits for the core for a bounded time. */
   async handle(heartbeat: Heartbeat): Promise<HeartbeatDecision> {
     const { term, replies, commandLoop } = this.options;
     if (heartbeat.fencingToken > term.fencingToken) return this.handleHigherToken(heartbeat);
@@ -66,10 +65,13 @@
     return this.decisionForCommands(commands);
   }
 
-  /** The worker has heard from a later leader. */
+  /** The worker knows a later leader, so this node steps down. */
   private handleHigherToken({ machine, fencingToken }: Heartbeat): HeartbeatDecision {
     const { log, election } = this.options;
-    log.info({ machineId: machine, fencingToken }, 'higher fencing token in heartbeat');
+    log.info(
+      { machineId: machine, fencingToken },
+      'higher fencing token in heartbeat; stepping down',
+    );
     election.stepDown();
     return REDIRECT;
   }
@@ -87,8 +89,8 @@
 
   /**
    * Without the key-value store and all peers, this node is most likely the one that is cut off,
-   * and another leads or soon will: it holds no worker that can reach that one. A worker that is
-   * back well within its lease has found no leader, and is kept alive here.
+   * and another leads or soon will: workers are redirected so that they can find that leader. A
+   * worker that returns well within its lease has found no leader, and is kept alive here.
    */
   private shouldRedirectWhileIsolated(machine: MachineId): boolean {
     const now = steadyNow();
@@ -100,8 +102,8 @@
   }
 
   /**
-   * The process may have stood still since the commands were decided: the authority is looked at
-   * again as they go out. Without the right to lead only kills do: they start nothing.
+   * The process may have been suspended since the commands were decided: the authority is checked
+   * again when they are sent. In `keep-alive` only kills are sent, since they start nothing.
    */
   private decisionForCommands(commands: readonly WorkerCommand[]): HeartbeatDecision {
     const { term } = this.options;
@@ -118,7 +120,7 @@
     }
   }
 
-  /** How many workers the leader hears of when they are suspiciously few; null otherwise. */
+  /** The heartbeat coverage if it is suspiciously low, otherwise null. */
   lowCoverage(): HeartbeatCoverage | null {
     const { core } = this.options.commandLoop;
     const now = steadyNow();
--- a/src/service/write-share.ts
+++ b/src/service/write-share.ts
@@ -1,28 +1,28 @@
-/** How the store's write limit is divided between admissions of jobs and the leader's batches. */
+/** Divides the store's write limit between job admissions and the leader's batches. */
 import { steadyNow } from '../adapters/runtime/clock.js';
 import type { Instant } from '../core/model/time.js';
 import type { Dependencies } from './dependencies.js';
 
-/** The batches' share of the write limit at least, so that users' admissions go first. */
+/** Minimum share of the write limit for batches, low as users' admissions have priority. */
 export const MIN_BATCH_WRITE_SHARE = 0.4;
-/** The batches' share at most, while few jobs come in. */
+/** Maximum share for batches, while few jobs arrive. */
 const MAX_BATCH_WRITE_SHARE = 0.85;
-/** Admissions are counted over this long. */
+/** Period over which admissions are counted. */
 const ADMISSION_WINDOW_MS = 2000;
 
-/** Gives the leader's batches what recent admissions leave of the write limit. */
+/** Gives the leader's batches the part of the write rate that recent admissions leave. */
 export class WriteShare {
-  /** When jobs came in within the window. */
+  /** Arrival times of jobs within the window. */
   private arrivals: Instant[] = [];
 
   constructor(private readonly dependencies: Pick<Dependencies, 'batchStore' | 'settings'>) {}
 
-  /** Counts a job that has come in now. */
+  /** Counts a job that arrived now. */
   recordArrival(): void {
     this.arrivals.push(steadyNow());
   }
 
-  /** Sets the batches' rate by the jobs that came in within the window. */
+  /** Sets the batches' write rate by the jobs that arrived within the window. */
   adjust(): void {
     const now = steadyNow();
     this.arrivals = this.arrivals.filter((arrivedAt) => now - arrivedAt < ADMISSION_WINDOW_MS);
