--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -129,7 +129,7 @@
     endedTerm?.stop();
   }
 
-  /** False while machine types are unknown, or neither the key-value store nor a peer is reached. */
+  /** False without machine types, or while neither store nor peers answer: it can serve nobody. */
   isReady(): boolean {
     return this.dependencies.machineTypes !== null && !this.peerMonitor.isIsolated();
   }
