--- a/src/adapters/key-value-store/key-value-store-client.ts
+++ b/src/adapters/key-value-store/key-value-store-client.ts
@@ -78,7 +78,7 @@
     return this.rates.isLowered;
   }
 
-  scaleWrites(scale: number): void {
+  scaleWriteRate(scale: number): void {
     this.rates.scaleWrites(scale);
   }
 
--- a/src/adapters/peers/peer-client.ts
+++ b/src/adapters/peers/peer-client.ts
@@ -1,7 +1,7 @@
 /** Asks another controller, over one connection that is opened when there is a question. */
 import { Socket } from 'node:net';
 import type { NodeId } from '../../core/model/ids.js';
-import type { Peer, PeerQuestion } from '../../ports/peer.js';
+import type { Peer, PeerRequest } from '../../ports/peer.js';
 import type { Endpoint } from '../configuration/settings.js';
 import { steadyNow } from '../runtime/clock.js';
 import { encodeFrame, FrameDecoder } from './frames.js';
@@ -26,7 +26,7 @@
     private readonly endpoint: Endpoint,
   ) {}
 
-  ask(question: PeerQuestion, timeoutMs: number): Promise<unknown> {
+  request(question: PeerRequest, timeoutMs: number): Promise<unknown> {
     if (!this.socket && steadyNow() < this.reconnectAt) return Promise.resolve(undefined);
     if (this.unanswered.size >= MAX_UNANSWERED) return Promise.resolve(undefined);
     const socket = this.connect();
--- a/src/adapters/peers/peer-server.ts
+++ b/src/adapters/peers/peer-server.ts
@@ -1,6 +1,6 @@
 /** Answers the questions of other controllers. */
 import { createServer, type Server, type Socket } from 'node:net';
-import type { AnswerPeer } from '../../ports/peer.js';
+import type { HandlePeerRequest } from '../../ports/peer.js';
 import type { Endpoint } from '../configuration/settings.js';
 import { encodeFrame, FrameDecoder } from './frames.js';
 import { encodeAnswer, parseQuestion } from './question-codec.js';
@@ -14,7 +14,7 @@
 const answerMessage = async (
   socket: Socket,
   message: unknown,
-  answerPeer: AnswerPeer,
+  answerPeer: HandlePeerRequest,
   onDropped: OnDroppedMessage,
 ): Promise<void> => {
   const parsed = parseQuestion(message);
@@ -28,7 +28,7 @@
 
 const handleConnection = (
   socket: Socket,
-  answerPeer: AnswerPeer,
+  answerPeer: HandlePeerRequest,
   onDropped: OnDroppedMessage,
 ): void => {
   const decoder = new FrameDecoder();
@@ -52,7 +52,7 @@
 /** Listens for peers; a message that cannot be answered is dropped without harm to the others. */
 export const servePeers = (
   endpoint: Endpoint,
-  answerPeer: AnswerPeer,
+  answerPeer: HandlePeerRequest,
   onDropped: OnDroppedMessage,
 ): Server => {
   const server = createServer((socket) => handleConnection(socket, answerPeer, onDropped));
--- a/src/adapters/peers/question-codec.ts
+++ b/src/adapters/peers/question-codec.ts
@@ -1,6 +1,6 @@
 /** Questions and answers between controllers as they are sent: each pair shares a number `n`. */
 import * as v from 'valibot';
-import type { PeerQuestion } from '../../ports/peer.js';
+import type { PeerRequest } from '../../ports/peer.js';
 
 const sequenceNumber = v.pipe(v.number(), v.integer());
 const jobId = v.pipe(v.string(), v.regex(/^job-\d{1,18}$/));
@@ -26,7 +26,7 @@
 /** A question as it came in; its answer goes back under the same number. */
 export interface NumberedQuestion {
   readonly n: number;
-  readonly question: PeerQuestion;
+  readonly question: PeerRequest;
 }
 
 /** An answer as it came in. */
@@ -37,7 +37,7 @@
   const result = v.safeParse(questionSchema, message);
   if (!result.success) return null;
   const { n, ...question } = result.output;
-  return { n, question: question as PeerQuestion };
+  return { n, question: question as PeerRequest };
 };
 
 /** The message as an answer, or null when it has no known form. */
@@ -47,7 +47,7 @@
 };
 
 /** The question as a message; `n` stands first. */
-export const encodeQuestion = (n: number, question: PeerQuestion) => ({ n, ...question });
+export const encodeQuestion = (n: number, question: PeerRequest) => ({ n, ...question });
 
 /** The answer to the question of the same number as a message. */
 export const encodeAnswer = (n: number, answer: unknown) => ({ n, is: answer });
--- a/src/core/fleet/fleet-management.ts
+++ b/src/core/fleet/fleet-management.ts
@@ -8,13 +8,13 @@
 import type { Instant } from '../model/time.js';
 import { planDeletions } from './deletions.js';
 import { detectLostMachines } from './loss-detection.js';
-import { evictBeforeReclaim, scaleInIdle } from './scale-in.js';
+import { evictBeforeReclaim, scaleInIdleMachines } from './scale-in.js';
 import { planScaleOut } from './scale-out.js';
 
 /** Manages the fleet once; the effects delete and provision machines. */
 export const manageFleet = (state: CoreState, now: Instant): Effect[] => {
   detectLostMachines(state, now);
   for (const machine of state.machines.values()) evictBeforeReclaim(machine, now);
-  scaleInIdle(state, now);
+  scaleInIdleMachines(state, now);
   return [...planDeletions(state, now), ...planScaleOut(state, now)];
 };
--- a/src/core/fleet/loss-detection.ts
+++ b/src/core/fleet/loss-detection.ts
@@ -11,9 +11,9 @@
 import { isLiveReplica } from '../scheduling/services.js';
 
 /** Silent machines that are never taken for a mass outage, however small the fleet. */
-const MASS_SILENCE_MIN_MACHINES = 2;
+const MASS_OUTAGE_MIN_MACHINES = 2;
 /** More silent machines than this share of the fleet, its usual headroom, get time to come back. */
-const MASS_SILENCE_SHARE = 0.2;
+const MASS_OUTAGE_SHARE = 0.2;
 /** With more than this share of the fleet silent, this leader is more likely cut off than they. */
 const LEADER_ISOLATION_SHARE = 0.6;
 /**
@@ -21,50 +21,51 @@
  * a lost reply and a new connection take.
  */
 const REPLICA_MISSED_HEARTBEATS = 2.5;
-const REPLICA_SILENCE_MIN_MS = 10_000;
+const REPLICA_TIMEOUT_MIN_MS = 10_000;
 /** Worker leases that silent machines are given to come back when many are silent at once. */
-const MASS_SILENCE_LEASES = 2;
+const MASS_OUTAGE_TIMEOUT_LEASES = 2;
 
 /** How long machines may be silent before they are lost, in milliseconds. */
-interface SilenceLimits {
+interface HeartbeatTimeouts {
   /** For machines with replicas. */
   readonly replicaMs: number;
   /** For all others. */
-  readonly usualMs: number;
+  readonly defaultMs: number;
   /** So many are silent that this leader is more likely cut off. */
-  readonly isLeaderSuspect: boolean;
+  readonly isLeaderLikelyIsolated: boolean;
 }
 
 /** A machine from which heartbeats are expected: it has sent one, or the ledger has work on it. */
 const isHeartbeatExpected = (machine: Machine): boolean =>
   machine.hasReported || machine.placements.size > 0;
 
-const measureSilenceLimits = (state: CoreState, now: Instant): SilenceLimits => {
+const computeHeartbeatTimeouts = (state: CoreState, now: Instant): HeartbeatTimeouts => {
   const { heartbeatIntervalMs, workerLeaseMs, policy } = state.config;
   const limitMs = policy.missedHeartbeatLimit * heartbeatIntervalMs;
-  let silentMachines = 0;
-  let expected = 0;
+  let overdueMachines = 0;
+  let expectedMachines = 0;
   for (const machine of state.machines.values()) {
     // A new leader knows some machines from the ledger alone. They count too: those that a cut-off
     // former leader still holds would otherwise all be replaced after a few heartbeat intervals.
     if (!isHeartbeatExpected(machine)) continue;
-    expected += 1;
+    expectedMachines += 1;
     // Counted at half the limit: of machines that all fall silent within one heartbeat interval,
     // none may be deleted before the others are counted.
-    if (now - machine.lastHeartbeatAt > limitMs / 2) silentMachines += 1;
+    if (now - machine.lastHeartbeatAt > limitMs / 2) overdueMachines += 1;
   }
   // Many at once are more likely cut off or hanging than dead, or the fault is this leader's: they
   // get time to come back, since a replacement boots first. The cloud lists the dead as failed.
-  const isMassSilence =
-    silentMachines > Math.max(MASS_SILENCE_MIN_MACHINES, expected * MASS_SILENCE_SHARE);
+  const isMassOutage =
+    overdueMachines > Math.max(MASS_OUTAGE_MIN_MACHINES, expectedMachines * MASS_OUTAGE_SHARE);
   return {
     replicaMs: Math.min(
       limitMs,
-      Math.max(REPLICA_MISSED_HEARTBEATS * heartbeatIntervalMs, REPLICA_SILENCE_MIN_MS),
+      Math.max(REPLICA_MISSED_HEARTBEATS * heartbeatIntervalMs, REPLICA_TIMEOUT_MIN_MS),
     ),
-    usualMs: isMassSilence ? MASS_SILENCE_LEASES * workerLeaseMs : limitMs,
-    isLeaderSuspect:
-      silentMachines > Math.max(MASS_SILENCE_MIN_MACHINES, expected * LEADER_ISOLATION_SHARE),
+    defaultMs: isMassOutage ? MASS_OUTAGE_TIMEOUT_LEASES * workerLeaseMs : limitMs,
+    isLeaderLikelyIsolated:
+      overdueMachines >
+      Math.max(MASS_OUTAGE_MIN_MACHINES, expectedMachines * LEADER_ISOLATION_SHARE),
   };
 };
 
@@ -72,20 +73,24 @@
  * A replica is missed at once, and machines with replicas are few: replacing them is no mass
  * deletion. Not where this leader is suspect: there the replicas most likely run.
  */
-const silenceLimitMs = (machine: Machine, limits: SilenceLimits): number =>
-  !limits.isLeaderSuspect &&
+const heartbeatTimeoutMs = (machine: Machine, timeouts: HeartbeatTimeouts): number =>
+  !timeouts.isLeaderLikelyIsolated &&
   machine.hasReported &&
   [...machine.placements.values()].some(isLiveReplica)
-    ? limits.replicaMs
-    : limits.usualMs;
+    ? timeouts.replicaMs
+    : timeouts.defaultMs;
 
-const isSilent = (machine: Machine, limits: SilenceLimits, now: Instant): boolean => {
-  const silenceMs = now - machine.lastHeartbeatAt;
+const hasHeartbeatTimedOut = (
+  machine: Machine,
+  timeouts: HeartbeatTimeouts,
+  now: Instant,
+): boolean => {
+  const heartbeatAgeMs = now - machine.lastHeartbeatAt;
   // The replicas' limit is the shortest: most machines are within it and need no further look.
   return (
     isHeartbeatExpected(machine) &&
-    silenceMs > limits.replicaMs &&
-    silenceMs > silenceLimitMs(machine, limits)
+    heartbeatAgeMs > timeouts.replicaMs &&
+    heartbeatAgeMs > heartbeatTimeoutMs(machine, timeouts)
   );
 };
 
@@ -101,9 +106,9 @@
 
 /** Marks machines that miss heartbeats as lost, and releases tasks whose lease has expired. */
 export const detectLostMachines = (state: CoreState, now: Instant): void => {
-  const limits = measureSilenceLimits(state, now);
+  const timeouts = computeHeartbeatTimeouts(state, now);
   for (const machine of state.machines.values()) {
-    if (machine.lostAt === null && isSilent(machine, limits, now)) {
+    if (machine.lostAt === null && hasHeartbeatTimedOut(machine, timeouts, now)) {
       machine.lostAt = now;
       machine.lostReason = 'missedHeartbeats';
     }
--- a/src/core/fleet/machine-health.ts
+++ b/src/core/fleet/machine-health.ts
@@ -50,14 +50,14 @@
 });
 
 /** Replies in a row that did not reach a machine, after which it gets no more work. */
-export const UNACKNOWLEDGED_LIMIT = 2;
+export const UNACKNOWLEDGED_REPLY_LIMIT = 2;
 
 /** Silence in heartbeat intervals after which a machine gets no more work: it would only wait. */
-const MAX_SILENT_INTERVALS = 2;
+const MAX_HEARTBEAT_AGE_INTERVALS = 2;
 
 /** Whether a machine is silent for longer than a lost heartbeat explains; it need not be lost. */
 export const hasMissedHeartbeats = (state: CoreState, machine: Machine, now: Instant): boolean =>
-  now - machine.lastHeartbeatAt > MAX_SILENT_INTERVALS * state.config.heartbeatIntervalMs;
+  now - machine.lastHeartbeatAt > MAX_HEARTBEAT_AGE_INTERVALS * state.config.heartbeatIntervalMs;
 
 /** Whether a machine may be given work now. */
 export const isSchedulable = (state: CoreState, machine: Machine, now: Instant): boolean =>
--- a/src/core/fleet/provision-requests.ts
+++ b/src/core/fleet/provision-requests.ts
@@ -106,27 +106,28 @@
 ): void => {
   const { state, now, effects } = context;
   // Requests of this tick are in both counts: after the first call of a tick fewer are allowed.
-  let underWay = effects.length;
-  for (const pool of state.instancePools.values()) underWay += pool.outstandingRequests.size;
+  let outstandingCount = effects.length;
+  for (const pool of state.instancePools.values())
+    outstandingCount += pool.outstandingRequests.size;
   const available = pools.filter((pool) => now >= pool.retryAt).slice(0, MAX_CONCURRENT_REQUESTS);
   const shareCpus = cpus / Math.max(available.length, 1);
-  let missingCpus = cpus;
+  let unrequestedCpus = cpus;
   for (const pool of available) {
     const machineCpus = Math.max(pool.type.cpus, MIN_COUNTED_CPUS);
-    let dueCpus = Math.min(missingCpus, shareCpus);
+    let poolShareCpus = Math.min(unrequestedCpus, shareCpus);
     // A pool that was refused lately is tried with one request, not with several in vain.
     const poolLimit = pool.refusals > 0 ? 1 : MAX_CONCURRENT_REQUESTS;
     while (
-      dueCpus > 0 &&
-      underWay < MAX_CONCURRENT_REQUESTS &&
+      poolShareCpus > 0 &&
+      outstandingCount < MAX_CONCURRENT_REQUESTS &&
       pool.outstandingRequests.size < poolLimit
     ) {
-      const wanted = Math.max(1, Math.ceil(dueCpus / machineCpus));
-      const count = Math.min(MAX_MACHINES_PER_REQUEST, wanted);
+      const neededMachines = Math.max(1, Math.ceil(poolShareCpus / machineCpus));
+      const count = Math.min(MAX_MACHINES_PER_REQUEST, neededMachines);
       requestMachines(context, pool, count);
-      underWay += 1;
-      dueCpus -= count * machineCpus;
-      missingCpus -= count * machineCpus;
+      outstandingCount += 1;
+      poolShareCpus -= count * machineCpus;
+      unrequestedCpus -= count * machineCpus;
     }
   }
 };
--- a/src/core/fleet/scale-in.ts
+++ b/src/core/fleet/scale-in.ts
@@ -25,7 +25,7 @@
  * Drains machines that have long been idle, as far as supply exceeds demand. On-demand machines
  * leave only as far as services that need those do not use them.
  */
-export const scaleInIdle = (state: CoreState, now: Instant): void => {
+export const scaleInIdleMachines = (state: CoreState, now: Instant): void => {
   const { suppliedCpus, requiredCpus } = measureDemand(state, now);
   let spareCpus = suppliedCpus - requiredCpus;
   let spareOnDemandCpus = addOnDemandSupply(state, -updateReservedOnDemandCpus(state, now));
--- a/src/core/fleet/scale-out.ts
+++ b/src/core/fleet/scale-out.ts
@@ -114,9 +114,9 @@
   const { requiredCpus, suppliedCpus } = measureDemand(state, now);
   // What is reserved for services is no supply for arrays that may not use it.
   const reservedCpus = freeReservedCpus(state);
-  const isReservationMissed =
+  const isReservationBlocking =
     reservedCpus > 0 && jobs.some((job) => isBlockedByReservation(state, job, now));
-  const usableCpus = suppliedCpus - (isReservationMissed ? reservedCpus : 0);
+  const usableCpus = suppliedCpus - (isReservationBlocking ? reservedCpus : 0);
   if (usableCpus >= requiredCpus) return;
   const feasible =
     jobs.length > 0 ? pools.filter((pool) => jobs.some((job) => isPoolFeasible(job, pool))) : pools;
@@ -179,7 +179,7 @@
  * Tasks for which machines may be provisioned. A service that fails where it is alone may run
  * elsewhere; an array that pauses has failed on several machines already.
  */
-const placeableTasks = (state: CoreState, job: Job, now: Instant): number =>
+const countPlaceableTasks = (state: CoreState, job: Job, now: Instant): number =>
   now < job.retryAt && !isService(job)
     ? 0
     : Math.min(job.pendingTasks, countTasksWithinQuota(state, job));
@@ -192,13 +192,13 @@
   for (const job of jobs) {
     if (effects.length >= MAX_CONCURRENT_REQUESTS || examined >= MAX_JOBS_EXAMINED) return;
     examined += 1;
-    const taskLimit = placeableTasks(state, job, now);
+    const taskLimit = countPlaceableTasks(state, job, now);
     if (taskLimit <= 0) continue;
     // Zone constraints depend on where the job's tasks are: its answer holds for no other job.
-    const isSharedAnswer = !job.spec.singleZone && !job.spec.spreadZones;
-    if (isSharedAnswer && satisfiedRequirements.has(job.requirementsKey)) continue;
+    const isResultReusable = !job.spec.singleZone && !job.spec.spreadZones;
+    if (isResultReusable && satisfiedRequirements.has(job.requirementsKey)) continue;
     if (hasSuitableSupply(context, job)) {
-      if (isSharedAnswer) satisfiedRequirements.add(job.requirementsKey);
+      if (isResultReusable) satisfiedRequirements.add(job.requirementsKey);
       continue;
     }
     const feasible = pools.filter(
--- a/src/core/lifecycle/machine-reachability.ts
+++ b/src/core/lifecycle/machine-reachability.ts
@@ -4,7 +4,7 @@
  */
 
 import type { CoreState } from '../core-state.js';
-import { UNACKNOWLEDGED_LIMIT } from '../fleet/machine-health.js';
+import { UNACKNOWLEDGED_REPLY_LIMIT } from '../fleet/machine-health.js';
 import { logEvent } from '../log-event.js';
 import type { Effect } from '../model/effect.js';
 import type { Machine } from '../model/entities.js';
@@ -61,7 +61,7 @@
 const areTooManyUnreachable = (state: CoreState): boolean => {
   let unreachable = 0;
   for (const machine of state.machines.values())
-    if (machine.isUnreachable || machine.unacknowledgedReplies >= UNACKNOWLEDGED_LIMIT)
+    if (machine.isUnreachable || machine.unacknowledgedReplies >= UNACKNOWLEDGED_REPLY_LIMIT)
       unreachable += 1;
   return unreachable > Math.max(MAX_UNREACHABLE, state.machines.size * MAX_UNREACHABLE_SHARE);
 };
@@ -81,12 +81,15 @@
   machine.unacknowledgedReplies = countUnacknowledgedReplies(machine, heartbeat);
   machine.dispatchedStarts = null;
   const hasMissedReply = machine.unacknowledgedReplies > previousCount;
-  if (hasMissedReply && machine.unacknowledgedReplies >= UNACKNOWLEDGED_LIMIT)
+  if (hasMissedReply && machine.unacknowledgedReplies >= UNACKNOWLEDGED_REPLY_LIMIT)
     machine.quarantinedUntil = addMillis(now, state.config.workerLeaseMs);
   else if (machine.unacknowledgedReplies === 0) machine.quarantinedUntil = 0 as Instant;
   if (machine.isUnreachable || !seemsUnreachable(state, machine, now)) return;
   if (areTooManyUnreachable(state)) {
-    machine.unacknowledgedReplies = Math.min(machine.unacknowledgedReplies, UNACKNOWLEDGED_LIMIT);
+    machine.unacknowledgedReplies = Math.min(
+      machine.unacknowledgedReplies,
+      UNACKNOWLEDGED_REPLY_LIMIT,
+    );
     return;
   }
   machine.isUnreachable = true;
--- a/src/ports/key-value-store.ts
+++ b/src/ports/key-value-store.ts
@@ -90,13 +90,13 @@
     maxWaitMs?: number,
     timeoutMs?: number,
   ): Promise<CompareAndSwapResult>;
-  /** A new lease that expires `lifeMs` after its grant or its last renewal. */
-  grantLease(lifeMs: number): Promise<LeaseGrantResult>;
+  /** A new lease that expires `ttlMs` after its grant or its last renewal. */
+  grantLease(ttlMs: number): Promise<LeaseGrantResult>;
   renewLease(lease: LeaseId): Promise<LeaseRenewalResult>;
   revokeLease(lease: LeaseId): Promise<void>;
-  /** Changes under a prefix since a revision; waits up to `holdMs` for the first. */
-  watch(prefix: string, since: Revision, holdMs: number): Promise<WatchResult>;
+  /** Changes under a prefix since a revision; waits up to `pollTimeoutMs` for the first. */
+  watch(prefix: string, since: Revision, pollTimeoutMs: number): Promise<WatchResult>;
   /** From now on this many times its share of the store's write rate. */
-  scaleWrites(scale: number): void;
+  scaleWriteRate(scale: number): void;
   close(): void;
 }
--- a/src/ports/peer.ts
+++ b/src/ports/peer.ts
@@ -6,7 +6,7 @@
  * A question to a peer. One that comes in may lack what it should name: it is answered, but with
  * nothing, since the peer may be of another version.
  */
-export type PeerQuestion =
+export type PeerRequest =
   /** To the leader: the job as it stands, why it waits, and its cancellation. */
   | { readonly ask: 'status' | 'explain' | 'abort'; readonly job?: JobId | undefined }
   /** The job as the peer reads it from the key-value store, for a node that cannot. */
@@ -28,9 +28,9 @@
 export interface Peer {
   readonly node: NodeId;
   /** Its answer, or undefined when none comes within `timeoutMs`. */
-  ask(question: PeerQuestion, timeoutMs: number): Promise<unknown>;
+  request(request: PeerRequest, timeoutMs: number): Promise<unknown>;
   close(): void;
 }
 
 /** Answers a peer's question; the answer must fit a frame. */
-export type AnswerPeer = (question: PeerQuestion) => Promise<unknown> | unknown;
+export type HandlePeerRequest = (request: PeerRequest) => Promise<unknown> | unknown;
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -14,7 +14,7 @@
 import type { Instant } from '../core/model/time.js';
 import type { ControllerApi } from '../ports/controller-api.js';
 import type { HeartbeatDecision } from '../ports/heartbeat-service.js';
-import type { PeerQuestion } from '../ports/peer.js';
+import type { PeerRequest } from '../ports/peer.js';
 import { closeDependencies, createDependencies } from './create-dependencies.js';
 import type { Dependencies } from './dependencies.js';
 import { JobService } from './jobs/job-service.js';
@@ -117,7 +117,7 @@
       fencingToken,
       acquiredAt,
       election: this.election,
-      onJobEnded: (id, completion) => this.users.completions.remember(id, completion),
+      onJobEnded: (id, completion) => this.users.completions.add(id, completion),
       isIsolated: () => this.peerMonitor.isIsolated(),
     });
     this.leaderTerm.start();
@@ -150,7 +150,7 @@
   }
 
   /** Answers a peer's question, encoded as it is sent over the peer connection. */
-  handlePeerRequest(question: PeerQuestion): Promise<unknown> {
+  handlePeerRequest(question: PeerRequest): Promise<unknown> {
     return this.peerRequests.handle(question);
   }
 }
--- a/src/service/jobs/cancellation-service.ts
+++ b/src/service/jobs/cancellation-service.ts
@@ -30,7 +30,7 @@
     if (this.currentTerm()) return this.cancelAsLeader(id);
     const leader = this.peerMonitor.leaderPeer();
     const job = leader && (await requestCancellation(leader, id));
-    if (job && this.completions.rememberIfEnded(job)) return { kind: 'found', job };
+    if (job && this.completions.addIfEnded(job)) return { kind: 'found', job };
     const stored = await this.queries.lookUpInStore(id);
     const isUnfinished =
       stored.kind === 'found' &&
--- a/src/service/jobs/completion-cache.ts
+++ b/src/service/jobs/completion-cache.ts
@@ -14,7 +14,7 @@
 export class CompletionCache {
   private readonly completions = new Map<JobId, JobCompletion>();
 
-  remember(id: JobId, { outcome, tasks, team }: JobCompletion): void {
+  add(id: JobId, { outcome, tasks, team }: JobCompletion): void {
     this.completions.set(id, { outcome, tasks, team });
     if (this.completions.size > MAX_COMPLETIONS) {
       const oldest = this.completions.keys().next().value;
@@ -23,9 +23,9 @@
   }
 
   /** Remembers a peer's view if it tells the job's end; true if it does. */
-  rememberIfEnded({ id, status, done, team }: JobView): boolean {
+  addIfEnded({ id, status, done, team }: JobView): boolean {
     if (status !== 'done' && status !== 'cancelled') return false;
-    this.remember(id, { outcome: status, tasks: done, team });
+    this.add(id, { outcome: status, tasks: done, team });
     return true;
   }
 
--- a/src/service/jobs/job-query-service.ts
+++ b/src/service/jobs/job-query-service.ts
@@ -56,7 +56,7 @@
     if (stored.kind === 'absent') return { kind: 'not-found' };
     const completion = stored.kind === 'found' ? decodeCompletion(stored.item.value) : null;
     if (!completion) return STORE_UNAVAILABLE;
-    this.completions.remember(id, completion);
+    this.completions.add(id, completion);
     return { kind: 'found', job: viewOfCompletion(id, completion) };
   }
 
@@ -75,7 +75,7 @@
     const leader = this.peerMonitor.leaderPeer();
     const job = leader && (await requestJobView(leader, id));
     if (job) {
-      this.completions.rememberIfEnded(job);
+      this.completions.addIfEnded(job);
       return { kind: 'found', job };
     }
     if (!this.dependencies.store.isDown) return this.lookUpInStore(id);
--- a/src/service/jobs/submission-service.ts
+++ b/src/service/jobs/submission-service.ts
@@ -56,16 +56,16 @@
     if (size > settings.keyValueStoreLimits.maxValueBytes) return this.refuse(id, TOO_LARGE);
     return store.isDown
       ? this.admitThroughPeer(record, this.peerMonitor.reachablePeer())
-      : this.admit(record, { mayAskPeer: true });
+      : this.admit(record, { mayForward: true });
   }
 
   /**
-   * Stores the job's record. `mayAskPeer` is false for what a peer has passed on: an admission is
+   * Stores the job's record. `mayForward` is false for what a peer has passed on: an admission is
    * passed on only once.
    */
   async admit(
     record: JobRecord,
-    { mayAskPeer }: { readonly mayAskPeer: boolean },
+    { mayForward }: { readonly mayForward: boolean },
   ): Promise<SubmissionResult> {
     const { store, jitter } = this.dependencies;
     const { id } = record.spec;
@@ -86,9 +86,9 @@
     ) {
       // The load balancer does not spread users evenly: a peer may have some of its share of the
       // rate left.
-      if (mayAskPeer && attempt === 1) {
-        const passedOn = await this.admitThroughPeer(record, this.nextPeer());
-        if (passedOn.kind !== 'unavailable') return passedOn;
+      if (mayForward && attempt === 1) {
+        const forwarded = await this.admitThroughPeer(record, this.nextPeer());
+        if (forwarded.kind !== 'unavailable') return forwarded;
       } else await sleep(jitter.around(ADMISSION_RETRY_MS));
       result = await write();
     }
--- a/src/service/peers/peer-monitor.ts
+++ b/src/service/peers/peer-monitor.ts
@@ -20,7 +20,7 @@
 /** How long nobody must answer before a node counts as isolated: one lost poll is no proof. */
 const ISOLATION_DELAY_MS = 1000;
 /** A redirected worker counts for this many of its heartbeat intervals. */
-const REDIRECT_MEMORY_INTERVALS = 2.5;
+const REDIRECT_RETENTION_INTERVALS = 2.5;
 
 /** Watches the peers while this node leads or is cut off from the key-value store. */
 export class PeerMonitor {
@@ -66,10 +66,10 @@
   /** What this node tells its peers. */
   health(): PeerHealth {
     const now = steadyNow();
-    const memoryMs =
-      this.dependencies.settings.workers.heartbeatIntervalS * 1000 * REDIRECT_MEMORY_INTERVALS;
+    const retentionMs =
+      this.dependencies.settings.workers.heartbeatIntervalS * 1000 * REDIRECT_RETENTION_INTERVALS;
     for (const [machine, redirectedAt] of this.redirectedWorkers)
-      if (now - redirectedAt > memoryMs) this.redirectedWorkers.delete(machine);
+      if (now - redirectedAt > retentionMs) this.redirectedWorkers.delete(machine);
     return {
       leader: this.election.leaderNode,
       fencingToken: this.election.highestKnownToken,
@@ -101,14 +101,14 @@
     const peers = [...this.dependencies.peers.values()];
     const healths = await Promise.all(peers.map(requestHealth));
     this.peersReachingStore = peers.filter((_, i) => healths[i]?.reachesStore);
-    this.evaluateIsolation(healths);
+    this.updateIsolation(healths);
     // What was asked for was asked on behalf of another term.
     if (this.currentTerm() !== term) return;
     if (!isLeading) this.learnLeader(healths);
-    if (coverage) this.stepAsideForPeer(coverage, healths);
+    if (coverage) this.resignForPeer(coverage, healths);
   }
 
-  private evaluateIsolation(healths: readonly (PeerHealth | null)[]): void {
+  private updateIsolation(healths: readonly (PeerHealth | null)[]): void {
     const noPeerAnswers = healths.length > 0 && healths.every((health) => health === null);
     if (this.dependencies.store.isDown && noPeerAnswers) this.isolatedSince ??= steadyNow();
     else this.isolatedSince = null;
@@ -121,16 +121,16 @@
     }
   }
 
-  private stepAsideForPeer(
+  private resignForPeer(
     coverage: HeartbeatCoverage,
     healths: readonly (PeerHealth | null)[],
   ): void {
-    let peerHears = 0;
+    let workersAtPeer = 0;
     for (const health of healths)
-      if (health) peerHears = Math.max(peerHears, health.redirectedWorkers);
-    if (peerHears <= coverage.recent) return;
+      if (health) workersAtPeer = Math.max(workersAtPeer, health.redirectedWorkers);
+    if (workersAtPeer <= coverage.recent) return;
     this.dependencies.log.info(
-      { ...coverage, peerHears },
+      { ...coverage, peerHears: workersAtPeer },
       'workers reach a peer but not this leader: resigning',
     );
     this.election.resign(CAMPAIGN_PAUSE_MS);
--- a/src/service/peers/peer-request-handler.ts
+++ b/src/service/peers/peer-request-handler.ts
@@ -2,7 +2,7 @@
 
 import type { OperatorAnswer } from '../../core/extensions/extension.js';
 import type { JobId } from '../../core/model/ids.js';
-import type { PeerQuestion } from '../../ports/peer.js';
+import type { PeerRequest } from '../../ports/peer.js';
 import type { JobView } from '../../ports/user-api.js';
 import type { Dependencies } from '../dependencies.js';
 import type { JobService } from '../jobs/job-service.js';
@@ -21,26 +21,26 @@
     private readonly currentTerm: () => LeaderTerm | null,
   ) {}
 
-  async handle(question: PeerQuestion): Promise<unknown> {
-    switch (question.ask) {
+  async handle(request: PeerRequest): Promise<unknown> {
+    switch (request.ask) {
       case 'status':
-        return question.job ? this.jobs.queries.viewLocally(question.job) : null;
+        return request.job ? this.jobs.queries.viewLocally(request.job) : null;
       case 'abort':
-        return this.handleCancellation(question.job);
+        return this.handleCancellation(request.job);
       case 'explain':
-        return question.job ? this.jobs.queries.explainLocally(question.job) : null;
+        return request.job ? this.jobs.queries.explainLocally(request.job) : null;
       case 'list':
-        return question.team ? this.jobs.queries.listLocally(question.team) : null;
+        return request.team ? this.jobs.queries.listLocally(request.team) : null;
       case 'operate':
-        return this.handleOperatorCall(question);
+        return this.handleOperatorCall(request);
       case 'health':
         return encodeHealth(this.peerMonitor.health());
       case 'look':
-        return question.job ? this.handleLookup(question.job) : null;
+        return request.job ? this.handleLookup(request.job) : null;
       case 'admit':
-        return this.handleAdmission(question.record);
+        return this.handleAdmission(request.record);
       default:
-        return question satisfies never;
+        return request satisfies never;
     }
   }
 
@@ -52,7 +52,7 @@
   private handleOperatorCall({
     extension,
     call,
-  }: Extract<PeerQuestion, { ask: 'operate' }>): Promise<OperatorAnswer | null> | null {
+  }: Extract<PeerRequest, { ask: 'operate' }>): Promise<OperatorAnswer | null> | null {
     const term = this.currentTerm();
     if (!term || extension === undefined || call === undefined) return null;
     return term.handleOperatorCall(extension, call);
@@ -66,6 +66,6 @@
   private async handleAdmission(stored: unknown): Promise<object | null> {
     const record = decodeJob(stored);
     if (!record || this.dependencies.store.isDown) return null;
-    return encodeAdmission(await this.jobs.submissions.admit(record, { mayAskPeer: false }));
+    return encodeAdmission(await this.jobs.submissions.admit(record, { mayForward: false }));
   }
 }
--- a/src/service/peers/peer-requests.ts
+++ b/src/service/peers/peer-requests.ts
@@ -29,27 +29,29 @@
 
 /** The leader's view of a job that it may speak of. */
 export const requestJobView = async (leader: Peer, id: JobId): Promise<JobView | null> => {
-  const job = decodeJobView(await leader.ask({ ask: 'status', job: id }, TIMEOUT_MS.query));
+  const job = decodeJobView(await leader.request({ ask: 'status', job: id }, TIMEOUT_MS.query));
   return job?.id === id ? job : null;
 };
 
 /** A look-up by a peer that reaches the key-value store while this node does not. */
 export const requestLookup = async (peer: Peer, id: JobId): Promise<LookupResult | null> =>
-  decodeLookup(await peer.ask({ ask: 'look', job: id }, TIMEOUT_MS.query), id);
+  decodeLookup(await peer.request({ ask: 'look', job: id }, TIMEOUT_MS.query), id);
 
 /** The job after the leader has cancelled it, or as it had ended before. */
 export const requestCancellation = async (leader: Peer, id: JobId): Promise<JobView | null> => {
-  const job = decodeJobView(await leader.ask({ ask: 'abort', job: id }, TIMEOUT_MS.cancellation));
+  const job = decodeJobView(
+    await leader.request({ ask: 'abort', job: id }, TIMEOUT_MS.cancellation),
+  );
   return job?.id === id ? job : null;
 };
 
 /** The leader's explanation of why a job waits, as it is told to users; falsy where it has none. */
 export const requestExplanation = (leader: Peer, id: JobId): Promise<unknown> =>
-  leader.ask({ ask: 'explain', job: id }, TIMEOUT_MS.query);
+  leader.request({ ask: 'explain', job: id }, TIMEOUT_MS.query);
 
 /** A team's unfinished jobs; a view of an unknown form is left out. */
 export const requestJobList = async (leader: Peer, team: TeamName): Promise<JobView[] | null> => {
-  const answer = await leader.ask({ ask: 'list', team }, TIMEOUT_MS.query);
+  const answer = await leader.request({ ask: 'list', team }, TIMEOUT_MS.query);
   return Array.isArray(answer) ? answer.map(decodeJobView).filter((job) => job !== null) : null;
 };
 
@@ -59,7 +61,7 @@
   record: JobRecord,
 ): Promise<SubmissionResult | null> =>
   decodeAdmission(
-    await peer.ask({ ask: 'admit', record: encodeJob(record) }, TIMEOUT_MS.admission),
+    await peer.request({ ask: 'admit', record: encodeJob(record) }, TIMEOUT_MS.admission),
     record.spec.id,
   );
 
@@ -70,9 +72,9 @@
   call: OperatorCall,
 ): Promise<OperatorAnswer | null> =>
   decodeOperatorAnswer(
-    await leader.ask({ ask: 'operate', extension, call }, TIMEOUT_MS.operatorCall),
+    await leader.request({ ask: 'operate', extension, call }, TIMEOUT_MS.operatorCall),
   );
 
 /** A peer's health. */
 export const requestHealth = async (peer: Peer): Promise<PeerHealth | null> =>
-  decodeHealth(await peer.ask({ ask: 'health' }, TIMEOUT_MS.health));
+  decodeHealth(await peer.request({ ask: 'health' }, TIMEOUT_MS.health));
--- a/src/service/state-recovery.ts
+++ b/src/service/state-recovery.ts
@@ -14,9 +14,9 @@
 import {
   decodeSegment,
   extensionPrefix,
-  FIRST_VERSION_LEDGER_PREFIX,
   JOB_PREFIX,
   LEDGER_PREFIX,
+  LEGACY_LEDGER_PREFIX,
 } from './stored-records.js';
 import type { TermContext } from './term-context.js';
 
@@ -49,7 +49,7 @@
     const [jobs, ledger, firstVersionLedger] = await Promise.all([
       this.list(JOB_PREFIX),
       this.list(LEDGER_PREFIX),
-      this.list(FIRST_VERSION_LEDGER_PREFIX),
+      this.list(LEGACY_LEDGER_PREFIX),
     ]);
     if (!jobs || !ledger || !firstVersionLedger || !term.isCurrent) return null;
     const commands: Command[] = [];
--- a/src/service/stored-records.ts
+++ b/src/service/stored-records.ts
@@ -17,11 +17,11 @@
   completionKey,
   extensionKey,
   extensionPrefix,
-  FIRST_VERSION_LEDGER_PREFIX,
   JOB_PREFIX,
   jobKey,
   LEADER_KEY,
   LEDGER_PREFIX,
+  LEGACY_LEDGER_PREFIX,
   MACHINE_TYPES_KEY,
 } from './stored-records/keys.js';
 /** The leader. */
--- a/src/service/stored-records/completion-record.ts
+++ b/src/service/stored-records/completion-record.ts
@@ -2,7 +2,7 @@
 import * as v from 'valibot';
 import type { TeamName } from '../../core/model/ids.js';
 import type { JobOutcome } from '../../core/model/job.js';
-import { name } from './validators.js';
+import { brandedString } from './validators.js';
 
 const completionSchema = v.object({
   /** Outcome. */
@@ -10,7 +10,7 @@
   /** Number of tasks. */
   n: v.number(),
   /** Team. */
-  t: name<TeamName>(),
+  t: brandedString<TeamName>(),
 });
 
 /** How a job ended, with what its status still shows. */
--- a/src/service/stored-records/job-record.ts
+++ b/src/service/stored-records/job-record.ts
@@ -8,28 +8,28 @@
   ZoneName,
 } from '../../core/model/ids.js';
 import type { JobShape, JobSpec } from '../../core/model/job.js';
-import { amount, name } from './validators.js';
+import { brandedString, nonNegativeNumber } from './validators.js';
 
 const specSchema = v.object({
-  id: name<JobId>(),
+  id: brandedString<JobId>(),
   lane: v.string(),
-  team: name<TeamName>(),
+  team: brandedString<TeamName>(),
   priority: v.picklist(['critical', 'urgent', 'standard', 'best_effort']),
   tasks: v.pipe(v.number(), v.integer(), v.minValue(1)),
-  cpus: amount,
-  gpus: amount,
-  memoryGb: amount,
-  types: v.nullable(v.array(name<MachineTypeName>())),
-  zone: v.nullable(name<ZoneName>()),
+  cpus: nonNegativeNumber,
+  gpus: nonNegativeNumber,
+  memoryGb: nonNegativeNumber,
+  types: v.nullable(v.array(brandedString<MachineTypeName>())),
+  zone: v.nullable(brandedString<ZoneName>()),
   oneZone: v.boolean(),
   scatter: v.boolean(),
   spotOk: v.boolean(),
-  image: name<ImageName>(),
-  imageGb: amount,
-  estimateS: amount,
-  checkpointS: amount,
-  saveS: amount,
-  deadlineS: v.nullable(amount),
+  image: brandedString<ImageName>(),
+  imageGb: nonNegativeNumber,
+  estimateS: nonNegativeNumber,
+  checkpointS: nonNegativeNumber,
+  saveS: nonNegativeNumber,
+  deadlineS: v.nullable(nonNegativeNumber),
 });
 type StoredSpec = v.InferOutput<typeof specSchema>;
 
--- a/src/service/stored-records/keys.ts
+++ b/src/service/stored-records/keys.ts
@@ -18,7 +18,7 @@
 export const LEDGER_PREFIX = SEGMENT_PREFIX;
 
 /** The first version's ledger, a key for each machine: what stands there counts as unreadable. */
-export const FIRST_VERSION_LEDGER_PREFIX = 'm/';
+export const LEGACY_LEDGER_PREFIX = 'm/';
 
 /** Records of extensions. */
 const EXTENSION_PREFIX = 'x/';
--- a/src/service/stored-records/machine-types-record.ts
+++ b/src/service/stored-records/machine-types-record.ts
@@ -2,19 +2,19 @@
 import * as v from 'valibot';
 import type { MachineTypeName, ZoneName } from '../../core/model/ids.js';
 import type { MachineType } from '../../core/model/machine.js';
-import { amount, name } from './validators.js';
+import { brandedString, nonNegativeNumber } from './validators.js';
 
 const machineTypesSchema = v.array(
   v.object({
-    name: name<MachineTypeName>(),
-    cpus: amount,
-    gpus: amount,
-    memoryGb: amount,
-    fetchGbPerS: amount,
-    price: amount,
-    spotPrice: amount,
-    bootS: amount,
-    zones: v.array(name<ZoneName>()),
+    name: brandedString<MachineTypeName>(),
+    cpus: nonNegativeNumber,
+    gpus: nonNegativeNumber,
+    memoryGb: nonNegativeNumber,
+    fetchGbPerS: nonNegativeNumber,
+    price: nonNegativeNumber,
+    spotPrice: nonNegativeNumber,
+    bootS: nonNegativeNumber,
+    zones: v.array(brandedString<ZoneName>()),
   }),
 );
 
--- a/src/service/stored-records/segment-record.ts
+++ b/src/service/stored-records/segment-record.ts
@@ -14,22 +14,32 @@
   ZoneName,
 } from '../../core/model/ids.js';
 import type { LedgerEntry, LedgerRow, ProgressRow } from '../../core/model/ledger-record.js';
-import { amount, name, whole } from './validators.js';
+import { brandedString, nonNegativeInteger, nonNegativeNumber } from './validators.js';
 
 /** [job, team, cpus, gpus, memory in GB] */
-const jobRowSchema = v.tuple([name<JobId>(), name<TeamName>(), amount, amount, amount]);
+const jobRowSchema = v.tuple([
+  brandedString<JobId>(),
+  brandedString<TeamName>(),
+  nonNegativeNumber,
+  nonNegativeNumber,
+  nonNegativeNumber,
+]);
 /** [row of the job, task, attempt] */
-const attemptRowSchema = v.tuple([whole(), whole<TaskIndex>(), whole<AttemptId>()]);
+const attemptRowSchema = v.tuple([
+  nonNegativeInteger(),
+  nonNegativeInteger<TaskIndex>(),
+  nonNegativeInteger<AttemptId>(),
+]);
 /** [machine, type, zone, spot, attempts] */
 const machineRowSchema = v.tuple([
-  name<MachineId>(),
-  name<MachineTypeName>(),
-  name<ZoneName>(),
+  brandedString<MachineId>(),
+  brandedString<MachineTypeName>(),
+  brandedString<ZoneName>(),
   v.boolean(),
   v.array(attemptRowSchema),
 ]);
 /** [job, block or first task, bits of done tasks in base64] */
-const progressRowSchema = v.tuple([name<JobId>(), whole(), v.string()]);
+const progressRowSchema = v.tuple([brandedString<JobId>(), nonNegativeInteger(), v.string()]);
 
 const segmentSchema = v.object({
   j: v.array(jobRowSchema),
@@ -58,13 +68,13 @@
 /** Numbers the jobs of a segment as they come, and gathers their rows. */
 class JobRows {
   readonly rows: StoredJobRow[] = [];
-  private readonly numbers = new Map<JobId, number>();
+  private readonly indexes = new Map<JobId, number>();
 
-  numberOf({ job, team, cpus, gpus, memoryGb }: LedgerEntry): number {
-    let number = this.numbers.get(job);
+  indexOf({ job, team, cpus, gpus, memoryGb }: LedgerEntry): number {
+    let number = this.indexes.get(job);
     if (number === undefined) {
       number = this.rows.push([job, team, cpus, gpus, memoryGb]) - 1;
-      this.numbers.set(job, number);
+      this.indexes.set(job, number);
     }
     return number;
   }
@@ -78,7 +88,7 @@
   attributes.type,
   attributes.zone,
   attributes.spot,
-  entries.map((entry): StoredAttemptRow => [jobs.numberOf(entry), entry.index, entry.attempt]),
+  entries.map((entry): StoredAttemptRow => [jobs.indexOf(entry), entry.index, entry.attempt]),
 ];
 
 const encodeProgress = ({ job, bits }: ProgressRow, position: number): StoredProgressRow => [
--- a/src/service/stored-records/validators.ts
+++ b/src/service/stored-records/validators.ts
@@ -2,12 +2,12 @@
 import * as v from 'valibot';
 
 /** A text, typed as one of the core's names. */
-export const name = <T extends string>() =>
+export const brandedString = <T extends string>() =>
   v.custom<T>((input: unknown) => typeof input === 'string');
 
 /** A whole number from 0, typed as one of the core's numbers. */
-export const whole = <T extends number>() =>
+export const nonNegativeInteger = <T extends number>() =>
   v.custom<T>((input: unknown) => Number.isInteger(input) && (input as number) >= 0);
 
 /** A quantity of something: finite, and not below 0. */
-export const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
+export const nonNegativeNumber = v.pipe(v.number(), v.finite(), v.minValue(0));
--- a/src/service/write-share.ts
+++ b/src/service/write-share.ts
@@ -33,6 +33,6 @@
       MAX_BATCH_WRITE_SHARE,
       Math.max(MIN_BATCH_WRITE_SHARE, MAX_BATCH_WRITE_SHARE - admissionShare),
     );
-    batchStore.scaleWrites(share / MIN_BATCH_WRITE_SHARE);
+    batchStore.scaleWriteRate(share / MIN_BATCH_WRITE_SHARE);
   }
 }
--- a/test/peer-connections.test.ts
+++ b/test/peer-connections.test.ts
@@ -47,6 +47,6 @@
     expect(dropped).toHaveLength(4);
     const peer = new PeerClient('node-1' as NodeId, { host: '127.0.0.1', port });
     cleanups.push(() => peer.close());
-    expect(await peer.ask({ ask: 'health' }, 5000)).toBe('fine');
+    expect(await peer.request({ ask: 'health' }, 5000)).toBe('fine');
   });
 });
