--- a/src/core/fleet/deletions.ts
+++ b/src/core/fleet/deletions.ts
@@ -1,4 +1,4 @@
-/** Deletions: which machines the cloud is asked to take back, and why. */
+/** Machine deletions: selects the machines to delete and requests their deletion from the cloud. */
 
 import type { CoreState } from '../core-state.js';
 import type { Effect } from '../model/effect.js';
@@ -6,16 +6,16 @@
 import type { MachineId } from '../model/ids.js';
 import type { Instant } from '../model/time.js';
 
-/** Machines deleted in one tick; the rest follow in the next. */
+/** Upper bound on machines deleted per tick; the remainder is deleted in later ticks. */
 const MAX_MACHINES_PER_DELETION = 100;
-/** Boot time that is assumed while a machine's type is not known. */
+/** Boot time assumed for a machine whose type is unknown. */
 const DEFAULT_BOOT_S = 60;
-/** Added to the boot timeout. */
+/** Added to the boot timeout, which is otherwise a multiple of the type's boot time. */
 const BOOT_TIMEOUT_MARGIN_MS = 15_000;
 
 /**
- * The machine has not come up within the policy's boot timeout. A new leader also learns of
- * machines that have long been up: those get a worker lease to report to it first.
+ * Whether a machine has sent no heartbeat within its boot timeout. A new leader may first learn of
+ * a machine long after its boot, so the machine also gets one worker lease to report to it.
  */
 const hasBootTimedOut = (state: CoreState, machine: Machine, now: Instant): boolean => {
   if (machine.hasReported) return false;
@@ -25,7 +25,7 @@
   return now - machine.provisionedAt > timeoutMs && now - machine.firstSeenAt > workerLeaseMs;
 };
 
-/** Why a machine is to be deleted, as the log names it; null while it stays. */
+/** Returns the reason for deleting a machine, as logged, or null if it must not be deleted. */
 const deletionReason = (state: CoreState, machine: Machine, now: Instant): string | null => {
   if (machine.isUnreachable) return 'unreachable';
   if (machine.lostAt !== null) return machine.lostReason;
@@ -34,7 +34,7 @@
   return null;
 };
 
-/** Marks machines as deleting and asks the cloud to delete them. */
+/** Marks the machines to delete and returns the effects that log and request their deletion. */
 export const planDeletions = (state: CoreState, now: Instant): Effect[] => {
   const machines: MachineId[] = [];
   const countByReason: Record<string, number> = {};
--- a/src/core/fleet/demand.ts
+++ b/src/core/fleet/demand.ts
@@ -1,11 +1,11 @@
-/** Supply and demand of the fleet, in processors: what is provisioned, requested and needed. */
+/** Fleet capacity in processors: provisioned and requested (supply), and required (demand). */
 
 import type { CoreState } from '../core-state.js';
 import type { InstancePool, Machine } from '../model/entities.js';
 import { isService } from '../model/job.js';
 import type { Instant } from '../model/time.js';
 
-/** Whether a machine counts as supply: it is there to stay and takes work. */
+/** Whether a machine counts as supply: it accepts work and is not about to leave the fleet. */
 export const isSupply = (machine: Machine): boolean =>
   !machine.isDraining &&
   !machine.isCordoned &&
@@ -14,18 +14,18 @@
   machine.lostAt === null &&
   machine.reclaimAt === null;
 
-/** Processors of a machine; 0 while its type is not known. */
+/** Processors of a machine; 0 if its type is unknown. */
 export const machineCpus = (state: CoreState, machine: Machine): number =>
   state.types.get(machine.type)?.cpus ?? 0;
 
-/** Machines of a pool that are requested and have not been answered for. */
+/** Number of machines in a pool's outstanding provision requests. */
 export const countRequestedMachines = (pool: InstancePool): number => {
   let count = 0;
   for (const request of pool.outstandingRequests.values()) count += request.count;
   return count;
 };
 
-/** Adds the processors of on-demand machines that count as supply to `initialCpus`. */
+/** Returns `initialCpus` plus the processors of on-demand machines that count as supply. */
 export const addOnDemandSupply = (state: CoreState, initialCpus: number): number => {
   let cpus = initialCpus;
   for (const machine of state.machines.values())
@@ -33,13 +33,13 @@
   return cpus;
 };
 
-/** Processors that the fleet should have, and those that it has or has requested. */
+/** Processors that the fleet requires, and those that it has or has requested. */
 export interface CapacityDemand {
   readonly requiredCpus: number;
   readonly suppliedCpus: number;
 }
 
-/** Processors of unfinished work by team. Notes in the state that there is some. */
+/** Sums the processors of unfinished tasks by team; updates `lastDemandAt` if there are any. */
 const collectTeamDemand = (state: CoreState, now: Instant): Map<string, number> => {
   const cpusByTeam = new Map<string, number>();
   for (const job of state.jobs.values()) {
@@ -52,8 +52,8 @@
 };
 
 /**
- * Compares unfinished work, within the teams' limits, with supply. Until the fleet has been
- * without work for the policy's idle time, a share of the teams' guarantees is the least required.
+ * Measures demand (unfinished tasks within each team's limit) and supply. Until there has been no
+ * demand for the policy's idle time, at least a share of the teams' guarantees is required.
  */
 export const measureDemand = (state: CoreState, now: Instant): CapacityDemand => {
   const { policy, teams } = state.config;
--- a/src/core/fleet/inventory.ts
+++ b/src/core/fleet/inventory.ts
@@ -1,6 +1,6 @@
 /**
- * The inventory: which machines and instance pools exist, as the cloud says. Its list lags behind
- * by seconds, so that a single list proves neither presence nor absence of a young machine.
+ * Inventory: the machines and instance pools that exist according to the cloud. The cloud's list
+ * lags by seconds, so a single list proves neither presence nor absence of a new machine.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -12,11 +12,11 @@
 import { addMillis, type Instant, type Millis } from '../model/time.js';
 import { createMachine, hasMissedHeartbeats } from './machine-health.js';
 
-/** Added to the lag of the cloud's list before a machine's absence from it counts. */
+/** Added to the list's maximum age before a machine's absence from the list counts. */
 const LIST_LAG_MARGIN_MS = 2000;
-/** Lags of the cloud's list within which one list may be older than the one before it. */
+/** Maximum age of a list, in list lags: one list may be older than the list read before it. */
 const LIST_LAG_FACTOR = 3;
-/** Pause after a refused deletion before the machine is deleted again. */
+/** Delay after a failed deletion before it is requested again. */
 const DELETION_RETRY_MS = 2000 as Millis;
 
 const updateInstancePool = (
@@ -38,7 +38,7 @@
   });
 };
 
-/** Takes the cloud's machine types over; what is known of their instance pools is kept. */
+/** Replaces the known machine types; instance pools keep their refusals and open requests. */
 export const updateMachineTypes = (state: CoreState, types: readonly MachineType[]): void => {
   state.types.clear();
   for (const type of types) {
@@ -74,8 +74,8 @@
 };
 
 /**
- * Takes in the cloud's list of machines. A machine that is absent is lost, unless it is younger
- * than the list may be old or still sends heartbeats.
+ * Reconciles the known machines with the cloud's list. A machine missing from the list counts as
+ * lost, unless it is newer than the list's maximum age or still sends heartbeats.
  */
 export const reconcileMachineList = (
   state: CoreState,
@@ -89,7 +89,7 @@
     if (!state.deletedMachines.has(listed.id))
       reconcileListedMachine(state, listed, requestedAt, now);
   }
-  // A list may be older than the one before it: only machines known for long enough may be absent.
+  // A list may be older than the previous one, so absence counts only for old enough machines.
   const graceMs = LIST_LAG_FACTOR * state.config.listLagMs + LIST_LAG_MARGIN_MS;
   for (const machine of state.machines.values()) {
     if (listedIds.has(machine.id) || requestedAt - machine.provisionedAt < graceMs) continue;
@@ -100,7 +100,7 @@
   }
 };
 
-/** Forgets a machine that is certainly gone, and everything on it. */
+/** Removes a machine whose deletion is confirmed and releases its placements. */
 const removeMachine = (state: CoreState, machine: Machine, now: Instant): void => {
   for (const placement of [...machine.placements.values()]) releasePlacement(state, placement, now);
   machine.placements.clear();
@@ -109,7 +109,7 @@
   state.machinesAwaitingReply.delete(machine);
 };
 
-/** Takes in the cloud's answer to a deletion: machines are gone, or deleted again after a pause. */
+/** Applies the result of a deletion: removes the machines, or schedules a retry if it failed. */
 export const handleDeletionResult = (
   state: CoreState,
   { machines, ok }: Extract<Command, { kind: 'deletion-result' }>,
--- a/src/core/fleet/loss-detection.ts
+++ b/src/core/fleet/loss-detection.ts
@@ -1,6 +1,6 @@
 /**
- * Loss detection: which machines count as lost since they miss heartbeats, and when the lease of
- * their tasks has run out. A lost machine is replaced; its tasks are free only once their lease is.
+ * Loss detection: marks machines that miss heartbeats as lost, and releases placements whose worker
+ * lease has expired. A lost machine is replaced, but its tasks stay held until the lease expires.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -10,32 +10,32 @@
 import type { Instant } from '../model/time.js';
 import { isLiveReplica } from '../scheduling/services.js';
 
-/** Silent machines that are never taken for a mass outage, however small the fleet. */
+/** Up to this many overdue machines are never a mass outage, however small the fleet is. */
 const MASS_OUTAGE_MIN_MACHINES = 2;
-/** More silent machines than this share of the fleet, its usual headroom, get time to come back. */
+/** Overdue machines above this share of the fleet, its usual headroom, count as a mass outage. */
 const MASS_OUTAGE_SHARE = 0.2;
-/** With more than this share of the fleet silent, this leader is more likely cut off than they. */
+/** Above this share of overdue machines, this leader is more likely isolated than they are. */
 const LEADER_ISOLATION_SHARE = 0.6;
 /**
- * Silence after which a machine with replicas is replaced: in heartbeat intervals, and no less than
- * a lost reply and a new connection take.
+ * Heartbeat timeout of a machine with replicas, in heartbeat intervals. The minimum covers a lost
+ * reply followed by a new connection.
  */
 const REPLICA_MISSED_HEARTBEATS = 2.5;
 const REPLICA_TIMEOUT_MIN_MS = 10_000;
-/** Worker leases that silent machines are given to come back when many are silent at once. */
+/** Heartbeat timeout during a mass outage, in worker leases, so that machines can recover. */
 const MASS_OUTAGE_TIMEOUT_LEASES = 2;
 
-/** How long machines may be silent before they are lost, in milliseconds. */
+/** Time without a heartbeat, in milliseconds, after which a machine counts as lost. */
 interface HeartbeatTimeouts {
-  /** For machines with replicas. */
+  /** Timeout of machines with replicas. */
   readonly replicaMs: number;
-  /** For all others. */
+  /** Timeout of all other machines. */
   readonly defaultMs: number;
-  /** So many are silent that this leader is more likely cut off. */
+  /** So many machines are overdue that this leader itself is probably isolated. */
   readonly isLeaderLikelyIsolated: boolean;
 }
 
-/** A machine from which heartbeats are expected: it has sent one, or the ledger has work on it. */
+/** Whether heartbeats are expected: the machine has sent one, or the ledger has work on it. */
 const isHeartbeatExpected = (machine: Machine): boolean =>
   machine.hasReported || machine.placements.size > 0;
 
@@ -45,16 +45,17 @@
   let overdueMachines = 0;
   let expectedMachines = 0;
   for (const machine of state.machines.values()) {
-    // A new leader knows some machines from the ledger alone. They count too: those that a cut-off
-    // former leader still holds would otherwise all be replaced after a few heartbeat intervals.
+    // Machines known from the ledger alone count too. Otherwise a new leader would replace, after
+    // a few heartbeat intervals, all machines that still report to an isolated former leader.
     if (!isHeartbeatExpected(machine)) continue;
     expectedMachines += 1;
-    // Counted at half the limit: of machines that all fall silent within one heartbeat interval,
-    // none may be deleted before the others are counted.
+    // Overdue from half the timeout on: when machines fail within one heartbeat interval of one
+    // another, all must be counted before the first is deleted.
     if (now - machine.lastHeartbeatAt > limitMs / 2) overdueMachines += 1;
   }
-  // Many at once are more likely cut off or hanging than dead, or the fault is this leader's: they
-  // get time to come back, since a replacement boots first. The cloud lists the dead as failed.
+  // Many overdue machines are more likely partitioned or stalled than dead, or this leader is at
+  // fault. They get time to recover, as replacements must boot first. The cloud lists dead
+  // machines as failed.
   const isMassOutage =
     overdueMachines > Math.max(MASS_OUTAGE_MIN_MACHINES, expectedMachines * MASS_OUTAGE_SHARE);
   return {
@@ -70,8 +71,9 @@
 };
 
 /**
- * A replica is missed at once, and machines with replicas are few: replacing them is no mass
- * deletion. Not where this leader is suspect: there the replicas most likely run.
+ * Returns the heartbeat timeout of a machine. Machines with replicas get the short one, because a
+ * lost replica matters at once and such machines are few, so replacing them is no mass deletion.
+ * If this leader is probably isolated, their replicas are probably running.
  */
 const heartbeatTimeoutMs = (machine: Machine, timeouts: HeartbeatTimeouts): number =>
   !timeouts.isLeaderLikelyIsolated &&
@@ -86,7 +88,7 @@
   now: Instant,
 ): boolean => {
   const heartbeatAgeMs = now - machine.lastHeartbeatAt;
-  // The replicas' limit is the shortest: most machines are within it and need no further look.
+  // The replica timeout is the shortest; checking it first avoids scanning most placements.
   return (
     isHeartbeatExpected(machine) &&
     heartbeatAgeMs > timeouts.replicaMs &&
@@ -94,7 +96,7 @@
   );
 };
 
-/** What a machine held has ended with its lease, whether the machine comes back or not. */
+/** Releases placements whose worker lease has expired: the worker has ended them by then. */
 const releaseExpiredPlacements = (state: CoreState, machine: Machine, now: Instant): void => {
   if (machine.placements.size === 0 || now <= workerLeaseExpiresAt(state, machine)) return;
   for (const placement of [...machine.placements.values()]) {
@@ -104,7 +106,7 @@
   machine.isReady = false;
 };
 
-/** Marks machines that miss heartbeats as lost, and releases tasks whose lease has expired. */
+/** Runs one tick of loss detection. */
 export const detectLostMachines = (state: CoreState, now: Instant): void => {
   const timeouts = computeHeartbeatTimeouts(state, now);
   for (const machine of state.machines.values()) {
--- a/src/core/fleet/machine-health.ts
+++ b/src/core/fleet/machine-health.ts
@@ -1,11 +1,11 @@
-/** The state of one machine: how it begins, and whether the machine may take work. */
+/** Initial state of a machine, and the checks whether it may be given work. */
 
 import type { CoreState } from '../core-state.js';
 import type { Machine } from '../model/entities.js';
 import type { MachineId, MachineTypeName, ZoneName } from '../model/ids.js';
 import type { Instant } from '../model/time.js';
 
-/** A machine that this leader has just learned of: nothing is on it, and it takes no work yet. */
+/** Creates the state of a newly discovered machine: without placements and not yet ready. */
 export const createMachine = (
   id: MachineId,
   attributes: { endpoint: string; type: MachineTypeName; zone: ZoneName; spot: boolean },
@@ -49,17 +49,17 @@
   pendingReply: null,
 });
 
-/** Replies in a row that did not reach a machine, after which it gets no more work. */
+/** Consecutive unacknowledged replies after which a machine gets no more work. */
 export const UNACKNOWLEDGED_REPLY_LIMIT = 2;
 
-/** Silence in heartbeat intervals after which a machine gets no more work: it would only wait. */
+/** Age of the last heartbeat, in intervals, above which new work would only wait for the next. */
 const MAX_HEARTBEAT_AGE_INTERVALS = 2;
 
-/** Whether a machine is silent for longer than a lost heartbeat explains; it need not be lost. */
+/** Whether more heartbeats are missing than one lost message explains; not yet a lost machine. */
 export const hasMissedHeartbeats = (state: CoreState, machine: Machine, now: Instant): boolean =>
   now - machine.lastHeartbeatAt > MAX_HEARTBEAT_AGE_INTERVALS * state.config.heartbeatIntervalMs;
 
-/** Whether a machine may be given work now. */
+/** Whether new attempts may be placed on a machine. */
 export const isSchedulable = (state: CoreState, machine: Machine, now: Instant): boolean =>
   machine.isReady &&
   !hasMissedHeartbeats(state, machine, now) &&
--- a/src/core/fleet/provision-requests.ts
+++ b/src/core/fleet/provision-requests.ts
@@ -1,6 +1,6 @@
 /**
- * Requests to the cloud for machines of one instance pool each, from the request to its answer.
- * A request's name is never used again, so that a late answer cannot be taken for another's.
+ * Provision requests to the cloud, each for machines of one instance pool. Request ids are never
+ * reused, so a late response cannot be matched to another request.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -11,19 +11,18 @@
 import { addMillis, type Instant, type Millis, seconds } from '../model/time.js';
 import { createMachine } from './machine-health.js';
 
-/** Requests under way at once; the cloud's rate is shared with lists and deletions. */
+/** Maximum outstanding requests; list calls and deletions share the cloud's rate limit. */
 export const MAX_CONCURRENT_REQUESTS = 4;
-/** The least processors that a machine or task counts for: prices and shares divide by them. */
+/** Lower bound on processors where prices and shares divide by them. */
 export const MIN_COUNTED_CPUS = 0.1;
 
 const MAX_MACHINES_PER_REQUEST = 50;
-/** After this the answer is taken for lost, and the request no longer counts as supply. */
+/** Time after which a response counts as lost and its request no longer counts as supply. */
 const RESPONSE_TIMEOUT_MS = 15_000 as Millis;
-/** A pool that was refused pauses for this long per refusal in a row, up to the maximum. */
+/** Backoff of a pool per consecutive refusal, up to `MAX_COUNTED_REFUSALS`. */
 const REFUSAL_PAUSE_S = 4;
 const MAX_COUNTED_REFUSALS = 4;
 
-/** Stops waiting for requests whose answer is overdue. */
 export const expireProvisionRequests = (state: CoreState, now: Instant): void => {
   for (const pool of state.instancePools.values()) {
     for (const [request, { requestedAt }] of pool.outstandingRequests) {
@@ -46,7 +45,7 @@
   }
 };
 
-/** Takes in the cloud's answer: new machines, and a pause for a pool that could not fill it. */
+/** Applies a provision result: adds its machines; a pool that returned too few backs off. */
 export const handleProvisionResult = (
   state: CoreState,
   command: Extract<Command, { kind: 'provision-result' }>,
@@ -86,18 +85,18 @@
   });
 };
 
-/** Where requests are recorded and sent: all of one tick share `effects`. */
+/** State, time and effects of one tick, shared by all steps that request machines. */
 export interface ProvisionContext {
   readonly state: CoreState;
   readonly now: Instant;
-  /** The tick's requests so far. */
+  /** Provision requests made so far in this tick. */
   readonly effects: Effect[];
 }
 
 /**
- * Requests about this many processors from the first pools that are not pausing. Capacity shows
- * only when it is requested: several pools are asked at once, each for its share of the gap, the
- * cheapest several times over where one request cannot hold its share.
+ * Requests about `cpus` processors from the first pools that are not backing off. A pool's capacity
+ * is known only from the response, so several pools each get an equal share in parallel; a share
+ * that exceeds one request is split into several, the first (cheapest) pools first.
  */
 export const requestCapacity = (
   context: ProvisionContext,
@@ -105,7 +104,7 @@
   cpus: number,
 ): void => {
   const { state, now, effects } = context;
-  // Requests of this tick are in both counts: after the first call of a tick fewer are allowed.
+  // This tick's requests are in both counts, so later calls in a tick may issue fewer requests.
   let outstandingCount = effects.length;
   for (const pool of state.instancePools.values())
     outstandingCount += pool.outstandingRequests.size;
@@ -115,7 +114,7 @@
   for (const pool of available) {
     const machineCpus = Math.max(pool.type.cpus, MIN_COUNTED_CPUS);
     let poolShareCpus = Math.min(unrequestedCpus, shareCpus);
-    // A pool that was refused lately is tried with one request, not with several in vain.
+    // A pool that refused its last request is probed with a single request.
     const poolLimit = pool.refusals > 0 ? 1 : MAX_CONCURRENT_REQUESTS;
     while (
       poolShareCpus > 0 &&
--- a/src/core/fleet/scale-in.ts
+++ b/src/core/fleet/scale-in.ts
@@ -1,4 +1,4 @@
-/** Machines that leave by decision: idle ones, faulty ones, and those that the cloud reclaims. */
+/** Scale-in: drains idle and faulty machines, and evicts tasks from machines to be reclaimed. */
 
 import type { CoreState } from '../core-state.js';
 import { occupiesMachine } from '../lifecycle/attempts.js';
@@ -8,11 +8,11 @@
 import { updateReservedOnDemandCpus } from '../scheduling/service-reservation.js';
 import { addOnDemandSupply, isSupply, machineCpus, measureDemand } from './demand.js';
 
-/** A machine on which tasks of this many jobs failed is faulty itself. */
+/** A machine on which tasks of this many jobs have failed counts as faulty. */
 const FAULTY_AFTER_FAILED_JOBS = 2;
-/** With more machines draining, as a share of the fleet, no further one is quarantined. */
+/** Above this share of draining machines in the fleet, no further machine is quarantined. */
 const MAX_DRAINING_SHARE = 0.2;
-/** A checkpoint before a reclaim must be written this long before the machine goes. */
+/** A checkpoint must be complete this long before the machine is reclaimed. */
 const RECLAIM_MARGIN_S = 0.5;
 
 const isIdle = (state: CoreState, machine: Machine, now: Instant): boolean =>
@@ -22,8 +22,8 @@
   now - machine.idleSince >= state.config.policy.scaleInAfterIdleS * 1000;
 
 /**
- * Drains machines that have long been idle, as far as supply exceeds demand. On-demand machines
- * leave only as far as services that need those do not use them.
+ * Drains machines that have been idle for the policy's idle time while supply exceeds demand.
+ * On-demand machines are drained only beyond the capacity reserved for services that need them.
  */
 export const scaleInIdleMachines = (state: CoreState, now: Instant): void => {
   const { suppliedCpus, requiredCpus } = measureDemand(state, now);
@@ -42,8 +42,9 @@
 };
 
 /**
- * Drains a machine that fails tasks of several jobs; it is replaced once it is empty. No more than
- * a fifth of the fleet: failures on more are unlikely to be the machines' fault.
+ * Drains a machine on which tasks of several jobs have failed; it is replaced once empty. Returns
+ * false, without effect, if it is not faulty or already draining, or if over a fifth of the fleet
+ * drains: failures on that many machines are unlikely to be their fault.
  */
 export const quarantineFaultyMachine = (
   state: CoreState,
@@ -59,21 +60,21 @@
   return true;
 };
 
-/** Services are left out: they move once there is capacity for them elsewhere. */
+/** Replicas are not evicted: they move once there is capacity elsewhere. */
 const isEvictable = (placement: Placement): boolean =>
   occupiesMachine(placement.phase) &&
   !placement.stopRequest &&
   !(placement.job && isService(placement.job));
 
-/** When a task ends by its estimate, if it runs on or starts now. */
+/** Estimated end of a task, assuming that one that is not running yet starts now. */
 const estimatedEnd = ({ job, phase, startedAt }: Placement, now: Instant): number => {
   const estimateMs = (job?.spec.estimateS ?? 0) * 1000;
   return (phase === 'running' && startedAt !== null ? startedAt : now) + estimateMs;
 };
 
 /**
- * On a machine that the cloud is about to reclaim: tasks that cannot end in time write a
- * checkpoint, or stop at once to start again elsewhere.
+ * Requests a stop of tasks that cannot end before the cloud reclaims the machine. Tasks with
+ * checkpoints get time to write one; others stop at once and restart elsewhere.
  */
 export const evictBeforeReclaim = (machine: Machine, now: Instant): void => {
   if (machine.reclaimAt === null) return;
--- a/src/core/fleet/scale-out.ts
+++ b/src/core/fleet/scale-out.ts
@@ -1,6 +1,6 @@
 /**
- * Scale out: which machines to provision. First on-demand ones for services that may use no others,
- * then for demand as a whole, then for jobs that only few instance pools suit.
+ * Scale-out: provisions on-demand machines for services that must not use spot, then machines for
+ * total demand, then for jobs that only few instance pools suit.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -33,27 +33,26 @@
   requestCapacity,
 } from './provision-requests.js';
 
-/** Arrays that have waited this long beside capacity reserved for services get their own. */
+/** Wait after which an array that a reservation for services blocks gets capacity of its own. */
 const RESERVED_CAPACITY_WAIT_MS = 45_000;
-/** Jobs whose own capacity is examined in one tick, which bounds its work. */
+/** Maximum number of jobs examined individually per tick; bounds the tick's duration. */
 const MAX_JOBS_EXAMINED = 50;
 
-/** What the steps of one tick work on. */
 interface ScaleOutContext extends ProvisionContext {
-  /** All pools, the cheapest first. */
+  /** All pools, ordered by price per processor. */
   readonly pools: readonly InstancePool[];
-  /** Jobs with tasks that wait for a machine. */
+  /** Unfinished jobs with pending tasks. */
   readonly jobs: readonly Job[];
 }
 
 const pricePerCpu = ({ spot, type }: InstancePool): number =>
   (spot ? type.spotPrice : type.price) / Math.max(type.cpus, MIN_COUNTED_CPUS);
 
-/** Cheapest per processor first; of equals the more powerful. */
+/** Orders pools by price per processor, then larger machines first. */
 const compareByPrice = (a: InstancePool, b: InstancePool): number =>
   pricePerCpu(a) - pricePerCpu(b) || b.type.cpus - a.type.cpus || (a.key < b.key ? -1 : 1);
 
-/** Whether a machine of the pool, while it is empty, suits a task of the job. */
+/** Whether a task of the job fits an empty machine of the pool. */
 const isPoolFeasible = (job: Job, { type, zone, spot }: InstancePool): boolean => {
   const { spec } = job;
   if (spec.machineTypes && !spec.machineTypes.includes(type.name)) return false;
@@ -61,7 +60,7 @@
   return spec.cpus <= type.cpus && spec.gpus <= type.gpus && spec.memoryGb <= type.memoryGb;
 };
 
-/** On-demand machines first: demand as a whole would be met by cheaper ones. */
+/** Requests on-demand machines for services; requests for total demand prefer cheaper pools. */
 const provisionForServices = (context: ScaleOutContext): void => {
   const { state, now, pools } = context;
   const requiredCpus = updateReservedOnDemandCpus(state, now);
@@ -77,7 +76,6 @@
   if (suppliedCpus < requiredCpus) requestCapacity(context, feasible, requiredCpus - suppliedCpus);
 };
 
-/** Free processors on machines that are reserved for services. */
 const freeReservedCpus = (state: CoreState): number => {
   let cpus = 0;
   for (const machine of state.machines.values())
@@ -85,7 +83,7 @@
   return cpus;
 };
 
-/** Whether a task of the job would fit a machine, were it not reserved for services. */
+/** Whether a machine reserved for services has processors and GPUs free for a task of the job. */
 const fitsReservedMachine = (state: CoreState, { spec }: Job, machine: Machine): boolean => {
   const type = machine.isReservedForServices ? state.types.get(machine.type) : undefined;
   return (
@@ -96,7 +94,7 @@
   );
 };
 
-/** An array that has long waited though a machine reserved for services has capacity for it. */
+/** Whether an array has waited long and only the reservation for services blocks it. */
 const isBlockedByReservation = (state: CoreState, job: Job, now: Instant): boolean => {
   if (isService(job) || !job.spec.allowsSpot || job.waitingReason !== NO_MACHINE_REASON)
     return false;
@@ -108,11 +106,11 @@
   return false;
 };
 
-/** Closes the gap between demand as a whole and supply, from pools that suit a waiting job. */
+/** Requests the difference between total demand and supply from pools that suit a pending job. */
 const provisionForDemand = (context: ScaleOutContext): void => {
   const { state, now, pools, jobs } = context;
   const { requiredCpus, suppliedCpus } = measureDemand(state, now);
-  // What is reserved for services is no supply for arrays that may not use it.
+  // Capacity reserved for services is not supply for arrays that it blocks.
   const reservedCpus = freeReservedCpus(state);
   const isReservationBlocking =
     reservedCpus > 0 && jobs.some((job) => isBlockedByReservation(state, job, now));
@@ -124,15 +122,15 @@
 };
 
 /**
- * A service is not tried on other machines while the one that fails it counts as capacity; once
- * several fail it, they are not to blame.
+ * Whether a machine that failed a service does not count as capacity for it; otherwise no other
+ * machine would be provisioned. Once several machines have failed it, the service is at fault.
  */
 const isExcludedByFailures = (job: Job, machine: Machine): boolean =>
   isService(job) &&
   job.failedMachines.size < FAILED_MACHINES_LIMIT &&
   job.failedMachines.has(machine.id);
 
-/** Tasks of arrays end and free their capacity; replicas of other services do not. */
+/** Whether a task fits beside the machine's replicas. Tasks of arrays end and are ignored. */
 const fitsBesideReplicas = ({ spec }: Job, machine: Machine, type: MachineType): boolean => {
   let { cpus, gpus, memoryGb } = type;
   for (const placement of machine.placements.values()) {
@@ -144,7 +142,7 @@
   return spec.cpus <= cpus && spec.gpus <= gpus && spec.memoryGb <= memoryGb;
 };
 
-/** Whether a task of the job can start on the machine, now or once arrays' tasks there end. */
+/** Whether a task of the job can start on the machine, now or once its array tasks have ended. */
 const isMachineSuitable = (state: CoreState, job: Job, machine: Machine): boolean => {
   const type = state.types.get(machine.type);
   return (
@@ -158,8 +156,8 @@
 };
 
 /**
- * Whether a suitable machine is there or requested. Zone constraints count: a service that must be
- * spread would wait for good where all machines are in a zone that has its half.
+ * Whether a suitable machine exists or is requested. Zone constraints count: a service spread over
+ * zones would wait forever if all machines were in a zone that already has half of its replicas.
  */
 const hasSuitableSupply = ({ state, pools }: ScaleOutContext, job: Job): boolean => {
   for (const pool of pools) {
@@ -176,15 +174,15 @@
 };
 
 /**
- * Tasks for which machines may be provisioned. A service that fails where it is alone may run
- * elsewhere; an array that pauses has failed on several machines already.
+ * Number of tasks for which machines may be provisioned. 0 for an array in backoff, which has
+ * failed on several machines; a service in backoff may still run on another machine.
  */
 const countPlaceableTasks = (state: CoreState, job: Job, now: Instant): number =>
   now < job.retryAt && !isService(job)
     ? 0
     : Math.min(job.pendingTasks, countTasksWithinQuota(state, job));
 
-/** Jobs that only few pools suit: where those have no supply, requests what the job needs. */
+/** Requests capacity for jobs that no present or requested machine suits. */
 const provisionForConstrainedJobs = (context: ScaleOutContext): void => {
   const { state, now, effects, pools, jobs } = context;
   const satisfiedRequirements = new Set<string>();
@@ -194,7 +192,7 @@
     examined += 1;
     const taskLimit = countPlaceableTasks(state, job, now);
     if (taskLimit <= 0) continue;
-    // Zone constraints depend on where the job's tasks are: its answer holds for no other job.
+    // Zone constraints depend on where the job's tasks run: the result holds for no other job.
     const isResultReusable = !job.spec.singleZone && !job.spec.spreadZones;
     if (isResultReusable && satisfiedRequirements.has(job.requirementsKey)) continue;
     if (hasSuitableSupply(context, job)) {
@@ -208,9 +206,8 @@
   }
 };
 
-/** The requests for machines that are due in this tick. */
 export const planScaleOut = (state: CoreState, now: Instant): Effect[] => {
-  // Before the cloud's list is read, requests could repeat those of a former leader.
+  // Before the machine list has been read, requests could duplicate those of a former leader.
   if (!state.hasReadMachineList) return [];
   expireProvisionRequests(state, now);
   const context: ScaleOutContext = {
