--- a/src/core/fleet/deletions.ts
+++ b/src/core/fleet/deletions.ts
@@ -1,4 +1,4 @@
-/** Machine deletions: selects the machines to delete and requests their deletion from the cloud. */
+/** Machine deletions: selects machines and requests their deletion from the cloud. */
 
 import type { CoreState } from '../core-state.js';
 import type { Effect } from '../model/effect.js';
@@ -6,11 +6,11 @@
 import type { MachineId } from '../model/ids.js';
 import type { Instant } from '../model/time.js';
 
-/** Upper bound on machines deleted per tick; the remainder is deleted in later ticks. */
+/** Maximum machines deleted per tick; later ticks delete the rest. */
 const MAX_MACHINES_PER_DELETION = 100;
 /** Boot time assumed for a machine whose type is unknown. */
 const DEFAULT_BOOT_S = 60;
-/** Added to the boot timeout, which is otherwise a multiple of the type's boot time. */
+/** Added to the boot timeout. */
 const BOOT_TIMEOUT_MARGIN_MS = 15_000;
 
 /**
@@ -25,7 +25,7 @@
   return now - machine.provisionedAt > timeoutMs && now - machine.firstSeenAt > workerLeaseMs;
 };
 
-/** Returns the reason for deleting a machine, as logged, or null if it must not be deleted. */
+/** Returns the reason for deleting a machine, as logged, or null to keep it. */
 const deletionReason = (state: CoreState, machine: Machine, now: Instant): string | null => {
   if (machine.isUnreachable) return 'unreachable';
   if (machine.lostAt !== null) return machine.lostReason;
@@ -34,7 +34,7 @@
   return null;
 };
 
-/** Marks the machines to delete and returns the effects that log and request their deletion. */
+/** Marks machines as deleting and returns the effects that delete them. */
 export const planDeletions = (state: CoreState, now: Instant): Effect[] => {
   const machines: MachineId[] = [];
   const countByReason: Record<string, number> = {};
--- a/src/core/fleet/fleet-management.ts
+++ b/src/core/fleet/fleet-management.ts
@@ -1,6 +1,6 @@
 /**
  * One tick of fleet management: loss detection, eviction before reclaims, scale-in, deletions and
- * scale-out. Each step relies on the marks that earlier steps set on machines.
+ * scale-out. Steps rely on the marks that earlier steps set on machines.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -11,7 +11,7 @@
 import { evictBeforeReclaim, scaleInIdleMachines } from './scale-in.js';
 import { planScaleOut } from './scale-out.js';
 
-/** Runs one tick and returns the effects that delete and provision machines. */
+/** Returns the effects that delete and provision machines. */
 export const manageFleet = (state: CoreState, now: Instant): Effect[] => {
   detectLostMachines(state, now);
   for (const machine of state.machines.values()) evictBeforeReclaim(machine, now);
--- a/src/core/fleet/loss-detection.ts
+++ b/src/core/fleet/loss-detection.ts
@@ -27,11 +27,11 @@
 
 /** Time without a heartbeat, in milliseconds, after which a machine counts as lost. */
 interface HeartbeatTimeouts {
-  /** Timeout of machines with replicas. */
+  /** For machines with replicas. */
   readonly replicaMs: number;
-  /** Timeout of all other machines. */
+  /** For all other machines. */
   readonly defaultMs: number;
-  /** So many machines are overdue that this leader itself is probably isolated. */
+  /** Whether so many machines are overdue that this leader is probably isolated. */
   readonly isLeaderLikelyIsolated: boolean;
 }
 
@@ -54,7 +54,7 @@
     if (now - machine.lastHeartbeatAt > limitMs / 2) overdueMachines += 1;
   }
   // Many overdue machines are more likely partitioned or stalled than dead, or this leader is at
-  // fault. They get time to recover, as replacements must boot first. The cloud lists dead
+  // fault. They get time to recover: replacements must boot first, and the cloud lists dead
   // machines as failed.
   const isMassOutage =
     overdueMachines > Math.max(MASS_OUTAGE_MIN_MACHINES, expectedMachines * MASS_OUTAGE_SHARE);
@@ -106,7 +106,6 @@
   machine.isReady = false;
 };
 
-/** Runs one tick of loss detection. */
 export const detectLostMachines = (state: CoreState, now: Instant): void => {
   const timeouts = computeHeartbeatTimeouts(state, now);
   for (const machine of state.machines.values()) {
--- a/src/core/fleet/scale-in.ts
+++ b/src/core/fleet/scale-in.ts
@@ -1,4 +1,4 @@
-/** Scale-in: drains idle and faulty machines, and evicts tasks from machines to be reclaimed. */
+/** Drains idle and faulty machines, and evicts tasks from machines to be reclaimed. */
 
 import type { CoreState } from '../core-state.js';
 import { occupiesMachine } from '../lifecycle/attempts.js';
@@ -42,9 +42,9 @@
 };
 
 /**
- * Drains a machine on which tasks of several jobs have failed; it is replaced once empty. Returns
- * false, without effect, if it is not faulty or already draining, or if over a fifth of the fleet
- * drains: failures on that many machines are unlikely to be their fault.
+ * Drains a machine on which tasks of several jobs have failed, for replacement once it is empty.
+ * Does nothing and returns false if it is not faulty or drains already, or if over a fifth of the
+ * fleet drains: failures on that many machines are unlikely to be their fault.
  */
 export const quarantineFaultyMachine = (
   state: CoreState,
--- a/src/ports/health-check.ts
+++ b/src/ports/health-check.ts
@@ -1,5 +1,3 @@
-/** Health check for load balancers. */
-
 /** Reports whether a load balancer may route users' requests to this controller. */
 export interface HealthCheck {
   isReady(): boolean;
--- a/src/ports/heartbeat-service.ts
+++ b/src/ports/heartbeat-service.ts
@@ -5,7 +5,7 @@
 
 /** The answer to a heartbeat; the adapter maps each kind to a response of the protocol. */
 export type HeartbeatDecision =
-  /** Commands for the worker, which rejects them if it has seen a higher fencing token. */
+  /** Commands for the worker, which ignores them if it has seen a higher fencing token. */
   | {
       readonly kind: 'commands';
       readonly fencingToken: FencingToken;
--- a/src/ports/key-value-store.ts
+++ b/src/ports/key-value-store.ts
@@ -33,7 +33,6 @@
   | { readonly key: string; readonly value: unknown; readonly revision: Revision }
   | { readonly key: string; readonly deleted: true; readonly revision: Revision };
 
-/** Result of a watch call. */
 export type WatchResult =
   /** Ordered changes (none if the poll timed out) and the revision for the next call. */
   | { readonly kind: 'changes'; readonly revision: Revision; readonly changes: Change[] }
@@ -64,10 +63,8 @@
   | { readonly kind: 'too-large' }
   | StoreFailure;
 
-/** Result of a request for a lease. */
 export type LeaseGrantResult = { readonly kind: 'granted'; readonly lease: LeaseId } | StoreFailure;
 
-/** Result of a lease renewal. */
 export type LeaseRenewalResult =
   | { readonly kind: 'renewed' }
   | { readonly kind: 'lease-expired' }
@@ -94,7 +91,7 @@
   grantLease(ttlMs: number): Promise<LeaseGrantResult>;
   renewLease(lease: LeaseId): Promise<LeaseRenewalResult>;
   revokeLease(lease: LeaseId): Promise<void>;
-  /** Returns the changes under a prefix since a revision; waits `pollTimeoutMs` for the first. */
+  /** Returns changes under a prefix since a revision; waits up to `pollTimeoutMs` for the first. */
   watch(prefix: string, since: Revision, pollTimeoutMs: number): Promise<WatchResult>;
   /** Sets the write rate to `scale` times this node's share. */
   scaleWriteRate(scale: number): void;
--- a/src/ports/peer.ts
+++ b/src/ports/peer.ts
@@ -9,13 +9,13 @@
 export type PeerRequest =
   /** To the leader: returns a job's state, explains why it waits, or cancels it. */
   | { readonly ask: 'status' | 'explain' | 'abort'; readonly job?: JobId | undefined }
-  /** Looks up a job in the key-value store for a node that cannot reach the store. */
+  /** Looks up a job in the key-value store for a node that cannot reach it. */
   | { readonly ask: 'look'; readonly job?: JobId | undefined }
   /** Lists a team's unfinished jobs. */
   | { readonly ask: 'list'; readonly team?: TeamName | undefined }
-  /** Returns the leader known to the peer, and whether the peer reaches the store and workers. */
+  /** Returns the leader that the peer knows, and whether it reaches the store and workers. */
   | { readonly ask: 'health' }
-  /** Admits a job, given as a stored record, for a node that cannot reach the store. */
+  /** Admits a job, given as its record, for a node that cannot reach the store. */
   | { readonly ask: 'admit'; readonly record?: unknown }
   /** To the leader: executes an operator's call to an extension. */
   | {
--- a/src/ports/user-api.ts
+++ b/src/ports/user-api.ts
@@ -29,9 +29,8 @@
   /** The job could never run on this cluster. */
   | { readonly kind: 'infeasible'; readonly reason: string };
 
-/** Result of a submission. */
 export type SubmissionResult =
-  /** The job has been stored by this submission. */
+  /** This submission has stored the job. */
   | { readonly kind: 'accepted'; readonly job: JobView }
   /** A job with this id was accepted before, whatever the body of this request. */
   | { readonly kind: 'already-known'; readonly job: JobView }
@@ -58,7 +57,7 @@
   | { readonly kind: 'listed'; readonly jobs: readonly JobView[] }
   | { readonly kind: 'unavailable'; readonly reason: string };
 
-/** Answers users' requests; every controller provides it. */
+/** Answers users' requests on any controller. */
 export interface UserApi {
   /** Stores and accepts a job; idempotent by job id. */
   submit(id: JobId, request: SubmissionRequest): Promise<SubmissionResult>;
--- a/src/service/jobs/cancellation-service.ts
+++ b/src/service/jobs/cancellation-service.ts
@@ -1,4 +1,4 @@
-/** Cancellation of jobs. The leader alone stores ends; a cancelled job is told of once stored. */
+/** Job cancellation. Only the leader stores completions; a cancellation is reported once stored. */
 import type { JobId } from '../../core/model/ids.js';
 import type { LookupResult } from '../../ports/user-api.js';
 import type { Dependencies } from '../dependencies.js';
@@ -10,10 +10,10 @@
 import type { JobQueryService } from './job-query-service.js';
 import { STORE_UNAVAILABLE } from './job-views.js';
 
-/** The second attempt follows once a job that the leader did not know was read from the store. */
+/** The second attempt follows after a job unknown to the leader has been read from the store. */
 const MAX_ATTEMPTS = 2;
 
-/** Cancels jobs at any controller. */
+/** Cancels jobs on any controller. */
 export class CancellationService {
   constructor(
     private readonly dependencies: Dependencies,
@@ -23,7 +23,7 @@
     private readonly currentTerm: () => LeaderTerm | null,
   ) {}
 
-  /** Cancels here if this node leads, else through the leader; idempotent. */
+  /** Cancels a job, through the leader if this node does not lead; idempotent. */
   async cancel(id: JobId): Promise<LookupResult> {
     const ended = this.completions.view(id);
     if (ended) return { kind: 'found', job: ended };
@@ -38,7 +38,7 @@
     return isUnfinished ? STORE_UNAVAILABLE : stored;
   }
 
-  /** Cancels under this node's own term; unavailable when it has none, or no valid lease. */
+  /** Cancels a job as leader; returns unavailable without a term or a valid leader lease. */
   async cancelAsLeader(id: JobId): Promise<LookupResult> {
     const term = this.currentTerm();
     if (term?.authority() !== 'lead') return STORE_UNAVAILABLE;
@@ -49,7 +49,7 @@
         const ended = this.completions.view(id);
         return ended ? { kind: 'found', job: ended } : this.queries.lookUpInStore(id);
       }
-      // Not known here: over, never accepted, or accepted elsewhere a moment ago.
+      // Unknown to this leader: ended, never accepted, or just accepted by another controller.
       const stored = await this.dependencies.store.get(jobKey(id));
       if (stored.kind !== 'found') break;
       const { key, value, revision } = stored.item;
--- a/src/service/jobs/completion-cache.ts
+++ b/src/service/jobs/completion-cache.ts
@@ -1,16 +1,16 @@
 /**
- * Completions that this node knows of. A stored end never changes, so that any node may tell it
- * without asking; nothing else about a job may be told from memory.
+ * Cache of job completions. A stored completion never changes, so any node may report it from
+ * memory; no other job state may be reported from a cache.
  */
 import type { JobId } from '../../core/model/ids.js';
 import type { JobView } from '../../ports/user-api.js';
 import type { JobCompletion } from '../stored-records.js';
 import { viewOfCompletion } from './job-views.js';
 
-/** Bounds the cache's memory; older completions are read from the key-value store again. */
+/** Bounds the cache's memory; evicted completions are read from the key-value store again. */
 const MAX_COMPLETIONS = 20_000;
 
-/** The latest completions, by job. Holds stored ends only. */
+/** The most recent stored completions by job id. */
 export class CompletionCache {
   private readonly completions = new Map<JobId, JobCompletion>();
 
@@ -22,14 +22,14 @@
     }
   }
 
-  /** Remembers a peer's view if it tells the job's end; true if it does. */
+  /** Caches the completion in a peer's view and returns true, or false if the job has not ended. */
   addIfEnded({ id, status, done, team }: JobView): boolean {
     if (status !== 'done' && status !== 'cancelled') return false;
     this.add(id, { outcome: status, tasks: done, team });
     return true;
   }
 
-  /** The job's end, or null where none is known here. */
+  /** Returns a view of the cached completion, or null if none is cached. */
   view(id: JobId): JobView | null {
     const completion = this.completions.get(id);
     return completion ? viewOfCompletion(id, completion) : null;
--- a/src/service/jobs/job-query-service.ts
+++ b/src/service/jobs/job-query-service.ts
@@ -1,6 +1,7 @@
 /**
- * What a controller may say of a job: a stored end from any cache, all else by the leader under a
- * valid lease or by the key-value store. Anything else could be older than what another node said.
+ * Job queries. Stored completions may come from any cache; all other state must come from the
+ * leader under a valid lease or from the key-value store, because any other source could be older
+ * than what another node has reported.
  */
 import { steadyNow } from '../../adapters/runtime/clock.js';
 import { explainJob, viewJob } from '../../core/lifecycle/job-view.js';
@@ -19,11 +20,11 @@
 import type { CompletionCache } from './completion-cache.js';
 import { STORE_UNAVAILABLE, viewOfAcceptedJob, viewOfCompletion } from './job-views.js';
 
-/** A list must fit a frame between controllers. */
+/** Keeps a list within one frame between controllers. */
 const MAX_LISTED_JOBS = 200;
 const NO_LEADER = 'no leader to ask';
 
-/** Answers questions about jobs at any controller. */
+/** Answers job queries on any controller. */
 export class JobQueryService {
   constructor(
     private readonly dependencies: Dependencies,
@@ -32,13 +33,13 @@
     private readonly currentTerm: () => LeaderTerm | null,
   ) {}
 
-  /** The term under which this node may speak as the leader, if any. */
+  /** Returns the current term if this node leads with a valid lease, else null. */
   private authoritativeTerm(): LeaderTerm | null {
     const term = this.currentTerm();
     return term?.authority() === 'lead' ? term : null;
   }
 
-  /** What this node may say alone: stored ends and, as leader with a valid lease, all it knows. */
+  /** Returns a cached completion or, under a valid leader lease, this leader's view; else null. */
   viewLocally(id: JobId): JobView | null {
     const ended = this.completions.view(id);
     if (ended) return ended;
@@ -46,9 +47,9 @@
     return term && viewJob(term.commandLoop.core, id, steadyNow());
   }
 
-  /** What the key-value store holds of a job. */
+  /** Looks a job up in the key-value store; caches a completion that it finds. */
   async lookUpInStore(id: JobId): Promise<LookupResult> {
-    // In this order: a job's record and its completion change places in a single transaction.
+    // The job record must be read first: one transaction replaces it by the completion.
     const job = await this.dependencies.store.get(jobKey(id));
     if (job.kind === 'found') return { kind: 'found', job: this.viewOfRecord(id, job.item.value) };
     if (job.kind !== 'absent') return STORE_UNAVAILABLE;
@@ -64,11 +65,11 @@
     const record = decodeJob(value);
     const waiting = NO_LEADER;
     if (record) return { ...viewOfAcceptedJob(record.spec), id, waiting };
-    // A record that cannot be read still says that the job was accepted.
+    // Even an unreadable record proves that the job was accepted.
     return { id, team: '' as TeamName, status: 'queued', done: 0, running: 0, waiting };
   }
 
-  /** From here, the leader, the store, or a peer that reaches the store, in this order. */
+  /** Queries this node, the leader, then the store, or, if it is down, a peer that reaches it. */
   async lookUp(id: JobId): Promise<LookupResult> {
     const local = this.viewLocally(id);
     if (local) return { kind: 'found', job: local };
@@ -84,7 +85,7 @@
     return answer ?? STORE_UNAVAILABLE;
   }
 
-  /** The explanation of an unfinished job if this node leads, else null. */
+  /** Explains an unfinished job if this node leads, else returns null. */
   explainLocally(id: JobId): object | null {
     const term = this.authoritativeTerm();
     if (!term) return null;
@@ -104,7 +105,7 @@
     return { kind: 'explained', explanation: { id, waiting, state: 'away' } };
   }
 
-  /** A team's unfinished jobs if this node leads, else null. */
+  /** Lists a team's unfinished jobs if this node leads, else returns null. */
   listLocally(team: TeamName): JobView[] | null {
     const term = this.authoritativeTerm();
     if (!term) return null;
--- a/src/service/jobs/job-service.ts
+++ b/src/service/jobs/job-service.ts
@@ -1,4 +1,4 @@
-/** Users' requests at one controller: submission, queries and cancellation. */
+/** Users' requests to one controller: submission, queries and cancellation of jobs. */
 import type { JobId, TeamName } from '../../core/model/ids.js';
 import type {
   ExplainResult,
@@ -16,7 +16,7 @@
 import { JobQueryService } from './job-query-service.js';
 import { SubmissionService } from './submission-service.js';
 
-/** The users' port over three services with one cache; peers' requests reach these directly. */
+/** Implements the user port with three services; peers' requests call these directly. */
 export class JobService implements UserApi {
   readonly completions = new CompletionCache();
   readonly queries: JobQueryService;
--- a/src/service/jobs/job-views.ts
+++ b/src/service/jobs/job-views.ts
@@ -1,16 +1,16 @@
-/** Views of jobs made from stored records, for nodes that do not hold the leader's state. */
+/** Job views built from stored records, for nodes without the leader's state. */
 import type { JobId } from '../../core/model/ids.js';
 import type { JobSpec } from '../../core/model/job.js';
 import type { JobView, LookupResult } from '../../ports/user-api.js';
 import type { JobCompletion } from '../stored-records.js';
 
-/** What users are told when neither the leader nor the key-value store answers. */
+/** Result when neither the leader nor the key-value store answers. */
 export const STORE_UNAVAILABLE = {
   kind: 'unavailable',
   reason: 'state service away',
 } as const satisfies LookupResult;
 
-/** A job that has ended. */
+/** View of a completed or cancelled job. */
 export const viewOfCompletion = (id: JobId, completion: JobCompletion): JobView => ({
   id,
   team: completion.team,
@@ -19,7 +19,7 @@
   running: 0,
 });
 
-/** A job that is accepted, and of which nothing more is known here. */
+/** View of an accepted job whose further state is unknown to this node. */
 export const viewOfAcceptedJob = ({ id, team, shape, tasks }: JobSpec): JobView => ({
   id,
   team,
--- a/src/service/jobs/submission-service.ts
+++ b/src/service/jobs/submission-service.ts
@@ -1,4 +1,4 @@
-/** Submission of jobs: feasibility, and admission by a write to the key-value store. */
+/** Job submission: checks feasibility and admits jobs by a write to the key-value store. */
 
 import { sleep } from '../../adapters/runtime/clock.js';
 import type { JobId, Revision } from '../../core/model/ids.js';
@@ -18,12 +18,12 @@
 import { STORE_UNAVAILABLE, viewOfAcceptedJob } from './job-views.js';
 import { findInfeasibility } from './submission-validation.js';
 
-/** Attempts at an admission that is refused for the rate, within what a user waits for. */
+/** Attempts at a rate-limited admission, few enough to answer before the user's time-out. */
 const MAX_ADMISSION_ATTEMPTS = 3;
 const ADMISSION_RETRY_MS = 150;
-/** How long an admission waits for its share of the write rate. */
+/** How long an admission waits for the write rate limit. */
 const ADMISSION_QUEUE_MS = 500;
-/** How long the store's answer to an admission is waited for. */
+/** How long an admission waits for the store's response. */
 const ADMISSION_TIMEOUT_MS = 1500;
 
 const TOO_LARGE: SubmissionRefusal = {
@@ -31,7 +31,7 @@
   reason: 'the description is larger than what the state service takes',
 };
 
-/** Accepts jobs at any controller. A job is accepted when its record is stored, never before. */
+/** Accepts jobs on any controller. A job is accepted only once its record is stored. */
 export class SubmissionService {
   private nextPeerIndex = 0;
 
@@ -42,7 +42,7 @@
     private readonly currentTerm: () => LeaderTerm | null,
   ) {}
 
-  /** An accepted id is answered as known, even if the body is wrong this time. */
+  /** Submits a job. An id accepted before is `already-known`, even if the body is now invalid. */
   async submit(id: JobId, request: SubmissionRequest): Promise<SubmissionResult> {
     const known = this.queries.viewLocally(id);
     if (known) return { kind: 'already-known', job: known };
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Stores the job's record. `mayForward` is false for what a peer has passed on: an admission is
-   * passed on only once.
+   * Stores the job's record. `mayForward` is false for an admission that a peer has forwarded, as
+   * admissions are forwarded only once.
    */
   async admit(
     record: JobRecord,
@@ -84,8 +84,7 @@
       attempt < MAX_ADMISSION_ATTEMPTS && result.kind === 'refused' && !store.isDown;
       attempt += 1
     ) {
-      // The load balancer does not spread users evenly: a peer may have some of its share of the
-      // rate left.
+      // The load balancer does not spread users evenly, so a peer may have write rate to spare.
       if (mayForward && attempt === 1) {
         const forwarded = await this.admitThroughPeer(record, this.nextPeer());
         if (forwarded.kind !== 'unavailable') return forwarded;
@@ -104,7 +103,7 @@
       this.currentTerm()?.addAdmittedJob(record, result.revision);
       return { kind: 'accepted', job: viewOfAcceptedJob(record.spec) };
     }
-    // The store's limit has fallen below what the settings say.
+    // The store's size limit is now below the one in the settings.
     if (result.kind === 'too-large') return this.refuse(id, TOO_LARGE);
     if (
       result.kind === 'conflict' ||
@@ -116,19 +115,19 @@
     return STORE_UNAVAILABLE;
   }
 
-  /** Peers in turn, so that no single one gets all that is passed on. */
+  /** Selects peers round-robin to spread forwarded admissions. */
   private nextPeer(): Peer | null {
     const peers = [...this.dependencies.peers.values()];
     return peers[this.nextPeerIndex++ % Math.max(1, peers.length)] ?? null;
   }
 
-  /** Has a peer write the job; it counts as accepted only on that peer's word. */
+  /** Forwards an admission; the job counts as accepted only if the peer confirms it. */
   private async admitThroughPeer(record: JobRecord, peer: Peer | null): Promise<SubmissionResult> {
     const admission = peer && (await requestAdmission(peer, record));
     return admission ?? STORE_UNAVAILABLE;
   }
 
-  /** A bad repeat of an accepted job is still answered with the job. */
+  /** Rejects a submission, unless the id was accepted before: then returns that job. */
   private async refuse(id: JobId, refusal: SubmissionRefusal): Promise<SubmissionResult> {
     const known = await this.queries.lookUp(id);
     switch (known.kind) {
--- a/src/service/jobs/submission-validation.ts
+++ b/src/service/jobs/submission-validation.ts
@@ -1,10 +1,10 @@
-/** Whether a job could ever run on this cluster. */
+/** Checks whether a job could ever run on this cluster. */
 import type { ZoneName } from '../../core/model/ids.js';
 import { isService, type JobSpec } from '../../core/model/job.js';
 import type { MachineType } from '../../core/model/machine.js';
 import type { Team } from '../../core/model/team.js';
 
-/** Zones in which some allowed machine type holds a task of the job. */
+/** Zones that offer an allowed machine type large enough for a task of the job. */
 const feasibleZones = (spec: JobSpec, machineTypes: readonly MachineType[]): Set<ZoneName> => {
   const zones = new Set<ZoneName>();
   for (const type of machineTypes) {
@@ -16,7 +16,7 @@
   return zones;
 };
 
-/** Why the job could never run, in words for the user; null if it could. */
+/** Returns why the job could never run, as text for the user, else null. */
 export const findInfeasibility = (
   spec: JobSpec,
   team: Team | undefined,
@@ -25,7 +25,7 @@
   if (!team) return `unknown team ${spec.team}`;
   if (spec.cpus > team.cpusMax || spec.gpus > team.gpusMax)
     return "a task exceeds the team's limit";
-  // An array's tasks can go one after the other; replicas run side by side, for good.
+  // An array's tasks can run one after another; replicas run concurrently and permanently.
   const replicas = isService({ spec }) ? spec.tasks : 1;
   if (spec.cpus * replicas > team.cpusMax || spec.gpus * replicas > team.gpusMax)
     return "all replicas together exceed the team's limit";
--- a/src/service/peers/peer-messages.ts
+++ b/src/service/peers/peer-messages.ts
@@ -1,7 +1,6 @@
 /**
- * The messages between controllers: between their names on the link and those used inside. Older
- * and newer versions run side by side, so that the names on the link never change, and an answer of
- * an unknown form counts as none.
+ * Codecs for the messages between controllers. Older and newer versions run side by side, so wire
+ * names never change, and an answer of an unknown form counts as no answer.
  */
 import * as v from 'valibot';
 import type { OperatorAnswer } from '../../core/extensions/extension.js';
@@ -16,13 +15,13 @@
   status: v.picklist(['queued', 'running', 'done', 'cancelled']),
   done: v.number(),
   running: v.number(),
-  // The first version does not send these.
+  // Optional, because early versions do not send these fields.
   shape: v.optional(v.picklist(['array', 'service'])),
   tasks: v.optional(v.number()),
   waiting: v.optional(v.string()),
 });
 
-/** A peer's view of a job. Views travel under their inner names, so that there is no encoder. */
+/** Decodes a job view, or returns null. Wire names equal field names, so there is no encoder. */
 export const decodeJobView = (answer: unknown): JobView | null => {
   const result = v.safeParse(jobViewSchema, answer);
   return result.success ? (result.output as JobView) : null;
@@ -31,7 +30,7 @@
 const NOT_FOUND = 'absent';
 const UNAVAILABLE = 'later';
 
-/** A look-up as it goes over the link: the view itself, or one of two words. */
+/** Encodes a look-up result: the job view, or a constant for not found or unavailable. */
 export const encodeLookup = (result: LookupResult): JobView | string => {
   switch (result.kind) {
     case 'found':
@@ -43,14 +42,14 @@
   }
 };
 
-/** A peer's look-up of the job, or null when it says nothing of use. */
+/** Decodes a look-up result; null if it is unavailable, invalid or for another job. */
 export const decodeLookup = (answer: unknown, id: JobId): LookupResult | null => {
   if (answer === NOT_FOUND) return { kind: 'not-found' };
   const job = decodeJobView(answer);
   return job?.id === id ? { kind: 'found', job } : null;
 };
 
-/** Kinds of submission results on the link. */
+/** Wire names of the kinds of submission results. */
 const ADMISSION_KINDS = {
   accepted: 'accepted',
   'already-known': 'known',
@@ -59,7 +58,6 @@
   unavailable: 'later',
 } as const satisfies Record<SubmissionResult['kind'], string>;
 
-/** An admission as it goes over the link. */
 export const encodeAdmission = (result: SubmissionResult): object => {
   const kind = ADMISSION_KINDS[result.kind];
   return 'job' in result ? { kind, view: result.job } : { kind, reason: result.reason };
@@ -70,7 +68,7 @@
   view: jobViewSchema,
 });
 
-/** A peer's admission of the job, or null when it did not admit it. */
+/** Decodes an admission result; null unless the peer has admitted this job. */
 export const decodeAdmission = (answer: unknown, id: JobId): SubmissionResult | null => {
   const result = v.safeParse(admissionSchema, answer);
   if (!result.success || result.output.view.id !== id) return null;
@@ -81,15 +79,15 @@
 
 // ---- health ----------------------------------------------------------------------------------
 
-/** What a controller tells its peers of itself. */
+/** Health that a controller reports to its peers. */
 export interface PeerHealth {
-  /** Who leads, as far as it knows. */
+  /** The leader known to the controller, or null. */
   readonly leader: NodeId | null;
-  /** The highest fencing token it has heard of. */
+  /** The highest fencing token known to the controller. */
   readonly fencingToken: FencingToken;
-  /** How many workers have lately turned to it while it did not lead. */
+  /** Number of workers whose heartbeats it has recently redirected while it did not lead. */
   readonly redirectedWorkers: number;
-  /** The key-value store answers it. */
+  /** Whether the key-value store answers the controller. */
   readonly reachesStore: boolean;
 }
 
@@ -100,7 +98,6 @@
   state: v.optional(v.boolean(), false),
 });
 
-/** A node's health as it goes over the link. */
 export const encodeHealth = (health: PeerHealth): v.InferOutput<typeof healthSchema> => ({
   leader: health.leader,
   term: health.fencingToken,
@@ -108,7 +105,7 @@
   state: health.reachesStore,
 });
 
-/** A peer's health, or null when it does not tell it. */
+/** Decodes a peer's health; null if the answer is missing or invalid. */
 export const decodeHealth = (answer: unknown): PeerHealth | null => {
   const result = v.safeParse(healthSchema, answer);
   if (!result.success) return null;
@@ -128,7 +125,7 @@
   body: v.record(v.string(), v.unknown()),
 });
 
-/** An extension's answer that the leader passes back under its inner names, or null. */
+/** Decodes an extension's answer from the leader; null if missing or invalid. */
 export const decodeOperatorAnswer = (answer: unknown): OperatorAnswer | null => {
   const result = v.safeParse(operatorAnswerSchema, answer);
   return result.success ? result.output : null;
--- a/src/service/peers/peer-monitor.ts
+++ b/src/service/peers/peer-monitor.ts
@@ -1,6 +1,6 @@
 /**
- * What the key-value store does not tell a node: controllers ask one another who leads, whom the
- * workers turn to, and who reaches the store.
+ * Polls the peers' health, which the key-value store cannot provide: the leader that they know, the
+ * number of workers that reach them, and whether they reach the store.
  */
 
 import { sleep, steadyNow } from '../../adapters/runtime/clock.js';
@@ -15,20 +15,20 @@
 import { requestHealth } from './peer-requests.js';
 
 const POLL_INTERVAL_MS = 800;
-/** After stepping aside for a peer, how long before campaigning again. */
+/** How long this node does not campaign after resigning in favour of a peer. */
 const CAMPAIGN_PAUSE_MS = 20_000;
-/** How long nobody must answer before a node counts as isolated: one lost poll is no proof. */
+/** How long no peer must answer before a node counts as isolated; one lost poll is no proof. */
 const ISOLATION_DELAY_MS = 1000;
-/** A redirected worker counts for this many of its heartbeat intervals. */
+/** How long a redirected worker is counted, in heartbeat intervals. */
 const REDIRECT_RETENTION_INTERVALS = 2.5;
 
-/** Watches the peers while this node leads or is cut off from the key-value store. */
+/** Polls the peers while this node's leadership or connection to the store is in doubt. */
 export class PeerMonitor {
-  /** Workers that have turned to this node while it did not lead, and when. */
+  /** Time of each worker's last heartbeat that this node redirected. */
   private readonly redirectedWorkers = new Map<MachineId, number>();
-  /** Peers that the store answered at the last poll; for when it does not answer this node. */
+  /** Peers that reached the store at the last poll; used while this node cannot. */
   private peersReachingStore: readonly Peer[] = [];
-  /** Since when neither the store nor any peer answers. */
+  /** Since when neither the store nor any peer has answered; null if one has. */
   private isolatedSince: Instant | null = null;
   private isStopped = false;
 
@@ -42,18 +42,18 @@
     this.isStopped = true;
   }
 
-  /** A worker came here while another node leads. */
+  /** Records a worker's heartbeat that arrived while this node did not lead. */
   recordRedirect(machine: MachineId): void {
     this.redirectedWorkers.set(machine, steadyNow());
   }
 
-  /** The leader, or null when it is unknown or this node has a term of its own. */
+  /** Returns the leader, or null if it is unknown or this node has a term itself. */
   leaderPeer(): Peer | null {
     const node = this.election.leaderNode;
     return node === null || this.currentTerm() ? null : (this.dependencies.peers.get(node) ?? null);
   }
 
-  /** The leader if it reaches the store, since it knows best; else any peer that does. */
+  /** Returns a peer that reaches the store, preferably the leader: its state is the newest. */
   reachablePeer(): Peer | null {
     const leader = this.peersReachingStore.find((peer) => peer.node === this.election.leaderNode);
     return leader ?? this.peersReachingStore[0] ?? null;
@@ -63,7 +63,7 @@
     return this.isolatedSince !== null && steadyNow() - this.isolatedSince > ISOLATION_DELAY_MS;
   }
 
-  /** What this node tells its peers. */
+  /** Returns this node's health, as reported to peers. */
   health(): PeerHealth {
     const now = steadyNow();
     const retentionMs =
@@ -86,9 +86,9 @@
   }
 
   /**
-   * A leader cut off from the store learns here that another leads, so that workers do not stay
-   * with it; one cut off from the workers alone steps aside for a peer that hears them. A node with
-   * no such doubt asks nobody.
+   * A leader that cannot reach the store learns here of its successor, so that its workers move on;
+   * a leader that only the workers cannot reach resigns in favour of a peer that they do reach. A
+   * node without such problems polls no peer.
    */
   private async poll(): Promise<void> {
     const { store } = this.dependencies;
@@ -102,7 +102,7 @@
     const healths = await Promise.all(peers.map(requestHealth));
     this.peersReachingStore = peers.filter((_, i) => healths[i]?.reachesStore);
     this.updateIsolation(healths);
-    // What was asked for was asked on behalf of another term.
+    // The term changed during the poll, so the answers no longer apply.
     if (this.currentTerm() !== term) return;
     if (!isLeading) this.learnLeader(healths);
     if (coverage) this.resignForPeer(coverage, healths);
--- a/src/service/peers/peer-request-handler.ts
+++ b/src/service/peers/peer-request-handler.ts
@@ -1,4 +1,4 @@
-/** Answers the questions of other controllers. None of them is passed on a second time. */
+/** Answers requests from other controllers. No request is forwarded a second time. */
 
 import type { OperatorAnswer } from '../../core/extensions/extension.js';
 import type { JobId } from '../../core/model/ids.js';
@@ -12,7 +12,7 @@
 import { encodeAdmission, encodeHealth, encodeLookup } from './peer-messages.js';
 import type { PeerMonitor } from './peer-monitor.js';
 
-/** One handler for each kind of question; null is the answer where this node has none. */
+/** Dispatches each kind of request; the answer is null if this node has none. */
 export class PeerRequestHandler {
   constructor(
     private readonly dependencies: Dependencies,
--- a/src/service/peers/peer-requests.ts
+++ b/src/service/peers/peer-requests.ts
@@ -1,4 +1,4 @@
-/** What a controller asks of another, one function for each question; null where none answers. */
+/** Requests to peers, one function per kind; they return null without a valid answer. */
 
 import type { OperatorAnswer, OperatorCall } from '../../core/extensions/extension.js';
 import type { JobId, TeamName } from '../../core/model/ids.js';
@@ -14,30 +14,30 @@
   type PeerHealth,
 } from './peer-messages.js';
 
-/** How long each kind of question waits for its answer. */
+/** Time-outs by kind of request. */
 const TIMEOUT_MS = {
-  /** Users wait 2 s for an answer about a job. */
+  /** Users wait 2 s for the result of a job query. */
   query: 700,
   health: 700,
-  /** As long as the store itself has for the write. */
+  /** Equal to the store's time-out for the write. */
   admission: 1500,
-  /** Longer than the leader takes to store an end. */
+  /** Longer than the leader takes to store a completion. */
   cancellation: 3000,
-  /** The leader stores what an operator asks for before it answers. */
+  /** The leader stores the effect of an operator's call before it answers. */
   operatorCall: 4000,
 } as const;
 
-/** The leader's view of a job that it may speak of. */
+/** Requests the leader's view of a job; null also if the leader has no valid lease. */
 export const requestJobView = async (leader: Peer, id: JobId): Promise<JobView | null> => {
   const job = decodeJobView(await leader.request({ ask: 'status', job: id }, TIMEOUT_MS.query));
   return job?.id === id ? job : null;
 };
 
-/** A look-up by a peer that reaches the key-value store while this node does not. */
+/** Requests a look-up from a peer that reaches the store while this node does not. */
 export const requestLookup = async (peer: Peer, id: JobId): Promise<LookupResult | null> =>
   decodeLookup(await peer.request({ ask: 'look', job: id }, TIMEOUT_MS.query), id);
 
-/** The job after the leader has cancelled it, or as it had ended before. */
+/** Requests a cancellation; returns the job as cancelled, or as it had ended before. */
 export const requestCancellation = async (leader: Peer, id: JobId): Promise<JobView | null> => {
   const job = decodeJobView(
     await leader.request({ ask: 'abort', job: id }, TIMEOUT_MS.cancellation),
@@ -45,17 +45,17 @@
   return job?.id === id ? job : null;
 };
 
-/** The leader's explanation of why a job waits, as it is told to users; falsy where it has none. */
+/** Requests the leader's explanation of why a job waits; falsy if there is none. */
 export const requestExplanation = (leader: Peer, id: JobId): Promise<unknown> =>
   leader.request({ ask: 'explain', job: id }, TIMEOUT_MS.query);
 
-/** A team's unfinished jobs; a view of an unknown form is left out. */
+/** Requests a team's unfinished jobs; views that cannot be decoded are omitted. */
 export const requestJobList = async (leader: Peer, team: TeamName): Promise<JobView[] | null> => {
   const answer = await leader.request({ ask: 'list', team }, TIMEOUT_MS.query);
   return Array.isArray(answer) ? answer.map(decodeJobView).filter((job) => job !== null) : null;
 };
 
-/** Has a peer store a job. The user may be told 201 only on this word. */
+/** Requests a peer to store a job. Users may get status 201 only after its confirmation. */
 export const requestAdmission = async (
   peer: Peer,
   record: JobRecord,
@@ -65,7 +65,7 @@
     record.spec.id,
   );
 
-/** The answer of an extension on the leader. */
+/** Forwards an operator's call to the extension on the leader. */
 export const requestOperatorCall = async (
   leader: Peer,
   extension: string,
@@ -75,6 +75,5 @@
     await leader.request({ ask: 'operate', extension, call }, TIMEOUT_MS.operatorCall),
   );
 
-/** A peer's health. */
 export const requestHealth = async (peer: Peer): Promise<PeerHealth | null> =>
   decodeHealth(await peer.request({ ask: 'health' }, TIMEOUT_MS.health));
--- a/src/service/stored-records/completion-record.ts
+++ b/src/service/stored-records/completion-record.ts
@@ -1,4 +1,4 @@
-/** The record of a job's completion: all that is kept of a job that has ended. */
+/** The record of a job's completion; replaces the job record when the job ends. */
 import * as v from 'valibot';
 import type { TeamName } from '../../core/model/ids.js';
 import type { JobOutcome } from '../../core/model/job.js';
@@ -13,22 +13,21 @@
   t: brandedString<TeamName>(),
 });
 
-/** How a job ended, with what its status still shows. */
+/** Outcome of an ended job, with the fields that its status still reports. */
 export interface JobCompletion {
   readonly outcome: JobOutcome;
-  /** Number of tasks that the job had. */
+  /** Number of tasks of the job. */
   readonly tasks: number;
   readonly team: TeamName;
 }
 
-/** The stored form of a completion. */
 export const encodeCompletion = ({
   outcome,
   tasks,
   team,
 }: JobCompletion): v.InferInput<typeof completionSchema> => ({ o: outcome, n: tasks, t: team });
 
-/** null for a record that cannot be read. */
+/** Returns null if the record is invalid. */
 export const decodeCompletion = (value: unknown): JobCompletion | null => {
   const parsed = v.safeParse(completionSchema, value);
   if (!parsed.success) return null;
--- a/src/service/stored-records/job-record.ts
+++ b/src/service/stored-records/job-record.ts
@@ -34,21 +34,21 @@
 type StoredSpec = v.InferOutput<typeof specSchema>;
 
 /**
- * A service's spec has another name than an array's. The version before services, which would run
- * one as an array and call it done, finds the record unreadable and leaves the job alone.
+ * A service's spec is stored under another name than an array's. Versions without services would
+ * run a service as an array and report it as done; so they find the record invalid and ignore it.
  */
 const arraySchema = v.object({ at: v.number(), spec: specSchema });
 const serviceSchema = v.object({ at: v.number(), service: specSchema });
 type StoredJob = v.InferInput<typeof arraySchema> | v.InferInput<typeof serviceSchema>;
 
-/** A job as it was accepted. */
+/** An accepted job. */
 export interface JobRecord {
-  /** Time of day at which it was accepted, in milliseconds since the epoch. */
+  /** Wall-clock time of acceptance, in milliseconds since the epoch. */
   readonly acceptedAt: number;
   readonly spec: JobSpec;
 }
 
-/** Stored names on the left. Their order is that of the first version, and part of the record. */
+/** Stored names are on the left. The order of fields is part of the stored format. */
 const encodeSpec = (spec: JobSpec): StoredSpec => ({
   id: spec.id,
   lane: spec.jobClass,
@@ -71,7 +71,7 @@
   deadlineS: spec.deadlineS,
 });
 
-/** Stored names on the right. */
+/** Stored names are on the right. */
 const decodeSpec = (stored: StoredSpec, shape: JobShape): JobSpec => ({
   id: stored.id,
   shape,
@@ -95,7 +95,6 @@
   deadlineS: stored.deadlineS,
 });
 
-/** The stored form of an accepted job. */
 export const encodeJob = ({ acceptedAt, spec }: JobRecord): StoredJob => {
   const stored = encodeSpec(spec);
   return spec.shape === 'service'
@@ -103,7 +102,7 @@
     : { at: acceptedAt, spec: stored };
 };
 
-/** null for a record that cannot be read. */
+/** Returns null if the record is invalid. */
 export const decodeJob = (value: unknown): JobRecord | null => {
   const array = v.safeParse(arraySchema, value);
   if (array.success) {
--- a/src/service/stored-records/leader-record.ts
+++ b/src/service/stored-records/leader-record.ts
@@ -1,12 +1,12 @@
-/** The record of the leader: which controller leads. */
+/** The leader record, which identifies the controller that leads. */
 import * as v from 'valibot';
 
 const leaderSchema = v.object({ node: v.string(), life: v.string() });
 
-/** `node`: the controller's name; `life`: its process, which has a new one after each start. */
+/** `node` is the controller's name; `life` identifies its process and is new after each start. */
 export type LeaderRecord = v.InferOutput<typeof leaderSchema>;
 
-/** null for a record that cannot be read. */
+/** Returns null if the record is invalid. */
 export const decodeLeader = (value: unknown): LeaderRecord | null => {
   const parsed = v.safeParse(leaderSchema, value);
   return parsed.success ? parsed.output : null;
--- a/src/service/stored-records/machine-types-record.ts
+++ b/src/service/stored-records/machine-types-record.ts
@@ -1,4 +1,4 @@
-/** The record of the cloud's machine types; its fields are those of the model. */
+/** The record of the cloud's machine types; its fields are those of `MachineType`. */
 import * as v from 'valibot';
 import type { MachineTypeName, ZoneName } from '../../core/model/ids.js';
 import type { MachineType } from '../../core/model/machine.js';
@@ -18,7 +18,7 @@
   }),
 );
 
-/** null for a record that cannot be read. */
+/** Returns null if the record is invalid. */
 export const decodeMachineTypes = (value: unknown): MachineType[] | null => {
   const parsed = v.safeParse(machineTypesSchema, value);
   return parsed.success ? parsed.output : null;
--- a/src/service/stored-records/segment-record.ts
+++ b/src/service/stored-records/segment-record.ts
@@ -1,6 +1,6 @@
 /**
- * The record of a ledger segment: the attempts that one batch entered, and the progress that it
- * stored. Each job is named once; attempts refer to it by its row.
+ * The record of a ledger segment: the attempts and the progress that one batch stored. Each job has
+ * one row; attempts refer to it by row index.
  */
 import * as v from 'valibot';
 import { TASKS_PER_BLOCK } from '../../core/lifecycle/job-tasks.js';
@@ -24,7 +24,7 @@
   nonNegativeNumber,
   nonNegativeNumber,
 ]);
-/** [row of the job, task, attempt] */
+/** [job row index, task, attempt] */
 const attemptRowSchema = v.tuple([
   nonNegativeInteger(),
   nonNegativeInteger<TaskIndex>(),
@@ -38,17 +38,17 @@
   v.boolean(),
   v.array(attemptRowSchema),
 ]);
-/** [job, block or first task, bits of done tasks in base64] */
+/** [job, block number or first task, bitmap of done tasks in base64] */
 const progressRowSchema = v.tuple([brandedString<JobId>(), nonNegativeInteger(), v.string()]);
 
 const segmentSchema = v.object({
   j: v.array(jobRowSchema),
   m: v.array(machineRowSchema),
-  /** Progress of chunks that begin at a block, by the block's number. */
+  /** Progress of chunks that begin at a block boundary, by block number. */
   d: v.array(progressRowSchema),
   /**
-   * Progress of the other chunks, by their first task: they exist where a block does not fit a
-   * value. A version that does not know them runs these tasks again; they end at once, since
+   * Progress of all other chunks, by first task. Such chunks exist where a block does not fit in a
+   * value of the store. Versions without this field rerun these tasks, which end at once because
    * workers keep results.
    */
   e: v.optional(v.array(progressRowSchema), []),
@@ -59,13 +59,13 @@
 type StoredMachineRow = v.InferInput<typeof machineRowSchema>;
 type StoredProgressRow = v.InferInput<typeof progressRowSchema>;
 
-/** What one ledger segment holds. */
+/** Content of one ledger segment. */
 export interface SegmentRecord {
   readonly machines: readonly LedgerRow[];
   readonly progress: readonly ProgressRow[];
 }
 
-/** Numbers the jobs of a segment as they come, and gathers their rows. */
+/** Collects the job rows of a segment and assigns their indexes. */
 class JobRows {
   readonly rows: StoredJobRow[] = [];
   private readonly indexes = new Map<JobId, number>();
@@ -99,7 +99,6 @@
 
 const beginsAtBlock = ({ firstTask }: ProgressRow): boolean => firstTask % TASKS_PER_BLOCK === 0;
 
-/** The stored form of a segment. */
 export const encodeSegment = ({ machines, progress }: SegmentRecord): StoredSegment => {
   const jobs = new JobRows();
   const blocks = progress.filter(beginsAtBlock);
@@ -114,7 +113,7 @@
   };
 };
 
-/** null where an attempt refers to a job that the segment does not name. */
+/** Returns null if an attempt refers to a missing job row. */
 const decodeMachine = (
   [machine, type, zone, spot, attempts]: StoredMachineRow,
   jobRows: readonly StoredJobRow[],
@@ -135,7 +134,7 @@
   bits: new Uint8Array(Buffer.from(bits, 'base64')),
 });
 
-/** null for a record that is not wholly as written: what it spoke of may then be anywhere. */
+/** Returns null if any part of the record is invalid: its attempts may then be on any machine. */
 export const decodeSegment = (value: unknown): SegmentRecord | null => {
   const parsed = v.safeParse(segmentSchema, value);
   if (!parsed.success) return null;
