--- a/src/core/fleet/loss-detection.ts
+++ b/src/core/fleet/loss-detection.ts
@@ -20,7 +20,7 @@
  * Heartbeat timeout of a machine with replicas, in heartbeat intervals. The minimum covers a lost
  * reply followed by a new connection.
  */
-const REPLICA_MISSED_HEARTBEATS = 2.5;
+const REPLICA_TIMEOUT_INTERVALS = 2.5;
 const REPLICA_TIMEOUT_MIN_MS = 10_000;
 /** Heartbeat timeout during a mass outage, in worker leases, so that machines can recover. */
 const MASS_OUTAGE_TIMEOUT_LEASES = 2;
@@ -41,7 +41,7 @@
 
 const computeHeartbeatTimeouts = (state: CoreState, now: Instant): HeartbeatTimeouts => {
   const { heartbeatIntervalMs, workerLeaseMs, policy } = state.config;
-  const limitMs = policy.missedHeartbeatLimit * heartbeatIntervalMs;
+  const policyTimeoutMs = policy.missedHeartbeatLimit * heartbeatIntervalMs;
   let overdueMachines = 0;
   let expectedMachines = 0;
   for (const machine of state.machines.values()) {
@@ -49,9 +49,9 @@
     // a few heartbeat intervals, all machines that still report to an isolated former leader.
     if (!isHeartbeatExpected(machine)) continue;
     expectedMachines += 1;
-    // Overdue from half the timeout on: when machines fail within one heartbeat interval of one
-    // another, all must be counted before the first is deleted.
-    if (now - machine.lastHeartbeatAt > limitMs / 2) overdueMachines += 1;
+    // Overdue from half the policy timeout on: of machines that fail within one heartbeat interval,
+    // all must be counted before the first is deleted.
+    if (now - machine.lastHeartbeatAt > policyTimeoutMs / 2) overdueMachines += 1;
   }
   // Many overdue machines are more likely partitioned or stalled than dead, or this leader is at
   // fault. They get time to recover: replacements must boot first, and the cloud lists dead
@@ -60,10 +60,10 @@
     overdueMachines > Math.max(MASS_OUTAGE_MIN_MACHINES, expectedMachines * MASS_OUTAGE_SHARE);
   return {
     replicaMs: Math.min(
-      limitMs,
-      Math.max(REPLICA_MISSED_HEARTBEATS * heartbeatIntervalMs, REPLICA_TIMEOUT_MIN_MS),
+      policyTimeoutMs,
+      Math.max(REPLICA_TIMEOUT_INTERVALS * heartbeatIntervalMs, REPLICA_TIMEOUT_MIN_MS),
     ),
-    defaultMs: isMassOutage ? MASS_OUTAGE_TIMEOUT_LEASES * workerLeaseMs : limitMs,
+    defaultMs: isMassOutage ? MASS_OUTAGE_TIMEOUT_LEASES * workerLeaseMs : policyTimeoutMs,
     isLeaderLikelyIsolated:
       overdueMachines >
       Math.max(MASS_OUTAGE_MIN_MACHINES, expectedMachines * LEADER_ISOLATION_SHARE),
@@ -71,9 +71,9 @@
 };
 
 /**
- * Returns the heartbeat timeout of a machine. Machines with replicas get the short one, because a
- * lost replica matters at once and such machines are few, so replacing them is no mass deletion.
- * If this leader is probably isolated, their replicas are probably running.
+ * Machines with replicas get the short timeout: a lost replica matters at once, and replacing these
+ * few machines is no mass deletion. They get the default if this leader is probably isolated, as
+ * their replicas then probably run.
  */
 const heartbeatTimeoutMs = (machine: Machine, timeouts: HeartbeatTimeouts): number =>
   !timeouts.isLeaderLikelyIsolated &&
--- a/src/core/fleet/provision-requests.ts
+++ b/src/core/fleet/provision-requests.ts
@@ -113,19 +113,19 @@
   let unrequestedCpus = cpus;
   for (const pool of available) {
     const machineCpus = Math.max(pool.type.cpus, MIN_COUNTED_CPUS);
-    let poolShareCpus = Math.min(unrequestedCpus, shareCpus);
+    let remainingShareCpus = Math.min(unrequestedCpus, shareCpus);
     // A pool that refused its last request is probed with a single request.
     const poolLimit = pool.refusals > 0 ? 1 : MAX_CONCURRENT_REQUESTS;
     while (
-      poolShareCpus > 0 &&
+      remainingShareCpus > 0 &&
       outstandingCount < MAX_CONCURRENT_REQUESTS &&
       pool.outstandingRequests.size < poolLimit
     ) {
-      const neededMachines = Math.max(1, Math.ceil(poolShareCpus / machineCpus));
+      const neededMachines = Math.max(1, Math.ceil(remainingShareCpus / machineCpus));
       const count = Math.min(MAX_MACHINES_PER_REQUEST, neededMachines);
       requestMachines(context, pool, count);
       outstandingCount += 1;
-      poolShareCpus -= count * machineCpus;
+      remainingShareCpus -= count * machineCpus;
       unrequestedCpus -= count * machineCpus;
     }
   }
--- a/src/core/fleet/scale-out.ts
+++ b/src/core/fleet/scale-out.ts
@@ -33,7 +33,7 @@
   requestCapacity,
 } from './provision-requests.js';
 
-/** Wait after which an array that a reservation for services blocks gets capacity of its own. */
+/** Wait after which an array blocked by a reservation for services gets capacity of its own. */
 const RESERVED_CAPACITY_WAIT_MS = 45_000;
 /** Maximum number of jobs examined individually per tick; bounds the tick's duration. */
 const MAX_JOBS_EXAMINED = 50;
@@ -60,7 +60,7 @@
   return spec.cpus <= type.cpus && spec.gpus <= type.gpus && spec.memoryGb <= type.memoryGb;
 };
 
-/** Requests on-demand machines for services; requests for total demand prefer cheaper pools. */
+/** Requests on-demand machines for services first; total demand is met from cheaper pools. */
 const provisionForServices = (context: ScaleOutContext): void => {
   const { state, now, pools } = context;
   const requiredCpus = updateReservedOnDemandCpus(state, now);
--- a/src/ports/controller-api.ts
+++ b/src/ports/controller-api.ts
@@ -5,7 +5,6 @@
 import type { OperatorApi } from './operator-api.js';
 import type { UserApi } from './user-api.js';
 
-/** The operations of one controller. */
 export interface ControllerApi extends HeartbeatService, OperatorApi, HealthCheck {
   readonly users: UserApi;
   /** Enabled extensions; their routes are served in addition to the controller's. */
--- a/src/ports/key-value-store.ts
+++ b/src/ports/key-value-store.ts
@@ -17,7 +17,6 @@
   readonly revision: Revision;
 }
 
-/** Result of reading one key. */
 export type GetResult =
   | { readonly kind: 'found'; readonly item: StoredItem }
   | { readonly kind: 'absent' }
@@ -28,7 +27,6 @@
   | { readonly kind: 'listed'; readonly items: StoredItem[]; readonly revision: Revision }
   | StoreFailure;
 
-/** A change of one key. */
 export type Change =
   | { readonly key: string; readonly value: unknown; readonly revision: Revision }
   | { readonly key: string; readonly deleted: true; readonly revision: Revision };
--- a/src/ports/operator-api.ts
+++ b/src/ports/operator-api.ts
@@ -1,7 +1,6 @@
 /** The port through which operators call extensions. */
 import type { OperatorAnswer, OperatorCall } from '../core/extensions/extension.js';
 
-/** Routes operators' calls to extensions. */
 export interface OperatorApi {
   /** Returns the extension's answer, or null if no leader answers in time. */
   handleOperatorCall(extension: string, call: OperatorCall): Promise<OperatorAnswer | null>;
--- a/src/ports/peer.ts
+++ b/src/ports/peer.ts
@@ -11,9 +11,9 @@
   | { readonly ask: 'status' | 'explain' | 'abort'; readonly job?: JobId | undefined }
   /** Looks up a job in the key-value store for a node that cannot reach it. */
   | { readonly ask: 'look'; readonly job?: JobId | undefined }
-  /** Lists a team's unfinished jobs. */
+  /** To the leader: lists a team's unfinished jobs. */
   | { readonly ask: 'list'; readonly team?: TeamName | undefined }
-  /** Returns the leader that the peer knows, and whether it reaches the store and workers. */
+  /** Returns the peer's health: the leader it knows, and its contact to store and workers. */
   | { readonly ask: 'health' }
   /** Admits a job, given as its record, for a node that cannot reach the store. */
   | { readonly ask: 'admit'; readonly record?: unknown }
--- a/src/service/jobs/job-views.ts
+++ b/src/service/jobs/job-views.ts
@@ -10,7 +10,6 @@
   reason: 'state service away',
 } as const satisfies LookupResult;
 
-/** View of a completed or cancelled job. */
 export const viewOfCompletion = (id: JobId, completion: JobCompletion): JobView => ({
   id,
   team: completion.team,
--- a/src/service/stored-records/leader-record.ts
+++ b/src/service/stored-records/leader-record.ts
@@ -1,4 +1,4 @@
-/** The leader record, which identifies the controller that leads. */
+/** The record of the current leader. */
 import * as v from 'valibot';
 
 const leaderSchema = v.object({ node: v.string(), life: v.string() });
--- a/src/service/stored-records/segment-record.ts
+++ b/src/service/stored-records/segment-record.ts
@@ -71,12 +71,12 @@
   private readonly indexes = new Map<JobId, number>();
 
   indexOf({ job, team, cpus, gpus, memoryGb }: LedgerEntry): number {
-    let number = this.indexes.get(job);
-    if (number === undefined) {
-      number = this.rows.push([job, team, cpus, gpus, memoryGb]) - 1;
-      this.indexes.set(job, number);
+    let rowIndex = this.indexes.get(job);
+    if (rowIndex === undefined) {
+      rowIndex = this.rows.push([job, team, cpus, gpus, memoryGb]) - 1;
+      this.indexes.set(job, rowIndex);
     }
-    return number;
+    return rowIndex;
   }
 }
 
@@ -119,8 +119,8 @@
   jobRows: readonly StoredJobRow[],
 ): LedgerRow | null => {
   const entries: LedgerEntry[] = [];
-  for (const [number, index, attempt] of attempts) {
-    const jobRow = jobRows[number];
+  for (const [rowIndex, index, attempt] of attempts) {
+    const jobRow = jobRows[rowIndex];
     if (!jobRow) return null;
     const [job, team, cpus, gpus, memoryGb] = jobRow;
     entries.push({ job, index, attempt, team, cpus, gpus, memoryGb });
