--- a/src/ports/peer.ts
+++ b/src/ports/peer.ts
@@ -13,7 +13,7 @@
   | { readonly ask: 'look'; readonly job?: JobId | undefined }
   /** To the leader: lists a team's unfinished jobs. */
   | { readonly ask: 'list'; readonly team?: TeamName | undefined }
-  /** Returns the peer's health: the leader it knows, and its contact to store and workers. */
+  /** Returns the peer's health: its known leader, redirected workers and store connection. */
   | { readonly ask: 'health' }
   /** Admits a job, given as its record, for a node that cannot reach the store. */
   | { readonly ask: 'admit'; readonly record?: unknown }
--- a/src/service/peers/peer-monitor.ts
+++ b/src/service/peers/peer-monitor.ts
@@ -17,7 +17,7 @@
 const POLL_INTERVAL_MS = 800;
 /** How long this node does not campaign after resigning in favour of a peer. */
 const CAMPAIGN_PAUSE_MS = 20_000;
-/** How long no peer must answer before a node counts as isolated; one lost poll is no proof. */
+/** Time without any answer after which a node counts as isolated; one lost poll is no proof. */
 const ISOLATION_DELAY_MS = 1000;
 /** How long a redirected worker is counted, in heartbeat intervals. */
 const REDIRECT_RETENTION_INTERVALS = 2.5;
