--- a/packages/drain/src/core/disruption-codec.ts
+++ b/packages/drain/src/core/disruption-codec.ts
@@ -5,7 +5,7 @@
 import type { AttemptId, JobId, TaskIndex, TeamName } from '@robinspread/extension-api';
 import * as v from 'valibot';
 import type { Disruption } from './disruption.js';
-import { count, text } from './record-schemas.js';
+import { countSchema, textSchema } from './record-schemas.js';
 
 /** The prefix of the keys of these records. */
 export const DISRUPTIONS_PREFIX = 'b/';
@@ -15,9 +15,9 @@
   `${DISRUPTIONS_PREFIX}${fencingToken}-${n}`;
 
 const disruptionSchema = v.tuple([
-  text,
-  count,
-  count,
+  textSchema,
+  countSchema,
+  countSchema,
   v.string(),
   v.string(),
   v.number(),
--- a/packages/drain/src/core/drain-events.ts
+++ b/packages/drain/src/core/drain-events.ts
@@ -7,7 +7,7 @@
 import type { ProvisionResult, Replacements } from './replacements.js';
 
 /** What events change; owned by the drain manager. */
-export interface DrainEventParts {
+export interface DrainEventCollaborators {
   readonly registry: DrainRegistry;
   readonly replacements: Replacements;
   readonly disruptions: DisruptionTracker;
@@ -17,7 +17,7 @@
 
 /** Takes in events between decisions. */
 export class DrainEventHandler {
-  constructor(private readonly collaborators: DrainEventParts) {}
+  constructor(private readonly collaborators: DrainEventCollaborators) {}
 
   /** Takes an event in; returns the writes that it calls for, which the next decision requests. */
   handle(event: ExtensionEvent, moment: Moment): readonly RecordWrite[] {
--- a/packages/drain/src/core/drain-manager.ts
+++ b/packages/drain/src/core/drain-manager.ts
@@ -125,7 +125,7 @@
   constraintsOf({ fleet, moment }: DecisionContext): StepConstraints {
     return {
       letEndS: this.settings.letEndS,
-      isInUse: (machine) =>
+      isAssignedToDrain: (machine) =>
         this.registry.drainOf(machine) !== null || this.registry.isReplacement(machine),
       findBudgetBlocker: (team, jobClass) => this.budget.findBlocker(team, jobClass, fleet, moment),
     };
--- a/packages/drain/src/core/drain-progress.ts
+++ b/packages/drain/src/core/drain-progress.ts
@@ -24,7 +24,7 @@
   }
 
   /** The blockers of the decision before still hold: nothing was looked at again. */
-  keepPreviousBlockers({ request }: Drain): void {
+  restorePreviousBlockers({ request }: Drain): void {
     const previous = this.previousBlockers.get(request.name);
     if (previous) this.blockers.set(request.name, previous);
   }
@@ -62,7 +62,7 @@
   }
 
   /** The drain is not kept any more. */
-  forget(name: DrainName): void {
+  remove(name: DrainName): void {
     this.blockers.delete(name);
     this.previousBlockers.delete(name);
     this.progressedAt.delete(name);
--- a/packages/drain/src/core/drain-registry.ts
+++ b/packages/drain/src/core/drain-registry.ts
@@ -147,7 +147,7 @@
     const excess = Math.max(0, finished.length - MAX_FINISHED_DRAINS);
     for (const { request } of finished.slice(0, excess)) {
       this.drainsByName.delete(request.name);
-      this.progress.forget(request.name);
+      this.progress.remove(request.name);
       requests.push(this.writes.requestWrite({ key: drainKey(request.name), value: null }));
     }
   }
--- a/packages/drain/src/core/drain-stepper.ts
+++ b/packages/drain/src/core/drain-stepper.ts
@@ -1,7 +1,7 @@
 /** Takes one drain on: its deadline, the machines of its current step, and its next step. */
 import type { DecisionContext } from './decision-context.js';
 import { type Drain, type DrainName, isActive, isFinished } from './drain.js';
-import type { MachineDrainer, MachineDrainerParts } from './machine-drainer.js';
+import type { MachineDrainer, MachineDrainerCollaborators } from './machine-drainer.js';
 import { type StepConstraints, selectStep } from './step-selection.js';
 
 /** Where no machine could be taken, the fleet is looked through again after this long. */
@@ -13,7 +13,7 @@
   private readonly nextStepAt = new Map<DrainName, number>();
 
   constructor(
-    private readonly collaborators: MachineDrainerParts,
+    private readonly collaborators: MachineDrainerCollaborators,
     private readonly machineDrainer: MachineDrainer,
     private readonly constraintsOf: (context: DecisionContext) => StepConstraints,
   ) {}
@@ -56,7 +56,7 @@
   private beginStep(drain: Drain, context: DecisionContext): void {
     const { budget, progress } = this.collaborators;
     if (context.moment.now < (this.nextStepAt.get(drain.request.name) ?? 0)) {
-      progress.keepPreviousBlockers(drain);
+      progress.restorePreviousBlockers(drain);
       return;
     }
     progress.beginDecision(drain);
--- a/packages/drain/src/core/machine-drainer.ts
+++ b/packages/drain/src/core/machine-drainer.ts
@@ -20,7 +20,7 @@
 const isBlocker = (result: Disruption | Blocker): result is Blocker => 'kind' in result;
 
 /** What a machine's drain works with; owned by the drain manager. */
-export interface MachineDrainerParts {
+export interface MachineDrainerCollaborators {
   readonly settings: DrainSettings;
   readonly registry: DrainRegistry;
   readonly budget: BudgetLedger;
@@ -37,7 +37,7 @@
 
 /** Moves machines of a step on, one phase at a time. */
 export class MachineDrainer {
-  constructor(private readonly collaborators: MachineDrainerParts) {}
+  constructor(private readonly collaborators: MachineDrainerCollaborators) {}
 
   /** Does what the machine's phase calls for, and notes what holds it up. */
   advance(drain: Drain, machineDrain: MachineDrain, context: DecisionContext): void {
--- a/packages/drain/src/core/record-schemas.ts
+++ b/packages/drain/src/core/record-schemas.ts
@@ -5,7 +5,7 @@
 export const MAX_RECORD_SHARE = 0.9;
 
 /** A whole number from 0. */
-export const count = v.pipe(v.number(), v.integer(), v.minValue(0));
+export const countSchema = v.pipe(v.number(), v.integer(), v.minValue(0));
 
 /** A text that is not empty. */
-export const text = v.pipe(v.string(), v.minLength(1));
+export const textSchema = v.pipe(v.string(), v.minLength(1));
--- a/packages/drain/src/core/records.ts
+++ b/packages/drain/src/core/records.ts
@@ -22,7 +22,7 @@
   Selector,
   StepSize,
 } from './drain.js';
-import { count, text } from './record-schemas.js';
+import { countSchema, textSchema } from './record-schemas.js';
 
 const DRAIN_PREFIX = 'd/';
 const MACHINE_PREFIX = 'm/';
@@ -44,22 +44,22 @@
   why: v.nullable(v.string()),
   at: v.number(),
   last: v.string(),
-  total: count,
-  returned: count,
-  failed: count,
-  step: count,
+  total: countSchema,
+  returned: countSchema,
+  failed: countSchema,
+  step: countSchema,
   until: v.nullable(v.number()),
   select: v.object({
     all: v.boolean(),
-    machines: v.nullable(v.array(text)),
-    type: v.nullable(text),
-    zone: v.nullable(text),
+    machines: v.nullable(v.array(textSchema)),
+    type: v.nullable(textSchema),
+    zone: v.nullable(textSchema),
     spot: v.nullable(v.boolean()),
     age: v.nullable(v.number()),
-    image: v.nullable(text),
+    image: v.nullable(textSchema),
   }),
   size: v.union([
-    v.object({ count: v.pipe(count, v.minValue(1)) }),
+    v.object({ count: v.pipe(countSchema, v.minValue(1)) }),
     v.object({ share: v.number() }),
   ]),
   replace: v.boolean(),
@@ -141,9 +141,9 @@
 
 const machineSchema = v.object({
   phase: v.picklist(['waiting', 'cordoned', 'draining', 'returning']),
-  rental: v.nullable(v.tuple([text, count, count])),
-  by: v.nullable(text),
-  tries: count,
+  rental: v.nullable(v.tuple([textSchema, countSchema, countSchema])),
+  by: v.nullable(textSchema),
+  tries: countSchema,
 });
 
 type MachineRecord = v.InferOutput<typeof machineSchema>;
--- a/packages/drain/src/core/step-selection.ts
+++ b/packages/drain/src/core/step-selection.ts
@@ -38,7 +38,7 @@
 export interface StepConstraints {
   readonly letEndS: number;
   /** Part of a step under way, or a replacement in one. */
-  readonly isInUse: (machine: MachineId) => boolean;
+  readonly isAssignedToDrain: (machine: MachineId) => boolean;
   /** What keeps one more task of this team and job class from being disrupted. */
   readonly findBudgetBlocker: (team: TeamName, jobClass: string) => Blocker | null;
 }
@@ -74,8 +74,11 @@
  * Whether a step may take the machine. One that has not reported to this leader is left out: of it
  * only a former leader's ledger, or a list that lags, may tell.
  */
-const isAvailable = (machine: MachineView, { isInUse }: StepConstraints): boolean =>
-  machine.hasReported && !isLeaving(machine) && !machine.isCordoned && !isInUse(machine.id);
+const isAvailable = (machine: MachineView, { isAssignedToDrain }: StepConstraints): boolean =>
+  machine.hasReported &&
+  !isLeaving(machine) &&
+  !machine.isCordoned &&
+  !isAssignedToDrain(machine.id);
 
 /** Takes candidates in order, up to the step's size, and leaves the queue's head a machine. */
 const takeCandidates = (
