--- a/packages/drain/src/adapters/drain-request-parser.ts
+++ b/packages/drain/src/adapters/drain-request-parser.ts
@@ -1,13 +1,13 @@
-/** Parses an operator's request for a drain; what is wrong is told in one line with its field. */
+/** Parses the body of a drain request; errors are one line each and name the invalid field. */
 import type { ImageName, MachineId, MachineTypeName, ZoneName } from '@robinspread/extension-api';
 import * as v from 'valibot';
 import type { DrainName, DrainRequest, Selector, StepSize } from '../core/drain.js';
 
-/** Names become part of a key of the key-value store. */
-const DRAIN_NAME = /^[a-z0-9][a-z0-9-]{0,39}$/;
-/** Names of calls, whose routes would hide a drain. */
+/** A drain's name becomes part of keys in the key-value store. */
+const DRAIN_NAME_PATTERN = /^[a-z0-9][a-z0-9-]{0,39}$/;
+/** Reserved, since `/api/drains/plan` is the route of another call. */
 const RESERVED_NAMES = new Set(['plan']);
-const MACHINE_NAME = /^[\w.-]{1,120}$/;
+const MACHINE_NAME_PATTERN = /^[\w.-]{1,120}$/;
 
 const nonEmptyText = v.pipe(v.string(), v.minLength(1, 'must not be empty'), v.maxLength(200));
 const durationS = v.pipe(v.number(), v.finite(), v.minValue(0, 'must not be negative'));
@@ -16,7 +16,7 @@
   all: v.optional(v.literal(true)),
   machines: v.optional(
     v.pipe(
-      v.array(v.pipe(v.string(), v.regex(MACHINE_NAME, 'is no name of a machine'))),
+      v.array(v.pipe(v.string(), v.regex(MACHINE_NAME_PATTERN, 'is no name of a machine'))),
       v.minLength(1, 'must not be empty'),
     ),
   ),
@@ -30,7 +30,7 @@
 const requestSchema = v.strictObject({
   name: v.pipe(
     v.string(),
-    v.regex(DRAIN_NAME, 'must be 1 to 40 of a-z, 0-9 and -'),
+    v.regex(DRAIN_NAME_PATTERN, 'must be 1 to 40 of a-z, 0-9 and -'),
     v.check((name) => !RESERVED_NAMES.has(name), 'is the name of a call'),
   ),
   select: selectorSchema,
@@ -42,7 +42,7 @@
   deadlineS: v.optional(v.pipe(v.number(), v.finite(), v.gtValue(0, 'must be above 0'))),
 });
 
-/** The request, or what is wrong with it in one line that names the field. */
+/** The request, or a one-line error that names the invalid field. */
 export type ParsedDrainRequest =
   | { readonly kind: 'valid'; readonly request: DrainRequest }
   | { readonly kind: 'invalid'; readonly message: string };
@@ -64,7 +64,7 @@
     ? { kind: 'count', count: atOnce ?? 1 }
     : { kind: 'share', share: atOnceShare };
 
-/** An unknown key is reported by its own name, with the path to it. */
+/** Describes a validation issue; an unknown key is reported by its own path. */
 const describeIssue = (issue: v.BaseIssue<unknown>): string => {
   const path = v.getDotPath(issue as never) ?? 'body';
   return issue.type === 'strict_object' && issue.expected === 'never'
@@ -72,7 +72,7 @@
     : `field ${path}: ${issue.message}`;
 };
 
-/** Parses the body of a request to start or plan a drain; only its form is checked. */
+/** Parses the body of a start or plan request; does not check it against the fleet. */
 export const parseDrainRequest = (body: unknown): ParsedDrainRequest => {
   const result = v.safeParse(requestSchema, body);
   if (!result.success) return invalid(describeIssue(result.issues[0]));
--- a/packages/drain/src/adapters/settings-parser.ts
+++ b/packages/drain/src/adapters/settings-parser.ts
@@ -1,4 +1,4 @@
-/** Parses the package's file of S-expressions; what is wrong is told in one line with its field. */
+/** Parses the package's settings file (S-expressions); errors are one line and name the field. */
 import parseExpression from 's-expression';
 import {
   type BudgetLimits,
@@ -7,10 +7,10 @@
   type TeamBudget,
 } from '../core/settings.js';
 
-/** What is wrong with the file; the message is shown to operators. */
+/** An invalid settings file; the message is shown to operators. */
 class SettingsError extends Error {}
 
-/** A list of the file: a name, and values or further lists. */
+/** A list in the settings file: a name, followed by values or nested lists. */
 type Form = readonly unknown[];
 
 const nameOf = (atom: unknown): string => String(atom);
@@ -36,7 +36,7 @@
 
 const COUNT_BOUNDS: Bounds = { min: 0, max: 1e6 };
 const SHARE_BOUNDS: Bounds = { min: 0, max: 1 };
-/** In seconds. */
+/** Window length in seconds. */
 const WINDOW_BOUNDS: Bounds = { min: 1, max: 30 * 86_400 };
 
 const countAt = (form: Form, index: number, field: string): number => {
@@ -50,11 +50,11 @@
     throw new SettingsError(`field ${where}: takes ${length - 1} value(s)`);
 };
 
-/** The limits among these forms; `handleOther` gets what is no limit. */
+/** Parses the limits among the forms; `handleNonLimit` gets the others. */
 const parseLimits = (
   forms: Form,
   where: string,
-  handleOther: (form: Form, name: string) => void,
+  handleNonLimit: (form: Form, name: string) => void,
 ): BudgetLimits => {
   let count: number | null = null;
   let share: number | null = null;
@@ -80,13 +80,13 @@
         };
         break;
       default:
-        handleOther(form, name);
+        handleNonLimit(form, name);
     }
   }
   return { count, share, window };
 };
 
-const rejectOther =
+const rejectUnknownField =
   (where: string) =>
   (_: Form, name: string): never => {
     throw new SettingsError(`unknown field ${where} ${name}`);
@@ -96,14 +96,14 @@
   const classes = new Map<string, BudgetLimits>();
   const where = `budgets ${team}`;
   const limits = parseLimits(form.slice(2), where, (inner, name) => {
-    if (name !== 'class') rejectOther(where)(inner, name);
+    if (name !== 'class') rejectUnknownField(where)(inner, name);
     const jobClass = nameOf(inner[1]);
     if (inner.length < 3 || Array.isArray(inner[1]))
       throw new SettingsError(`field ${where} class: expected (class NAME ...)`);
     if (classes.has(jobClass))
       throw new SettingsError(`field ${where} class ${jobClass}: stated twice`);
     const classField = `${where} ${jobClass}`;
-    classes.set(jobClass, parseLimits(inner.slice(2), classField, rejectOther(classField)));
+    classes.set(jobClass, parseLimits(inner.slice(2), classField, rejectUnknownField(classField)));
   });
   return { limits, classes };
 };
@@ -121,7 +121,7 @@
       defaultBudget = parseLimits(
         budget.slice(1),
         'budgets default',
-        rejectOther('budgets default'),
+        rejectUnknownField('budgets default'),
       );
     } else if (kind === 'team') {
       const team = nameOf(budget[1]);
@@ -133,8 +133,8 @@
   return { defaultBudget, teams };
 };
 
-/** Single numbers of the file, and the bounds of each. */
-const NUMBERS: Readonly<
+/** Settings that are a single number, with their field and bounds. */
+const NUMERIC_SETTINGS: Readonly<
   Record<string, Bounds & { readonly key: 'letEndS' | 'readyTimeoutS' | 'stalledAfterS' }>
 > = {
   'let-end-s': { key: 'letEndS', min: 0, max: 86_400 },
@@ -152,7 +152,7 @@
   for (const item of form.slice(1) as unknown[]) {
     const entry = expectList(item, 'drain');
     const name = nameOf(entry[0]);
-    const number = Object.hasOwn(NUMBERS, name) ? NUMBERS[name] : undefined;
+    const number = Object.hasOwn(NUMERIC_SETTINGS, name) ? NUMERIC_SETTINGS[name] : undefined;
     if (number) {
       expectLength(entry, 2, name);
       settings = { ...settings, [number.key]: numberAt(entry, 1, name, number) };
@@ -162,7 +162,7 @@
   return settings;
 };
 
-/** The settings, or what is wrong with the file, in the form of the extension interface. */
+/** Returns the settings, or a one-line `fault` as the extension interface defines it. */
 export const parseDrainSettings = (
   text: string,
   knownTeams: ReadonlySet<string>,
--- a/packages/drain/src/cli.ts
+++ b/packages/drain/src/cli.ts
@@ -1,18 +1,18 @@
-/** Operators' commands: `robinspread drain ...`. They call a controller and print its answer. */
+/** The `robinspread drain ...` commands, which call a controller and print its answer. */
 import type { CommandTools } from '@robinspread/extension-api';
 import type { Command } from 'commander';
 
-/** Exit codes of the commands, as the operators' page states them. */
+/** Exit codes, as documented on the operators' page. */
 const EXIT_CODES = { done: 0, refused: 1, badInput: 2, noAnswer: 3, tryLater: 4 } as const;
 
-/** Which controller is asked, and how its answer is printed. */
-interface Target {
+/** The controller to call, and the format in which its answer is printed. */
+interface TargetOptions {
   readonly at: string;
   readonly json?: boolean;
 }
 
-/** Options of `start` and `plan`, under the names of the command line. */
-interface RequestOptions extends Target {
+/** Options of `start` and `plan`, named as on the command line. */
+interface RequestOptions extends TargetOptions {
   readonly all?: boolean;
   readonly machine?: string[];
   readonly type?: string;
@@ -26,7 +26,7 @@
   readonly deadline?: string;
 }
 
-/** A drain in a list, in the names of the HTTP interface, as all answers here. */
+/** A drain in a list. Answers use the field names of the HTTP interface. */
 interface DrainSummary {
   readonly name: string;
   readonly status: string;
@@ -41,7 +41,6 @@
   readonly text: string;
 }
 
-/** One drain. */
 interface DrainDetails extends DrainSummary {
   readonly why: string | null;
   readonly blocked: BlockerView | null;
@@ -55,7 +54,7 @@
   }[];
 }
 
-/** A dry run. */
+/** Answer to a plan request. */
 interface PlanView {
   readonly refused: string | null;
   readonly machines: number;
@@ -72,7 +71,6 @@
   }[];
 }
 
-/** The use of one budget. */
 interface BudgetView {
   readonly scope: string;
   readonly disrupted: number;
@@ -119,20 +117,20 @@
 const optionalNumber = (text: string | undefined): number | undefined =>
   text === undefined ? undefined : Number(text);
 
-/** `4` machines, or `10%` of them, as fields of the request. */
+/** Converts a step size, such as `4` (machines) or `10%`, to request fields. */
 const stepSizeFields = (text: string | undefined): object => {
   if (text === undefined) return {};
   if (text.endsWith('%')) return { atOnceShare: Number(text.slice(0, -1)) / 100 };
   return { atOnce: Number(text) };
 };
 
-/** Which pricing is meant; undefined: either. `--spot` wins over `--ordinary`. */
+/** The `spot` criterion; undefined selects both. `--spot` overrides `--ordinary`. */
 const spotOf = ({ spot, ordinary }: RequestOptions): boolean | undefined => {
   if (spot) return true;
   return ordinary ? false : undefined;
 };
 
-/** The body of a request; `name`: null for a plan. */
+/** Builds the request body; `name` is null for a plan. */
 const requestBody = (name: string | null, options: RequestOptions): object => {
   const select = {
     all: options.all,
@@ -158,8 +156,8 @@
   return status === 503 ? EXIT_CODES.tryLater : EXIT_CODES.refused;
 };
 
-/** A call of a controller, and how its answer reads as text. */
-interface Call {
+/** A call to a controller, and how to format its answer as text. */
+interface ControllerCall {
   readonly method: 'GET' | 'POST';
   readonly path: string;
   readonly body?: object;
@@ -167,7 +165,11 @@
 }
 
 /** Makes the call, prints the answer and sets the exit code. */
-const callController = async (tools: CommandTools, target: Target, call: Call): Promise<void> => {
+const callController = async (
+  tools: CommandTools,
+  target: TargetOptions,
+  call: ControllerCall,
+): Promise<void> => {
   const answer = await tools.sendRequest(target.at, call.method, call.path, call.body);
   if (!answer) {
     tools.printError(`no answer from ${target.at}`);
@@ -234,7 +236,7 @@
 
 const addStatusCommands = (drain: Command, tools: CommandTools): void => {
   const list = drain.command('list').description('all drains');
-  withTargetOptions(list).action((target: Target) =>
+  withTargetOptions(list).action((target: TargetOptions) =>
     callController(tools, target, {
       method: 'GET',
       path: '/api/drains',
@@ -242,7 +244,7 @@
     }),
   );
   const status = drain.command('status').description('one drain').argument('<name>');
-  withTargetOptions(status).action((name: string, target: Target) => {
+  withTargetOptions(status).action((name: string, target: TargetOptions) => {
     const path = drainPath(name);
     return callController(tools, target, { method: 'GET', path, linesOf: detailsText });
   });
@@ -251,7 +253,7 @@
 const addChangeCommands = (drain: Command, tools: CommandTools): void => {
   for (const change of ['pause', 'resume', 'cancel']) {
     const command = drain.command(change).description(`${change} a drain`).argument('<name>');
-    withTargetOptions(command).action((name: string, target: Target) => {
+    withTargetOptions(command).action((name: string, target: TargetOptions) => {
       const path = drainPath(name, `/${change}`);
       return callController(tools, target, {
         method: 'POST',
@@ -265,7 +267,7 @@
 
 const addBudgetsCommand = (drain: Command, tools: CommandTools): void => {
   const budgets = drain.command('budgets').description('disruption budgets and their use');
-  withTargetOptions(budgets).action((target: Target) =>
+  withTargetOptions(budgets).action((target: TargetOptions) =>
     callController(tools, target, {
       method: 'GET',
       path: '/api/budgets',
@@ -274,7 +276,7 @@
   );
 };
 
-/** Adds `drain` and its commands to the command line. */
+/** Adds `drain` and its subcommands to the command line. */
 export const addCommands = (program: Command, tools: CommandTools): void => {
   const drain = program.command('drain').description('drain machines in steps');
   addRequestCommands(drain, tools);
--- a/packages/drain/src/drain-extension.ts
+++ b/packages/drain/src/drain-extension.ts
@@ -1,4 +1,4 @@
-/** The package as the core knows it: one instance for each leader's term. */
+/** The package's implementation of the extension interface. */
 import type {
   AttemptView,
   Extension,
@@ -17,18 +17,18 @@
 import type { DrainSettings } from './core/settings.js';
 import { OperatorApiHandler } from './operator-api-handler.js';
 
-/** The package's name: in its file, its routes and the prefix of its records. */
+/** The package's name in its settings file, its routes and the prefix of its records. */
 export const EXTENSION_NAME = 'drain';
 
-/** Passes events, decisions and calls on to the drain manager and the operator API handler. */
+/** Delegates to the drain manager and the operator API handler; one instance per leader's term. */
 export class DrainExtension implements Extension {
   readonly name = EXTENSION_NAME;
   private readonly manager: DrainManager;
   private readonly operatorApi: OperatorApiHandler;
-  /** What calls ask for, until the next decision. */
-  private readonly requests: ExtensionRequest[] = [];
-  /** What events have stored, until the next decision. */
-  private readonly writes: RecordWrite[] = [];
+  /** Requests of calls, for the next decision. */
+  private readonly queuedRequests: ExtensionRequest[] = [];
+  /** Writes that events caused, for the next decision. */
+  private readonly queuedWrites: RecordWrite[] = [];
 
   constructor(settings: DrainSettings) {
     this.manager = new DrainManager(settings);
@@ -40,12 +40,12 @@
   }
 
   observe(event: ExtensionEvent, moment: Moment): void {
-    this.writes.push(...this.manager.handleEvent(event, moment));
+    this.queuedWrites.push(...this.manager.handleEvent(event, moment));
   }
 
   decide(fleet: FleetView, moment: Moment): readonly ExtensionRequest[] {
-    const context = { fleet, moment, requests: this.requests.splice(0) };
-    this.manager.requestWrites(this.writes.splice(0), context);
+    const context = { fleet, moment, requests: this.queuedRequests.splice(0) };
+    this.manager.requestWrites(this.queuedWrites.splice(0), context);
     this.manager.decide(context);
     this.operatorApi.answerStored(context);
     return context.requests;
@@ -57,7 +57,11 @@
     fleet: FleetView,
     moment: Moment,
   ): OperatorAnswer | null {
-    return this.operatorApi.handleCall(call, ticket, { fleet, moment, requests: this.requests });
+    return this.operatorApi.handleCall(call, ticket, {
+      fleet,
+      moment,
+      requests: this.queuedRequests,
+    });
   }
 
   mayScaleIn(machine: MachineView): boolean {
--- a/packages/drain/src/index.ts
+++ b/packages/drain/src/index.ts
@@ -16,14 +16,14 @@
   { name: 'budgets', method: 'GET', path: '/api/budgets' },
 ];
 
-/** The daemon's part of the package, with the settings of its file. */
+/** The package's part in the daemon, with the settings of its file. */
 export const drainModule = (settings: DrainSettings): ExtensionModule => ({
   name: EXTENSION_NAME,
   routes: ROUTES,
   create: () => new DrainExtension(settings),
 });
 
-/** What the program loads when a file of this package is enabled. */
+/** The entry point, loaded when a settings file of this package is enabled. */
 export const extensionPackage: ExtensionPackage = {
   configure: (text, { teams }) => {
     const settings = parseDrainSettings(text, teams);
--- a/packages/drain/src/operator-api-handler.ts
+++ b/packages/drain/src/operator-api-handler.ts
@@ -1,5 +1,5 @@
 /**
- * Operators' calls: checked against the fleet, carried out, and answered once what they change is
+ * Operators' calls: validated against the fleet, executed, and answered once their changes are
  * stored.
  */
 import type {
@@ -32,9 +32,9 @@
   body: { error },
 });
 const NO_SUCH_DRAIN = errorAnswer(404, 'no such drain');
-const UNSETTLED = errorAnswer(503, 'a new leader waits for the machines to report');
+const FLEET_UNSETTLED = errorAnswer(503, 'a new leader waits for the machines to report');
 
-/** A call whose change is not stored yet. */
+/** A call that is answered once its change is stored. */
 interface PendingAnswer {
   readonly ticket: ReplyTicket;
   readonly drain: Drain;
@@ -49,7 +49,7 @@
   cancel: 'cancelled',
 };
 
-/** Whether the drain is where the change leads, so that a repeat changes nothing. */
+/** Whether the change has already been made, so that a repeated call has no effect. */
 const isAlreadyDone = (change: Change, { phase }: Drain): boolean =>
   phase === PHASE_AFTER[change] || (change === 'resume' && phase === 'pending');
 
@@ -59,7 +59,7 @@
   return false;
 };
 
-/** Why the selector cannot be met, naming the field; null: it can. */
+/** Why the selector is rejected, with the field's name; null if it is valid. */
 const selectorRefusal = ({ request, total }: Drain, fleet: FleetView): string | null => {
   const { type, zone, machines } = request.selector;
   if (type !== null && !fleet.types.has(type))
@@ -70,10 +70,10 @@
   return total === 0 ? 'field select: no machine meets it' : null;
 };
 
-const exceedsRecord = (drain: Drain, { maxValueBytes }: FleetView): boolean =>
+const exceedsRecordSize = (drain: Drain, { maxValueBytes }: FleetView): boolean =>
   Buffer.byteLength(JSON.stringify(encodeDrain(drain))) > maxValueBytes * MAX_RECORD_SHARE;
 
-/** Why the machines may not leave without replacements; null: they may. */
+/** Why the machines may not leave without replacements; null if they may. */
 const queueHeadRefusal = (drain: Drain, { fleet, moment }: DecisionContext): string | null => {
   const queueHead = queueHeadCheckFor(drain, fleet);
   if (!queueHead) return null;
@@ -85,22 +85,22 @@
   return null;
 };
 
-/** Why a drain cannot be taken up, naming the field; null: it can. */
+/** Why a drain cannot be started; null if it can. */
 const refusalOf = (drain: Drain, context: DecisionContext): string | null => {
   const refusal = selectorRefusal(drain, context.fleet);
   if (refusal !== null) return refusal;
-  if (exceedsRecord(drain, context.fleet))
+  if (exceedsRecordSize(drain, context.fleet))
     return 'field select.machines: more names than a record of the state service holds';
   return queueHeadRefusal(drain, context);
 };
 
-/** Answers operators' calls on the drains of one leader's term. */
+/** Answers operators' calls about the drains of one leader's term. */
 export class OperatorApiHandler {
   private pendingAnswers: PendingAnswer[] = [];
 
   constructor(private readonly manager: DrainManager) {}
 
-  /** Answers a call, or keeps its ticket until what it changes is stored. */
+  /** Answers a call; returns null if the answer follows once its change is stored. */
   handleCall(
     call: OperatorCall,
     ticket: ReplyTicket,
@@ -126,7 +126,7 @@
     }
   }
 
-  // ---- questions ----
+  // ---- queries ----
 
   private list({ moment }: DecisionContext): OperatorAnswer {
     const { drains, unreadable } = this.manager.registry;
@@ -151,10 +151,11 @@
   }
 
   private plan(body: unknown, context: DecisionContext): OperatorAnswer {
-    const named = typeof body === 'object' && body !== null ? { name: 'dry-run', ...body } : body;
-    const parsed = parseDrainRequest(named);
+    const bodyWithName =
+      typeof body === 'object' && body !== null ? { name: 'dry-run', ...body } : body;
+    const parsed = parseDrainRequest(bodyWithName);
     if (parsed.kind === 'invalid') return errorAnswer(400, parsed.message);
-    if (!context.fleet.isSettled) return UNSETTLED;
+    if (!context.fleet.isSettled) return FLEET_UNSETTLED;
     const drain = createDrain(parsed.request, context.fleet, context.moment);
     const refused = refusalOf(drain, context);
     return { status: 200, body: { refused, ...planOf(this.manager, drain, context) } };
@@ -174,8 +175,8 @@
     if (unreadable.has(request.name))
       return errorAnswer(409, 'a drain of this name cannot be read');
     const known = drains.get(request.name);
-    if (known) return this.repeat(known, request, ticket, context);
-    if (!context.fleet.isSettled) return UNSETTLED;
+    if (known) return this.answerRepeat(known, request, ticket, context);
+    if (!context.fleet.isSettled) return FLEET_UNSETTLED;
     const drain = createDrain(request, context.fleet, context.moment);
     const refusal = refusalOf(drain, context);
     if (refusal !== null) return errorAnswer(422, refusal);
@@ -183,7 +184,7 @@
     return this.answerWhenStored({ ticket, drain, status: 201 });
   }
 
-  private repeat(
+  private answerRepeat(
     known: Drain,
     request: DrainRequest,
     ticket: ReplyTicket,
@@ -218,7 +219,7 @@
     return null;
   }
 
-  /** Answers the calls whose change is stored by now. */
+  /** Answers the calls whose changes have been stored. */
   answerStored(context: DecisionContext): void {
     const stillPending: PendingAnswer[] = [];
     for (const pending of this.pendingAnswers) {
