--- a/packages/drain/src/core/blocker.ts
+++ b/packages/drain/src/core/blocker.ts
@@ -1,8 +1,8 @@
-/** What holds up a drain or one of its machines, and how operators are told of it. */
+/** Reasons why a drain or one of its machines is blocked, and their texts for operators. */
 import type { ProvisionRequestId } from '@robinspread/extension-api';
 import type { MachineWork } from './machine-selection.js';
 
-/** Why a drain, or one of its machines, does not go on at this moment. */
+/** Why a drain, or one of its machines, cannot proceed at present. */
 export type Blocker =
   | {
       readonly kind: 'budget';
@@ -33,7 +33,7 @@
   | { readonly kind: 'busy-elsewhere'; readonly machines: number }
   | { readonly kind: 'fleet-unsettled' };
 
-/** One sentence for operators, as the operators' page lists them. */
+/** The blocker's text for operators, as listed on the operators' page. */
 export const describeBlocker = (blocker: Blocker): string => {
   switch (blocker.kind) {
     case 'budget':
@@ -81,7 +81,7 @@
   }
 };
 
-/** Tasks that are left to run to their end hold their machine. */
+/** The blocker for tasks that keep a machine occupied until they finish. */
 export const finishingBlocker = ({
   finishing,
   finishesInMs,
--- a/packages/drain/src/core/budget-ledger.ts
+++ b/packages/drain/src/core/budget-ledger.ts
@@ -1,8 +1,8 @@
 /**
- * The ledger of disruptions and the use of their budgets. A task is disrupted from the moment its
- * stop is decided, or its machine is known to be lost, until it runs again, is done, or its job is
- * over. Voluntary disruptions wait until every budget they count against has room; involuntary
- * ones never wait but count all the same.
+ * The ledger of disruptions and the usage of their budgets. A task is disrupted from when its stop
+ * is decided, or its machine is known to be lost, until it runs again, is done, or its job has
+ * ended. Voluntary disruptions are granted only if every budget they count against has room;
+ * involuntary ones are always counted, even beyond the limit.
  */
 import type {
   AttemptId,
@@ -24,15 +24,15 @@
 import type { Disruption } from './disruption.js';
 import type { DrainSettings } from './settings.js';
 
-/** A grant whose stop has not begun after this long is given back, so that others may use it. */
-const GRANT_MS = 30_000;
-/** For an inherited grant: the former leader may have sent its stop, and it is still under way. */
-const INHERITED_GRANT_MS = 120_000;
+/** A grant that no stop has used after this time expires, which frees its budget. */
+const GRANT_LIFETIME_MS = 30_000;
+/** Longer for a previous leader's grant, since a stop that it sent may still be in transit. */
+const INHERITED_GRANT_LIFETIME_MS = 120_000;
 
 const windowStart = (seconds: number, { wallClockMs }: Pick<Moment, 'wallClockMs'>): number =>
   wallClockMs - seconds * 1000;
 
-/** Whether another attempt of the task runs, and the disrupted one is proven gone. */
+/** Whether another attempt of the task is running and the disrupted one has been released. */
 const isRunningAgain = (job: JobView, { index, attempt }: Disruption): boolean => {
   let isRunning = false;
   for (const other of job.attemptsByTask.get(index) ?? []) {
@@ -42,18 +42,17 @@
   return isRunning;
 };
 
-/** Owns all disruptions of one leader's term, and grants new ones as far as the budgets allow. */
+/** Owns all disruptions of one leader's term and grants new ones within the budgets. */
 export class BudgetLedger {
-  /** All disruptions that count, by attempt. */
+  /** All disruptions that count against a budget, by attempt. */
   readonly disruptions = new Map<AttemptId, Disruption>();
-  /** Attempts whose grant lapsed, and until when they are not considered again. */
-  private readonly lapsedUntil = new Map<AttemptId, number>();
-  /** Teams' job classes without room in this decision: asked once, whatever the number of tasks. */
+  /** Until when attempts whose grant expired get no new one, on the steady clock. */
+  private readonly retryBlockedUntil = new Map<AttemptId, number>();
+  /** Blockers by team and job class, cached for one decision. */
   private readonly blockedClasses = new Map<string, Blocker>();
 
   constructor(private readonly settings: DrainSettings) {}
 
-  /** How much of a scope is in use. */
   private usageOf(scope: BudgetScope, fleet: FleetView, moment: Moment): ScopeUsage {
     let open = 0;
     let inWindow = 0;
@@ -75,7 +74,7 @@
     return count === null ? byShare : Math.min(count, byShare);
   }
 
-  /** The scope's tasks that are on machines, or are disrupted and on none. */
+  /** Counts the scope's tasks that are on machines, or are disrupted and on none. */
   private countTasks(scope: BudgetScope, fleet: FleetView): number {
     let tasks = 0;
     for (const { spec, attemptsByTask } of fleet.jobs.values()) {
@@ -88,7 +87,7 @@
     return tasks;
   }
 
-  /** What keeps one more task of this team and job class from being disrupted; null: nothing. */
+  /** The first budget without room for one more task of this team and job class; null if none. */
   findBlocker(team: TeamName, jobClass: string, fleet: FleetView, moment: Moment): Blocker | null {
     for (const scope of scopesOf(this.settings, team, jobClass)) {
       const { open, limit, inWindow } = this.usageOf(scope, fleet, moment);
@@ -105,8 +104,8 @@
   }
 
   /**
-   * Asks to disrupt an attempt. Returns its disruption, what keeps it from being granted, or null
-   * when its job is over or a grant of it lapsed a short while ago.
+   * Requests the disruption of an attempt. Returns the disruption, the blocker, or null if its job
+   * has ended or its last grant expired less than `GRANT_LIFETIME_MS` ago.
    */
   requestDisruption(
     attempt: AttemptView,
@@ -116,7 +115,7 @@
     const id = attempt.entry.attempt;
     const known = this.disruptions.get(id);
     if (known) return known;
-    if (!attempt.job || (this.lapsedUntil.get(id) ?? 0) > moment.now) return null;
+    if (!attempt.job || (this.retryBlockedUntil.get(id) ?? 0) > moment.now) return null;
     const { team, jobClass } = attempt.job.spec;
     const key = JSON.stringify([team, jobClass]);
     const blocker = this.blockedClasses.get(key) ?? this.findBlocker(team, jobClass, fleet, moment);
@@ -125,7 +124,7 @@
     return blocker;
   }
 
-  /** Counts a disruption that was not decided here: a lost machine, a reclaim notice. */
+  /** Counts a lost machine's or reclaim notice's disruption; a known one becomes `stopped`. */
   recordInvoluntary(attempt: AttemptView, moment: Moment): void {
     const known = this.disruptions.get(attempt.entry.attempt);
     if (known) {
@@ -161,16 +160,16 @@
     return disruption;
   }
 
-  /** The attempt ended by itself before it was stopped: nothing was disrupted. */
+  /** Drops the disruption of an attempt that ended by itself or whose record was refused. */
   withdraw(attempt: AttemptId): void {
     const known = this.disruptions.get(attempt);
     if (!known || known.phase === 'stopped') return;
-    // The former leader may have sent its stop.
+    // Still counted: the previous leader may have sent the stop.
     if (known.isInherited) known.phase = 'stopped';
     else this.disruptions.delete(attempt);
   }
 
-  /** Its record is stored: from now on it may be stopped. */
+  /** Allows the stop, once the disruption's record is stored. */
   grant(disruption: Disruption, { now }: Moment): void {
     if (disruption.phase !== 'requested') return;
     disruption.phase = 'granted';
@@ -183,7 +182,7 @@
     return phase === 'granted' || phase === 'stopped';
   }
 
-  /** Voluntary disruptions whose work does not run again yet. */
+  /** Voluntary disruptions whose task is not running again yet. */
   get openVoluntaryCount(): number {
     let open = 0;
     for (const { isVoluntary, phase } of this.disruptions.values()) {
@@ -192,11 +191,11 @@
     return open;
   }
 
-  /** Brings every disruption up to date with the fleet; called once at the start of a decision. */
+  /** Updates all disruptions from the fleet; called once at the start of each decision. */
   update(fleet: FleetView, moment: Moment): void {
     this.blockedClasses.clear();
-    for (const [attempt, until] of this.lapsedUntil)
-      if (until <= moment.now) this.lapsedUntil.delete(attempt);
+    for (const [attempt, until] of this.retryBlockedUntil)
+      if (until <= moment.now) this.retryBlockedUntil.delete(attempt);
     for (const disruption of [...this.disruptions.values()])
       this.updateDisruption(disruption, fleet, moment);
     this.pruneSettled(moment);
@@ -219,36 +218,36 @@
       disruption.phase = 'stopped';
       return;
     }
-    if (phase === 'granted') this.lapseUnusedGrant(disruption, moment);
+    if (phase === 'granted') this.expireUnusedGrant(disruption, moment);
   }
 
-  private lapseUnusedGrant(disruption: Disruption, { now }: Moment): void {
+  private expireUnusedGrant(disruption: Disruption, { now }: Moment): void {
     disruption.grantedAt ??= now;
-    const lifeMs = disruption.isInherited ? INHERITED_GRANT_MS : GRANT_MS;
-    if (now - disruption.grantedAt < lifeMs) return;
+    const lifetimeMs = disruption.isInherited ? INHERITED_GRANT_LIFETIME_MS : GRANT_LIFETIME_MS;
+    if (now - disruption.grantedAt < lifetimeMs) return;
     this.disruptions.delete(disruption.attempt);
-    this.lapsedUntil.set(disruption.attempt, now + GRANT_MS);
+    this.retryBlockedUntil.set(disruption.attempt, now + GRANT_LIFETIME_MS);
   }
 
-  /** A task that was never stopped counts for nothing, one that was counts for the window. */
+  /** A stopped task still counts in the budget windows; one that was never stopped does not. */
   private settleFinished(disruption: Disruption): void {
     if (disruption.phase === 'stopped') disruption.phase = 'settled';
     else this.disruptions.delete(disruption.attempt);
   }
 
-  /** Settled ones are kept while a window may need them: the newest, as many as it allows. */
+  /** Keeps, for each window, at most as many settled disruptions as it allows, newest first. */
   private pruneSettled(moment: Moment): void {
     const settled = [...this.disruptions.values()].filter(({ phase }) => phase === 'settled');
     settled.sort((a, b) => b.startedAt - a.startedAt);
     const keptByScope = new Map<string, number>();
     for (const disruption of settled) {
-      if (!this.isNeededByWindow(disruption, keptByScope, moment))
+      if (!this.countTowardsWindows(disruption, keptByScope, moment))
         this.disruptions.delete(disruption.attempt);
     }
   }
 
-  /** Whether a window still needs the disruption; counts it in each scope that does. */
-  private isNeededByWindow(
+  /** Counts a settled disruption in every window that still needs it; false if none does. */
+  private countTowardsWindows(
     { team, jobClass, startedAt }: Disruption,
     keptByScope: Map<string, number>,
     moment: Moment,
@@ -265,7 +264,7 @@
     return isNeeded;
   }
 
-  /** The use of every scope that a budget is stated for, for operators. */
+  /** The usage of every scope that has a budget. */
   listUsage(fleet: FleetView, moment: Moment): ScopeUsage[] {
     return allScopes(this.settings, fleet).map((scope) => this.usageOf(scope, fleet, moment));
   }
--- a/packages/drain/src/core/budget-scopes.ts
+++ b/packages/drain/src/core/budget-scopes.ts
@@ -2,23 +2,23 @@
 import type { FleetView, TeamName } from '@robinspread/extension-api';
 import type { BudgetLimits, DrainSettings } from './settings.js';
 
-/** What a budget covers: a team, or one job class of a team. */
+/** The tasks that a budget covers, with its limits. */
 export interface BudgetScope {
   readonly name: string;
   readonly team: TeamName;
-  /** null: every job class of the team. */
+  /** null for every job class of the team. */
   readonly jobClass: string | null;
   readonly limits: BudgetLimits;
 }
 
-/** How much of a scope's budget is in use. */
+/** Current usage of a scope's budget. */
 export interface ScopeUsage {
   readonly scope: BudgetScope;
-  /** Disrupted now. */
+  /** Tasks that are disrupted now. */
   readonly open: number;
-  /** At once, as the limits stand now; null: no limit. */
+  /** The current limit of `open`; null if there is none. */
   readonly limit: number | null;
-  /** Disrupted within the window; null where none is stated. */
+  /** Tasks disrupted within the window or now; null if there is no window. */
   readonly inWindow: number | null;
 }
 
@@ -26,7 +26,7 @@
 export const isCovered = (scope: BudgetScope, team: TeamName, jobClass: string): boolean =>
   scope.team === team && (scope.jobClass === null || scope.jobClass === jobClass);
 
-/** The scopes that a task counts against; none: it has no limit. */
+/** The scopes that a task counts against; empty if it has no budget. */
 export const scopesOf = (
   settings: DrainSettings,
   team: TeamName,
@@ -37,15 +37,20 @@
     const limits = settings.defaultBudget;
     return limits ? [{ name: `team ${team}`, team, jobClass: null, limits }] : [];
   }
-  const whole: BudgetScope = { name: `team ${team}`, team, jobClass: null, limits: budget.limits };
+  const teamScope: BudgetScope = {
+    name: `team ${team}`,
+    team,
+    jobClass: null,
+    limits: budget.limits,
+  };
   const limits = budget.classes.get(jobClass);
-  // The narrower one first: it says more about what holds work up.
+  // The narrower scope comes first: it is the more specific blocker to report.
   return limits
-    ? [{ name: `team ${team} class ${jobClass}`, team, jobClass, limits }, whole]
-    : [whole];
+    ? [{ name: `team ${team} class ${jobClass}`, team, jobClass, limits }, teamScope]
+    : [teamScope];
 };
 
-/** Every scope for which a budget is stated, each once, in the order of the teams. */
+/** Every scope that has a budget, without duplicates, in the order of the teams. */
 export const allScopes = (settings: DrainSettings, fleet: FleetView): BudgetScope[] => {
   const scopes = new Map<string, BudgetScope>();
   const add = (found: readonly BudgetScope[]) => {
--- a/packages/drain/src/core/decision-context.ts
+++ b/packages/drain/src/core/decision-context.ts
@@ -1,7 +1,7 @@
-/** The context of one decision of the package: what it sees, and what it asks the core for. */
+/** The input and output of one decision of the package. */
 import type { ExtensionRequest, FleetView, Moment } from '@robinspread/extension-api';
 
-/** One decision; `requests` gathers what is asked for, in the order in which it is carried out. */
+/** One decision; `requests` collects the requests to the core, in order of execution. */
 export interface DecisionContext {
   readonly fleet: FleetView;
   readonly moment: Moment;
--- a/packages/drain/src/core/disruption-codec.ts
+++ b/packages/drain/src/core/disruption-codec.ts
@@ -1,16 +1,16 @@
 /**
- * The codec of records of disruptions, several to a record, as rows without field names: the
- * key-value store bounds the size of a value and the changes in a second.
+ * The codec of disruption records. A record holds several disruptions, as rows without field names,
+ * since the key-value store limits the size of a value and the rate of writes.
  */
 import type { AttemptId, JobId, TaskIndex, TeamName } from '@robinspread/extension-api';
 import * as v from 'valibot';
 import type { Disruption } from './disruption.js';
 import { countSchema, textSchema } from './record-schemas.js';
 
-/** The prefix of the keys of these records. */
+/** The key prefix of disruption records. */
 export const DISRUPTIONS_PREFIX = 'b/';
 
-/** The key of a leader's n-th record of disruptions; the fencing token keeps leaders apart. */
+/** The key of a leader's n-th record; the fencing token makes it unique. */
 export const disruptionsKey = (fencingToken: number, n: number): string =>
   `${DISRUPTIONS_PREFIX}${fencingToken}-${n}`;
 
@@ -25,7 +25,6 @@
 ]);
 const disruptionsSchema = v.array(disruptionSchema);
 
-/** One disruption as it is stored. */
 type DisruptionRow = [
   job: string,
   index: number,
@@ -63,11 +62,11 @@
   };
 };
 
-/** The record of some disruptions. */
+/** Encodes disruptions as the value of one record. */
 export const encodeDisruptions = (rows: readonly Disruption[]): DisruptionRow[] =>
   rows.map(encodeDisruption);
 
-/** The disruptions of a record; null: it cannot be read. */
+/** Decodes the disruptions of a record; null if it is malformed. */
 export const decodeDisruptions = (key: string, value: unknown): Disruption[] | null => {
   const result = v.safeParse(disruptionsSchema, value);
   if (!result.success) return null;
--- a/packages/drain/src/core/disruption-records.ts
+++ b/packages/drain/src/core/disruption-records.ts
@@ -1,6 +1,6 @@
 /**
- * Records of disruptions in the key-value store: written before a stop, deleted when none of their
- * rows counts any more.
+ * Disruption records in the key-value store: written before the attempts are stopped, deleted once
+ * none of their disruptions counts any more.
  */
 import type { Moment } from '@robinspread/extension-api';
 import type { BudgetLedger } from './budget-ledger.js';
@@ -12,9 +12,9 @@
 
 const EMPTY_RECORD_BYTES = 2;
 
-/** Keeps the stored rows up to date; a disruption is granted once its row is stored. */
+/** Writes and deletes disruption records; a disruption is granted once its record is stored. */
 export class DisruptionRecords {
-  /** Keys that are stored, or are being stored. */
+  /** Keys of records that are stored or being stored. */
   private readonly keys = new Set<string>();
   private nextRecord = 1;
 
@@ -23,7 +23,7 @@
     private readonly writes: PendingWrites,
   ) {}
 
-  /** Takes over what a former leader stored. */
+  /** Takes over the disruptions that previous leaders stored. */
   load(disruptions: readonly Disruption[]): void {
     for (const disruption of disruptions) {
       this.budget.disruptions.set(disruption.attempt, disruption);
@@ -31,7 +31,7 @@
     }
   }
 
-  /** The record is stored: grants the disruptions in it. */
+  /** Grants the disruptions of a record that has been stored. */
   handleStored(key: string, moment: Moment): void {
     if (!this.keys.has(key)) return;
     for (const disruption of this.budget.disruptions.values()) {
@@ -39,7 +39,7 @@
     }
   }
 
-  /** The key-value store refuses the record in any size: what is in it is not stopped. */
+  /** Withdraws the disruptions of a record that the key-value store refused as too large. */
   handleRefused(key: string): void {
     if (!this.keys.delete(key)) return;
     for (const disruption of [...this.budget.disruptions.values()]) {
@@ -47,13 +47,13 @@
     }
   }
 
-  /** Writes the disruptions that have no record, and deletes records of which nothing counts. */
+  /** Writes disruptions without a record, and deletes records that are not needed. */
   update(context: DecisionContext): void {
     this.writeUnrecorded(context);
     this.deleteUnneeded(context);
   }
 
-  /** Fills as few records as hold them: the key-value store takes few changes a second. */
+  /** Uses as few records as possible, since the key-value store limits the rate of writes. */
   private writeUnrecorded(context: DecisionContext): void {
     let rows: Disruption[] = [];
     let bytes = EMPTY_RECORD_BYTES;
--- a/packages/drain/src/core/disruption-tracker.ts
+++ b/packages/drain/src/core/disruption-tracker.ts
@@ -1,14 +1,14 @@
 /**
- * Disruptions that no drain asks for: replicas that leave machines by the core's own decision,
- * reclaim notices, and attempts that are lost with their machines.
+ * Disruptions that no drain requests: replicas that the core evicts by its own decision, reclaim
+ * notices, and attempts that are lost with their machines.
  */
 import type { AttemptId, AttemptView, MachineView, Moment } from '@robinspread/extension-api';
 import type { BudgetLedger } from './budget-ledger.js';
 import type { DecisionContext } from './decision-context.js';
 import type { DrainRegistry } from './drain-registry.js';
 
-/** How often reclaim notices are looked for; events tell of what they end. */
-const NOTICE_SCAN_MS = 500;
+/** How often machines are checked for reclaim notices; attempts that end arrive as events. */
+const RECLAIM_SCAN_INTERVAL_MS = 500;
 
 const hasBegun = ({ phase }: AttemptView): boolean =>
   phase === 'fetching' ||
@@ -16,18 +16,18 @@
   phase === 'checkpointing' ||
   phase === 'unconfirmed';
 
-const isBeingTaken = ({ reclaimAt, lostAt, isDeleting }: MachineView): boolean =>
+const isBeingLost = ({ reclaimAt, lostAt, isDeleting }: MachineView): boolean =>
   reclaimAt !== null || lostAt !== null || isDeleting;
 
 const isUnfinished = ({ job, isSuperseded, phase }: AttemptView): boolean =>
   job?.terminalState === 'none' && !isSuperseded && phase !== 'ended';
 
-/** Keeps the budget ledger in step with what the core and the cloud decide. */
+/** Records disruptions that the core or the cloud decides on in the budget ledger. */
 export class DisruptionTracker {
-  /** Replicas that the core would evict, until the next decision asks the budgets for them. */
+  /** Replicas that the core wants to evict; the next decision requests their disruption. */
   private readonly evictionRequests = new Map<AttemptId, AttemptView>();
-  /** When the fleet is next looked through for notices, on the steady clock. */
-  private nextNoticeScanAt = 0;
+  /** When the fleet is next checked for reclaim notices, on the steady clock. */
+  private nextReclaimScanAt = 0;
 
   constructor(
     private readonly registry: DrainRegistry,
@@ -35,8 +35,8 @@
   ) {}
 
   /**
-   * Whether the core may evict a replica now; where no drain asks for it, the next decision does.
-   * A machine that fails jobs leaves whatever becomes of its drain.
+   * Whether the core may evict a replica now. Unless a drain requests its disruption, the next
+   * decision does. A machine on which jobs fail is emptied whatever the phase of its drain.
    */
   mayEvictReplica(attempt: AttemptView): boolean {
     const drain = this.registry.drainOf(attempt.machine.id);
@@ -47,17 +47,17 @@
     return false;
   }
 
-  /** Asks the budgets for the evictions that the core would make. */
+  /** Requests the disruptions for evictions that the core wants to make. */
   requestEvictions({ fleet, moment }: DecisionContext): void {
     for (const attempt of this.evictionRequests.values())
       this.budget.requestDisruption(attempt, fleet, moment);
     this.evictionRequests.clear();
   }
 
-  /** Tasks that a reclaim notice stops are disrupted from that moment on. */
+  /** Records the tasks that are stopped because of a reclaim notice as disrupted. */
   recordReclaimNotices({ fleet, moment }: DecisionContext): void {
-    if (moment.now < this.nextNoticeScanAt) return;
-    this.nextNoticeScanAt = moment.now + NOTICE_SCAN_MS;
+    if (moment.now < this.nextReclaimScanAt) return;
+    this.nextReclaimScanAt = moment.now + RECLAIM_SCAN_INTERVAL_MS;
     for (const machine of fleet.machines.values()) {
       if (machine.reclaimAt === null) continue;
       for (const attempt of machine.placements.values()) {
@@ -67,14 +67,14 @@
     }
   }
 
-  /** An attempt is certainly not on its machine any more. */
+  /** Handles an attempt that is known not to be on its machine any more. */
   handleReleased(attempt: AttemptView, how: 'reported' | 'gone', moment: Moment): void {
     const { job, machine, stopRequest, isSuperseded } = attempt;
     if (!hasBegun(attempt) || job?.terminalState !== 'none' || isSuperseded) return;
     const { attempt: id } = attempt.entry;
-    const isTaken = isBeingTaken(machine);
-    if (stopRequest && !isTaken) {
-      // A stop of this package is in the ledger; preemption and stops of rival attempts are not.
+    const isMachineBeingLost = isBeingLost(machine);
+    if (stopRequest && !isMachineBeingLost) {
+      // The ledger holds stops by this package, but not preemptions or stops of rival attempts.
       if (this.budget.disruptions.has(id)) this.budget.recordInvoluntary(attempt, moment);
       return;
     }
--- a/packages/drain/src/core/disruption.ts
+++ b/packages/drain/src/core/disruption.ts
@@ -1,9 +1,9 @@
-/** Disruptions: tasks and replicas that are kept from running by something other than their end. */
+/** Disruptions: tasks and replicas that are interrupted before they end by themselves. */
 import type { AttemptId, JobId, TaskIndex, TeamName } from '@robinspread/extension-api';
 
 /**
- * requested: its record is not stored yet; granted: it may be stopped; stopped: it is being stopped
- * or has been; settled: it runs again or need not, and counts for the window alone.
+ * requested: its record is not stored yet; granted: the attempt may be stopped; stopped: it is
+ * being stopped or has been; settled: the task runs again or need not, and only counts in windows.
  */
 export type DisruptionPhase = 'requested' | 'granted' | 'stopped' | 'settled';
 
@@ -16,13 +16,13 @@
   readonly jobClass: string;
   /** Time of day, in milliseconds since the epoch. */
   readonly startedAt: number;
-  /** Decided by the package, not brought about by a lost machine or a reclaim notice. */
+  /** Decided by the package or the core, not caused by a lost machine or a reclaim notice. */
   readonly isVoluntary: boolean;
   phase: DisruptionPhase;
-  /** The key of the record that holds it; null until it has one. */
+  /** The key of its record; null until it has one. */
   recordKey: string | null;
-  /** When it was granted, on the steady clock; a grant that is not used in time lapses. */
+  /** When it was granted, on the steady clock; an unused grant expires. */
   grantedAt: number | null;
-  /** Read from the key-value store: whether its stop was sent is not known. */
+  /** Loaded from a previous leader's record; whether the stop was sent is unknown. */
   readonly isInherited: boolean;
 }
--- a/packages/drain/src/core/drain-events.ts
+++ b/packages/drain/src/core/drain-events.ts
@@ -1,4 +1,4 @@
-/** Reactions to what happens in the fleet, in the cloud and in the key-value store. */
+/** Handles events from the fleet, the cloud and the key-value store. */
 import type { ExtensionEvent, Moment, RecordWrite } from '@robinspread/extension-api';
 import type { DisruptionRecords } from './disruption-records.js';
 import type { DisruptionTracker } from './disruption-tracker.js';
@@ -6,7 +6,7 @@
 import type { PendingWrites } from './pending-writes.js';
 import type { ProvisionResult, Replacements } from './replacements.js';
 
-/** What events change; owned by the drain manager. */
+/** The objects that events update; owned by the drain manager. */
 export interface DrainEventCollaborators {
   readonly registry: DrainRegistry;
   readonly replacements: Replacements;
@@ -15,11 +15,11 @@
   readonly writes: PendingWrites;
 }
 
-/** Takes in events between decisions. */
+/** Handles events between decisions. */
 export class DrainEventHandler {
   constructor(private readonly collaborators: DrainEventCollaborators) {}
 
-  /** Takes an event in; returns the writes that it calls for, which the next decision requests. */
+  /** Handles an event; returns the resulting writes, for the next decision to request. */
   handle(event: ExtensionEvent, moment: Moment): readonly RecordWrite[] {
     switch (event.kind) {
       case 'released':
@@ -36,7 +36,7 @@
     }
   }
 
-  /** Assigns the provisioned machines to the machines that wait for this request. */
+  /** Assigns the provisioned machines to the drained machines that wait for this request. */
   private handleProvisionResult(event: ProvisionResult, moment: Moment): RecordWrite[] {
     const { registry, replacements } = this.collaborators;
     if (!replacements.handleProvisionResult(event, moment)) return [];
--- a/packages/drain/src/core/drain-manager.ts
+++ b/packages/drain/src/core/drain-manager.ts
@@ -1,7 +1,7 @@
 /**
- * The drains of one leader's term: drains machines step by step, stores each decision before it
- * acts on it, and goes on after a failover from what is stored. This module puts the parts together
- * and fixes the order of a decision.
+ * Drains machines step by step during one leader's term. Decisions are stored before they are acted
+ * upon, and resumed from the records after a failover. This module wires up the components and
+ * defines the order of a decision.
  */
 import type {
   AttemptView,
@@ -27,7 +27,7 @@
 import type { DrainSettings } from './settings.js';
 import type { StepConstraints } from './step-selection.js';
 
-/** The package's core: one for each leader's term. */
+/** The core of the package; one instance per leader's term. */
 export class DrainManager {
   readonly registry: DrainRegistry;
   readonly budget: BudgetLedger;
@@ -39,7 +39,7 @@
   private readonly disruptionRecords: DisruptionRecords;
   private readonly events: DrainEventHandler;
   private readonly stepper: DrainStepper;
-  /** Keys of records that belong to no drain, until they have been logged. */
+  /** Keys of records that cannot be used and have not been logged yet. */
   private readonly orphanedKeys: string[] = [];
 
   constructor(private readonly settings: DrainSettings) {
@@ -70,7 +70,7 @@
     );
   }
 
-  /** Goes on from what a former leader stored. */
+  /** Loads the records that previous leaders stored. */
   load(records: readonly ExtensionRecord[]): void {
     const stored = decodeRecords(records);
     this.registry.load(stored);
@@ -78,17 +78,17 @@
     this.orphanedKeys.push(...stored.orphaned);
   }
 
-  /** Takes an event in; returns writes that the next decision requests. */
+  /** Handles an event; returns writes for the next decision to request. */
   handleEvent(event: ExtensionEvent, moment: Moment): readonly RecordWrite[] {
     return this.events.handle(event, moment);
   }
 
-  /** Requests writes that events called for. */
+  /** Requests the writes that resulted from events. */
   requestWrites(writes: readonly RecordWrite[], { requests }: DecisionContext): void {
     for (const write of writes) requests.push(this.writes.requestWrite(write));
   }
 
-  /** Whether an idle machine may be scaled in: not while it replaces one that is being drained. */
+  /** Whether an idle machine may be scaled in; false while it replaces one being drained. */
   mayScaleIn(machine: MachineView): boolean {
     return !this.registry.isReplacement(machine.id);
   }
@@ -98,7 +98,7 @@
     return this.disruptions.mayEvictReplica(attempt);
   }
 
-  /** Advances all drains, and stores what changed. */
+  /** Advances all drains and requests the writes of their changes. */
   decide(context: DecisionContext): void {
     const { fleet, moment } = context;
     this.logOrphanedRecords(context);
@@ -116,12 +116,12 @@
 
   private logOrphanedRecords({ requests }: DecisionContext): void {
     for (const key of this.orphanedKeys.splice(0)) {
-      const text = 'unreadable drain record';
+      const text = 'ignoring a drain record that cannot be read or has no drain';
       requests.push({ kind: 'log', level: 'info', text, fields: { key } });
     }
   }
 
-  /** What limits the choice of machines at this moment. */
+  /** The constraints on the choice of machines at present. */
   constraintsOf({ fleet, moment }: DecisionContext): StepConstraints {
     return {
       letEndS: this.settings.letEndS,
--- a/packages/drain/src/core/drain-operations.ts
+++ b/packages/drain/src/core/drain-operations.ts
@@ -1,4 +1,4 @@
-/** What operators change: drains are started, paused, resumed and cancelled. */
+/** Operators' changes: drains are started, paused, resumed and cancelled. */
 import type { FleetView, MachineId, Moment } from '@robinspread/extension-api';
 import type { DecisionContext } from './decision-context.js';
 import type { Drain, DrainRequest } from './drain.js';
@@ -12,7 +12,7 @@
   return newest;
 };
 
-/** A drain that has not begun, for the machines that there are now. */
+/** Creates a pending drain of the machines that match its selector now. */
 export const createDrain = (request: DrainRequest, fleet: FleetView, moment: Moment): Drain => {
   const { wallClockMs } = moment;
   const drain: Drain = {
@@ -31,31 +31,31 @@
   return { ...drain, total: remainingMachines(drain, fleet, moment).length };
 };
 
-/** Carries operators' requests out; whoever calls has checked that the drain's phase allows it. */
+/** Executes operators' requests. The caller checks that the drain's phase allows the request. */
 export class DrainOperations {
   constructor(
     private readonly registry: DrainRegistry,
     private readonly replacements: Replacements,
   ) {}
 
-  /** Takes up a new drain; its first step begins with the next decision. */
+  /** Adds a new drain, whose first step begins with the next decision. */
   start(drain: Drain, context: DecisionContext): void {
     this.registry.add(drain, context);
   }
 
-  /** Nothing new begins; cordoned machines stay cordoned. */
+  /** Pauses a drain; cordoned machines stay cordoned. */
   pause(drain: Drain, context: DecisionContext): void {
     this.registry.setPhase(drain, 'paused', 'an operator paused it', context);
   }
 
-  /** Goes on; a deadline that has passed does not hold any more. */
+  /** Resumes a drain, and drops a deadline that has passed. */
   resume(drain: Drain, context: DecisionContext): void {
     if (drain.deadlineAt !== null && drain.deadlineAt <= context.moment.wallClockMs)
       drain.deadlineAt = null;
     this.registry.setPhase(drain, drain.step > 0 ? 'running' : 'pending', null, context);
   }
 
-  /** Puts back into use what is not on its way back to the cloud: a return is never taken back. */
+  /** Cancels a drain and uncordons its machines, except those being returned, which is final. */
   cancel(drain: Drain, context: DecisionContext): void {
     for (const machineDrain of [...drain.machinesInStep.values()]) {
       if (machineDrain.phase === 'returning') continue;
--- a/packages/drain/src/core/drain-progress.ts
+++ b/packages/drain/src/core/drain-progress.ts
@@ -1,45 +1,45 @@
-/** What holds drains up at this moment, and when they last progressed; neither is stored. */
+/** Current blockers of drains, and when each drain last made progress; kept in memory only. */
 import type { MachineId, Moment } from '@robinspread/extension-api';
 import type { Blocker } from './blocker.js';
 import { type Drain, type DrainName, type DrainStatus, isActive } from './drain.js';
 
-/** Stands for the drain as a whole among its machines. */
+/** The key for the blocker of a drain as a whole. */
 const WHOLE_DRAIN = '' as MachineId;
 
-/** The blockers of each drain and its machines, gathered anew in each decision. */
+/** The blockers of each drain and its machines, collected anew in each decision. */
 export class DrainProgress {
   private readonly blockers = new Map<DrainName, Map<MachineId, Blocker>>();
   private readonly previousBlockers = new Map<DrainName, Map<MachineId, Blocker>>();
-  /** On the steady clock. */
+  /** Time of the last progress, on the steady clock. */
   private readonly progressedAt = new Map<DrainName, number>();
   private readonly remainingAttempts = new Map<DrainName, number>();
 
   constructor(private readonly stalledAfterS: number) {}
 
-  /** Drops the blockers of the last decision. */
+  /** Clears the blockers of the previous decision. */
   beginDecision({ request }: Drain): void {
     const blockers = this.blockers.get(request.name);
     if (blockers && blockers.size > 0) this.previousBlockers.set(request.name, blockers);
     this.blockers.set(request.name, new Map());
   }
 
-  /** The blockers of the decision before still hold: nothing was looked at again. */
+  /** Restores the blockers of the previous decision, for a decision that skips the checks. */
   restorePreviousBlockers({ request }: Drain): void {
     const previous = this.previousBlockers.get(request.name);
     if (previous) this.blockers.set(request.name, previous);
   }
 
-  /** Notes what holds up a machine of the step, or without one the drain as a whole. */
+  /** Records the blocker of a machine in the step, or of the drain as a whole. */
   block({ request }: Drain, blocker: Blocker, machine: MachineId = WHOLE_DRAIN): void {
     this.blockers.get(request.name)?.set(machine, blocker);
   }
 
-  /** Something has gone on: the drain is not stalled. */
+  /** Records that the drain made progress and is not stalled. */
   recordProgress({ request }: Drain, { now }: Moment): void {
     this.progressedAt.set(request.name, now);
   }
 
-  /** How many attempts are left on the machines of the current step: fewer is progress too. */
+  /** Records the attempts left on the machines of the current step; a decrease is progress. */
   recordRemainingAttempts(drain: Drain, remaining: number, moment: Moment): void {
     const { name } = drain.request;
     const before = this.remainingAttempts.get(name);
@@ -47,7 +47,7 @@
     this.remainingAttempts.set(name, remaining);
   }
 
-  /** The status for operators: an active drain that was blocked for too long is stalled. */
+  /** The status for operators; an active drain that has been blocked for too long is stalled. */
   statusOf(drain: Drain, { now }: Moment): DrainStatus {
     if (!isActive(drain)) return drain.phase;
     const { name } = drain.request;
@@ -56,12 +56,12 @@
     return isBlocked && now - progressedAt > this.stalledAfterS * 1000 ? 'stalled' : drain.phase;
   }
 
-  /** What holds up a machine of the step, or without one the drain as a whole; null: nothing. */
+  /** The blocker of a machine in the step, or of the drain as a whole; null if there is none. */
   blockerOf({ request }: Drain, machine: MachineId = WHOLE_DRAIN): Blocker | null {
     return this.blockers.get(request.name)?.get(machine) ?? null;
   }
 
-  /** The drain is not kept any more. */
+  /** Removes a drain that is no longer kept. */
   remove(name: DrainName): void {
     this.blockers.delete(name);
     this.previousBlockers.delete(name);
--- a/packages/drain/src/core/drain-registry.ts
+++ b/packages/drain/src/core/drain-registry.ts
@@ -1,6 +1,6 @@
 /**
- * The drains of one leader's term: the one owner of their state and of their records. Every change
- * of a stored field goes through here, so that it is stored together with it.
+ * The drains of one leader's term. The registry is the only owner of their state and records: each
+ * change of a stored field is made here, together with the write request for its record.
  */
 import type {
   MachineId,
@@ -29,7 +29,7 @@
   type StoredState,
 } from './records.js';
 
-/** Finished drains whose end can still be asked for. */
+/** Finished drains kept so that operators can query them. */
 const MAX_FINISHED_DRAINS = 50;
 
 const drainWrite = (drain: Drain): RecordWrite => ({
@@ -45,7 +45,6 @@
 /** Holds the drains, changes them, and requests the writes of their records. */
 export class DrainRegistry {
   private readonly drainsByName = new Map<DrainName, Drain>();
-  /** Drains of which nothing but the name could be read. */
   private readonly unreadableNames = new Set<DrainName>();
 
   constructor(
@@ -53,26 +52,26 @@
     private readonly progress: DrainProgress,
   ) {}
 
-  // ---- what there is ----
+  // ---- queries ----
 
-  /** All drains, in the order in which they were started or read. */
+  /** All drains, in the order in which they were loaded or started. */
   get drains(): ReadonlyMap<DrainName, Drain> {
     return this.drainsByName;
   }
 
-  /** Names of drains of which nothing else could be read. */
+  /** Names of drains whose record cannot be read. */
   get unreadable(): ReadonlySet<DrainName> {
     return this.unreadableNames;
   }
 
-  /** The drain of whose current step a machine is part. */
+  /** The drain whose current step includes the machine, if any. */
   drainOf(machine: MachineId): Drain | null {
     for (const drain of this.drainsByName.values())
       if (drain.machinesInStep.has(machine)) return drain;
     return null;
   }
 
-  /** Whether a machine replaces one of a current step. */
+  /** Whether the machine replaces one in a current step. */
   isReplacement(machine: MachineId): boolean {
     for (const { machinesInStep } of this.drainsByName.values()) {
       for (const { replacement } of machinesInStep.values())
@@ -81,7 +80,7 @@
     return false;
   }
 
-  /** Whether a machine of a step has a slot in this provision request. */
+  /** Whether a machine in a current step has a slot in the provision request. */
   isRequestNeeded(request: ProvisionRequestId): boolean {
     for (const { machinesInStep } of this.drainsByName.values()) {
       for (const { replacementSlot } of machinesInStep.values())
@@ -90,25 +89,25 @@
     return false;
   }
 
-  /** Whether the drain's own record is stored as it is now. */
+  /** Whether the stored record of the drain itself is up to date. */
   isDrainStored(drain: Drain): boolean {
     return this.writes.isStored(drainKey(drain.request.name));
   }
 
-  /** Whether the record of a machine of its step is stored as it is now. */
+  /** Whether the stored record of a machine in the drain's step is up to date. */
   isMachineStored(drain: Drain, machine: MachineId): boolean {
     return this.writes.isStored(machineKey(drain.request.name, machine));
   }
 
-  // ---- records that cannot be used ----
+  // ---- loading, and unusable records ----
 
-  /** Goes on from what a former leader stored. */
+  /** Loads the drains that previous leaders stored. */
   load({ drains, unreadable }: StoredState): void {
     for (const [name, drain] of drains) this.drainsByName.set(name, drain);
     for (const name of unreadable) this.handleUnreadable(name);
   }
 
-  /** Something of it cannot be read: nothing more is done until an operator has looked at it. */
+  /** Pauses a drain with an unreadable record, since an operator has to check it first. */
   private handleUnreadable(name: DrainName): void {
     const drain = this.drainsByName.get(name);
     if (!drain) this.unreadableNames.add(name);
@@ -118,7 +117,7 @@
     }
   }
 
-  /** The key-value store refuses a record in any size: its drain pauses. */
+  /** Pauses the drain of a record that the key-value store refused as too large. */
   handleRefusedRecord(key: string): void {
     for (const drain of this.drainsByName.values()) {
       const { name } = drain.request;
@@ -129,9 +128,9 @@
     }
   }
 
-  // ---- changes of a drain ----
+  // ---- changes to a drain ----
 
-  /** Takes up a new drain; finished ones beyond those that are kept are dropped. */
+  /** Adds a new drain and deletes the oldest finished ones beyond `MAX_FINISHED_DRAINS`. */
   add(drain: Drain, context: DecisionContext): void {
     this.drainsByName.set(drain.request.name, drain);
     this.progress.recordProgress(drain, context.moment);
@@ -152,7 +151,7 @@
     }
   }
 
-  /** Changes the phase of a drain and stores it; `pauseReason`: null unless it pauses. */
+  /** Changes and stores the phase of a drain; `pauseReason` is null except for `paused`. */
   setPhase(
     drain: Drain,
     phase: DrainPhase,
@@ -168,9 +167,9 @@
     requests.push({ kind: 'log', level: 'info', text: 'drain phase changed', fields });
   }
 
-  // ---- changes of a machine in a step ----
+  // ---- changes to a machine in a step ----
 
-  /** Adds a machine to the current step; without a replacement to wait for it is cordoned. */
+  /** Adds a machine to the current step, and cordons it if it has no replacement to wait for. */
   addMachine(
     drain: Drain,
     machine: MachineId,
@@ -190,7 +189,7 @@
     requests.push(this.writes.requestWrite(machineWrite(drain, machineDrain)));
   }
 
-  /** Changes the phase of a machine in a step and stores it. */
+  /** Changes and stores the phase of a machine in the step. */
   setMachinePhase(
     drain: Drain,
     machineDrain: MachineDrain,
@@ -202,7 +201,7 @@
     requests.push(this.writes.requestWrite(machineWrite(drain, machineDrain)));
   }
 
-  /** The cloud has named the replacement; returns the write, which the next decision requests. */
+  /** Sets the provisioned replacement; returns the write, for the next decision to request. */
   setReplacement(
     drain: Drain,
     machineDrain: MachineDrain,
@@ -214,7 +213,7 @@
     return machineWrite(drain, machineDrain);
   }
 
-  /** Has the machine wait for another replacement, in use meanwhile. */
+  /** Makes the machine wait for another replacement; it is in use until then. */
   awaitAnotherReplacement(
     drain: Drain,
     machineDrain: MachineDrain,
@@ -228,7 +227,7 @@
     requests.push(this.writes.requestWrite(machineWrite(drain, machineDrain)));
   }
 
-  /** The machine has left the fleet: by its return, or before it. */
+  /** Removes a machine that left the fleet, by its return or before it. */
   completeMachine(
     drain: Drain,
     { machine, phase }: MachineDrain,
@@ -243,7 +242,7 @@
     requests.push(this.writes.requestWrite(drainWrite(drain), deletion));
   }
 
-  /** Takes a machine out of the step and puts it back into use. */
+  /** Removes a machine from the step and uncordons it. */
   releaseMachine(drain: Drain, machine: MachineId, { requests }: DecisionContext): void {
     drain.machinesInStep.delete(machine);
     requests.push({ kind: 'uncordon', machine });
--- a/packages/drain/src/core/drain-stepper.ts
+++ b/packages/drain/src/core/drain-stepper.ts
@@ -1,15 +1,15 @@
-/** Takes one drain on: its deadline, the machines of its current step, and its next step. */
+/** Advances one drain: its deadline, the machines of its current step, and its next step. */
 import type { DecisionContext } from './decision-context.js';
 import { type Drain, type DrainName, isActive, isFinished } from './drain.js';
 import type { MachineDrainer, MachineDrainerCollaborators } from './machine-drainer.js';
 import { type StepConstraints, selectStep } from './step-selection.js';
 
-/** Where no machine could be taken, the fleet is looked through again after this long. */
+/** Delay until the next attempt to select a step, after one that found no machine. */
 const STEP_RETRY_MS = 2000;
 
-/** Advances drains, each in turn, once a decision. */
+/** Advances each drain once per decision. */
 export class DrainStepper {
-  /** Until when no machines are looked for, for each drain's next step, on the steady clock. */
+  /** The earliest time to select each drain's next step, on the steady clock. */
   private readonly nextStepAt = new Map<DrainName, number>();
 
   constructor(
@@ -18,7 +18,7 @@
     private readonly constraintsOf: (context: DecisionContext) => StepConstraints,
   ) {}
 
-  /** Until the fleet has reported, machines that were taken out of use stay so. */
+  /** Renews the cordons of the step's machines while the fleet is not settled. */
   keepCordons(drain: Drain, { requests }: DecisionContext): void {
     const { progress } = this.collaborators;
     progress.beginDecision(drain);
@@ -28,13 +28,13 @@
     }
   }
 
-  /** Advances the machines of the current step, and begins the next one when none is left. */
+  /** Advances the machines of the current step, and begins the next step when none is left. */
   advance(drain: Drain, context: DecisionContext): void {
     if (isFinished(drain) && drain.machinesInStep.size === 0) return;
     this.collaborators.progress.beginDecision(drain);
     this.pauseAtDeadline(drain, context);
     this.advanceMachines(drain, context);
-    if (isActive(drain) && drain.machinesInStep.size === 0) this.beginStep(drain, context);
+    if (isActive(drain) && drain.machinesInStep.size === 0) this.tryBeginStep(drain, context);
   }
 
   private pauseAtDeadline(drain: Drain, context: DecisionContext): void {
@@ -52,8 +52,8 @@
     this.collaborators.progress.recordRemainingAttempts(drain, attempts, context.moment);
   }
 
-  /** A step begins only once the work that the last one disrupted runs again. */
-  private beginStep(drain: Drain, context: DecisionContext): void {
+  /** Begins the next step once all voluntarily disrupted tasks are running again. */
+  private tryBeginStep(drain: Drain, context: DecisionContext): void {
     const { budget, progress } = this.collaborators;
     if (context.moment.now < (this.nextStepAt.get(drain.request.name) ?? 0)) {
       progress.restorePreviousBlockers(drain);
@@ -62,14 +62,14 @@
     progress.beginDecision(drain);
     const tasks = budget.openVoluntaryCount;
     if (tasks > 0) progress.block(drain, { kind: 'work-runs-again', tasks });
-    else this.takeStep(drain, context);
+    else this.beginStep(drain, context);
   }
 
-  private takeStep(drain: Drain, context: DecisionContext): void {
+  private beginStep(drain: Drain, context: DecisionContext): void {
     const { registry, progress, replacements } = this.collaborators;
     const { remaining, chosen, blocker } = selectStep(drain, this.constraintsOf(context), context);
     if (remaining === 0) {
-      // Machines that left before a step took them were lost or reclaimed.
+      // Machines that left before they were in a step were lost or reclaimed.
       drain.failed = Math.max(drain.failed, drain.total - drain.returned);
       registry.setPhase(drain, 'done', null, context);
       return;
--- a/packages/drain/src/core/drain.ts
+++ b/packages/drain/src/core/drain.ts
@@ -1,4 +1,4 @@
-/** Drains: what operators request, and the state of a drain and of the machines of its step. */
+/** Drain requests, and the state of a drain and of the machines in its step. */
 import type {
   ImageName,
   MachineId,
@@ -8,96 +8,94 @@
 } from '@robinspread/extension-api';
 
 declare const brand: unique symbol;
-/** The name under which a drain was requested. */
+/** The name that the operator gave to a drain. */
 export type DrainName = string & { readonly [brand]: 'DrainName' };
 
-/** Which machines a drain is for: those that meet every criterion that is given. */
+/** Selects the machines to drain: those that meet every criterion that is not null. */
 export interface Selector {
-  /** Every machine; the only selector that may go without another criterion. */
+  /** Every machine that meets the other criteria; on its own, every machine. */
   readonly all: boolean;
   readonly machines: readonly MachineId[] | null;
   readonly type: MachineTypeName | null;
   readonly zone: ZoneName | null;
   readonly spot: boolean | null;
-  /** Provisioned at least this long before the drain began. */
+  /** Provisioned at least this long before the drain started. */
   readonly minAgeS: number | null;
-  /** Has run tasks with this image. */
+  /** Has fetched this image. */
   readonly image: ImageName | null;
 }
 
-/** How many machines one step takes: a number, or a share of all that the drain is for. */
+/** Machines per step: a number, or a share of `Drain.total`. */
 export type StepSize =
   | { readonly kind: 'count'; readonly count: number }
   | { readonly kind: 'share'; readonly share: number };
 
-/** What an operator asks for. */
 export interface DrainRequest {
   readonly name: DrainName;
   readonly selector: Selector;
   readonly stepSize: StepSize;
-  /** Provision a machine of the same kind for each, before it is cordoned. */
+  /** Provision a replacement from the same instance pool before a machine is cordoned. */
   readonly replace: boolean;
-  /** After this long the drain pauses. */
+  /** Seconds after which the drain pauses; null for no deadline. */
   readonly deadlineS: number | null;
 }
 
-/** The stored phase of a drain. `stalled` is no phase of its own: see `DrainStatus`. */
+/** The stored phase of a drain. `stalled` is not a phase: see `DrainStatus`. */
 export type DrainPhase = 'pending' | 'running' | 'paused' | 'cancelled' | 'done';
 
-/** What operators are told: a running drain that has been held up for a while is stalled. */
+/** The status for operators; see `DrainSettings.stalledAfterS` for `stalled`. */
 export type DrainStatus = DrainPhase | 'stalled';
 
 /**
- * Where a machine of the current step is. `waiting`: for its replacement; `cordoned`: gets no new
- * work; `draining`: some of its work has been told to stop; `returning`: its return is stored and
- * will be sent until it is known to be done.
+ * The phase of a machine in the current step. `waiting`: for its replacement; `cordoned`: gets no
+ * new work; `draining`: stops or moves of its work are granted; `returning`: its return is stored,
+ * and is requested until the machine has left the fleet.
  */
 export type MachinePhase = 'waiting' | 'cordoned' | 'draining' | 'returning';
 
-/** The place of one replacement among the machines that one request provisions. */
+/** Identifies one replacement among the machines of a provision request. */
 export interface ReplacementSlot {
   readonly request: ProvisionRequestId;
-  /** Its position among them, from 0. */
+  /** Index among these machines, from 0. */
   readonly position: number;
-  /** How many are requested: a repeat of the request must say the same. */
+  /** Machines requested in all; a repeat must state the same number. */
   readonly requested: number;
 }
 
-/** A machine of the current step. */
+/** A machine in the current step. */
 export interface MachineDrain {
   readonly machine: MachineId;
   phase: MachinePhase;
-  /** Where its replacement comes from; null for a drain without replacements. */
+  /** The slot of its replacement; null for a drain without replacements. */
   replacementSlot: ReplacementSlot | null;
-  /** The machine that replaces it, once the cloud has named it. */
+  /** Its replacement; null until it has been provisioned. */
   replacement: MachineId | null;
-  /** Replacements requested so far. */
+  /** Replacements requested, including the current one. */
   replacementsRequested: number;
 }
 
-/** A drain and its progress. */
 export interface Drain {
   readonly request: DrainRequest;
   phase: DrainPhase;
   pauseReason: string | null;
   /** Time of day, in milliseconds since the epoch. */
   readonly startedAt: number;
-  /** Machines are named in the order of their creation: those after this one are not drained. */
+  /** Machine ids ascend in the order of creation; machines newer than this one are not drained. */
   readonly newestMachineAtStart: MachineId;
-  /** How many machines it was for when it began. */
+  /** Machines selected when the drain started. */
   readonly total: number;
   returned: number;
-  /** Machines that were lost or reclaimed before they could be returned. */
+  /** Machines that were lost or reclaimed before they were returned. */
   failed: number;
   /** The number of the current step, from 1; 0 before the first. */
   step: number;
-  /** Deadline by the time of day, in milliseconds since the epoch; null: none. */
+  /** Deadline, in milliseconds since the epoch; null for none. */
   deadlineAt: number | null;
   readonly machinesInStep: Map<MachineId, MachineDrain>;
 }
 
-/** Whether a drain is over; machines whose return was sent may still be in its step. */
+/** Whether a drain has ended; machines being returned may still be in its step. */
 export const isFinished = ({ phase }: Drain): boolean => phase === 'done' || phase === 'cancelled';
 
-/** Whether a drain goes on by itself: neither paused nor over. */
+/** Whether a drain is in progress: neither paused nor finished. */
 export const isActive = ({ phase }: Drain): boolean => phase === 'running' || phase === 'pending';
--- a/packages/drain/src/core/machine-drainer.ts
+++ b/packages/drain/src/core/machine-drainer.ts
@@ -1,6 +1,6 @@
 /**
- * The steps of one machine in a drain: replacement ready, cordon, work stopped or moved as far as
- * the budgets allow, return. Each change is stored before the next one is made.
+ * Drains one machine: waits for its replacement, cordons it, stops or moves its work within the
+ * budgets, and returns it to the cloud. Each change is stored before the next one is made.
  */
 import type { AttemptView, MachineView } from '@robinspread/extension-api';
 import { type Blocker, finishingBlocker } from './blocker.js';
@@ -14,12 +14,12 @@
 import type { Replacements } from './replacements.js';
 import type { DrainSettings } from './settings.js';
 
-/** Beyond the time that a task needs to write its checkpoint, before it is ended. */
+/** Added to the time that a task needs to write its checkpoint. */
 const STOP_GRACE_MARGIN_S = 5;
 
 const isBlocker = (result: Disruption | Blocker): result is Blocker => 'kind' in result;
 
-/** What a machine's drain works with; owned by the drain manager. */
+/** The objects used to drain a machine; owned by the drain manager. */
 export interface MachineDrainerCollaborators {
   readonly settings: DrainSettings;
   readonly registry: DrainRegistry;
@@ -28,18 +28,18 @@
   readonly replacements: Replacements;
 }
 
-/** One machine of a drain's current step, as the fleet shows it. */
-interface Target {
+/** A machine in a drain's current step, with its view in the fleet. */
+interface DrainTarget {
   readonly drain: Drain;
   readonly machineDrain: MachineDrain;
   readonly machine: MachineView;
 }
 
-/** Moves machines of a step on, one phase at a time. */
+/** Advances the machines of a step, one phase at a time. */
 export class MachineDrainer {
   constructor(private readonly collaborators: MachineDrainerCollaborators) {}
 
-  /** Does what the machine's phase calls for, and notes what holds it up. */
+  /** Performs the next action for the machine's phase, or records its blocker. */
   advance(drain: Drain, machineDrain: MachineDrain, context: DecisionContext): void {
     const { registry, progress, replacements } = this.collaborators;
     const { machine: id } = machineDrain;
@@ -65,11 +65,11 @@
       return;
     }
     const target = { drain, machineDrain, machine };
-    if (drain.request.replace && !this.hasReplacement(target, context)) return;
-    this.cordonOrEmpty(target, context);
+    if (drain.request.replace && !this.advanceReplacement(target, context)) return;
+    this.cordonOrEvict(target, context);
   }
 
-  private cordonOrEmpty(target: Target, context: DecisionContext): void {
+  private cordonOrEvict(target: DrainTarget, context: DecisionContext): void {
     const { registry } = this.collaborators;
     const { drain, machineDrain, machine } = target;
     if (machineDrain.phase === 'waiting') {
@@ -80,7 +80,7 @@
     else this.evictWork(target, context);
   }
 
-  private hasReplacement(target: Target, context: DecisionContext): boolean {
+  private advanceReplacement(target: DrainTarget, context: DecisionContext): boolean {
     const { registry, progress, replacements } = this.collaborators;
     const { drain, machineDrain, machine } = target;
     const state = replacements.advance(machineDrain, machine, context);
@@ -91,7 +91,7 @@
         progress.block(drain, state.blocker, machine.id);
         return false;
       case 'given-up': {
-        // Its capacity is needed again until another replacement is ready.
+        // The machine's capacity is needed until another replacement is ready.
         context.requests.push({ kind: 'uncordon', machine: machine.id });
         replacements.stopWatching(machineDrain);
         const slot = replacements.allocateSlot(context);
@@ -101,18 +101,18 @@
     }
   }
 
-  /** Lets work end, stops what writes checkpoints, and asks for evictions of replicas. */
-  private evictWork(target: Target, context: DecisionContext): void {
+  /** Waits for tasks that end soon, stops those with checkpoints and requests moves of replicas. */
+  private evictWork(target: DrainTarget, context: DecisionContext): void {
     const { drain, machineDrain, machine } = target;
     const work = classifyWork(machine, this.collaborators.settings.letEndS, context.moment);
-    this.blockOnEndingWork(target, work);
+    this.reportEndingWork(target, work);
     const moves = this.requestReplicaMoves(target, work, context);
     const stops = this.stopTasks(target, work, context);
     if (moves + stops > 0 && machineDrain.phase === 'cordoned')
       this.collaborators.registry.setMachinePhase(drain, machineDrain, 'draining', context);
   }
 
-  private blockOnEndingWork({ drain, machine }: Target, work: MachineWork): void {
+  private reportEndingWork({ drain, machine }: DrainTarget, work: MachineWork): void {
     const { progress } = this.collaborators;
     const { id } = machine;
     if (work.ended > 0) progress.block(drain, { kind: 'results-kept', tasks: work.ended }, id);
@@ -120,15 +120,15 @@
     if (work.stopping > 0) progress.block(drain, { kind: 'work-stops', tasks: work.stopping }, id);
   }
 
-  /** The core moves a replica once its disruption is granted and room for it is held elsewhere. */
+  /** The core moves a replica once its disruption is granted and room is reserved elsewhere. */
   private requestReplicaMoves(
-    { drain, machine }: Target,
+    { drain, machine }: DrainTarget,
     { replicas }: MachineWork,
     context: DecisionContext,
   ): number {
     let granted = 0;
     for (const attempt of replicas) {
-      if (!this.mayDisrupt(drain, attempt, context)) continue;
+      if (!this.requestGrant(drain, attempt, context)) continue;
       granted += 1;
       const blocker: Blocker = { kind: 'replica-needs-room', job: attempt.entry.job };
       this.collaborators.progress.block(drain, blocker, machine.id);
@@ -137,13 +137,13 @@
   }
 
   private stopTasks(
-    { drain, machine }: Target,
+    { drain, machine }: DrainTarget,
     { stoppable }: MachineWork,
     context: DecisionContext,
   ): number {
     let granted = 0;
     for (const attempt of stoppable) {
-      if (!this.mayDisrupt(drain, attempt, context)) continue;
+      if (!this.requestGrant(drain, attempt, context)) continue;
       granted += 1;
       const graceS = (attempt.job?.spec.checkpointWriteS ?? 0) + STOP_GRACE_MARGIN_S;
       const { attempt: id } = attempt.entry;
@@ -152,8 +152,8 @@
     return granted;
   }
 
-  /** Asks the budgets, and notes what holds the attempt up. */
-  private mayDisrupt(drain: Drain, attempt: AttemptView, context: DecisionContext): boolean {
+  /** Requests a disruption and records its blocker; true once it is granted. */
+  private requestGrant(drain: Drain, attempt: AttemptView, context: DecisionContext): boolean {
     const { budget, progress } = this.collaborators;
     const { attempt: id, job } = attempt.entry;
     const machine = attempt.machine.id;
--- a/packages/drain/src/core/machine-selection.ts
+++ b/packages/drain/src/core/machine-selection.ts
@@ -1,8 +1,8 @@
-/** Which machines a drain is for, what is on them, and which of them disturb least when drained. */
+/** Selects a drain's machines, classifies their work, and ranks them by how much they disturb. */
 import type { AttemptView, FleetView, MachineView, Moment } from '@robinspread/extension-api';
 import type { Drain, Selector } from './drain.js';
 
-/** Whether a machine meets a selector's criteria; `ageS`: how old it was when the drain began. */
+/** Whether a machine meets the selector; `ageS` is its age when the drain started. */
 export const matchesSelector = (
   selector: Selector,
   machine: MachineView,
@@ -17,7 +17,7 @@
   return image === null || machine.images.has(image);
 };
 
-/** The machines that a drain is still for, those of the current step included. */
+/** The machines still to be drained, including those of the current step. */
 export const remainingMachines = (
   drain: Drain,
   fleet: FleetView,
@@ -33,29 +33,29 @@
   return remaining;
 };
 
-/** What is on a machine, by how it can leave. */
+/** The attempts on a machine, by how they can be removed. */
 export interface MachineWork {
-  /** Arrays' tasks that write checkpoints, and do not finish soon. */
+  /** Tasks of arrays that write checkpoints and are not expected to end soon. */
   readonly stoppable: readonly AttemptView[];
   readonly replicas: readonly AttemptView[];
-  /** Tasks that are left to run to their end. */
+  /** Tasks that are left to finish. */
   readonly finishing: readonly AttemptView[];
-  /** Attempts that have been told to stop, or whose job is over. */
+  /** Number of attempts told to stop, superseded, or whose job has ended. */
   readonly stopping: number;
-  /** Attempts that have ended and whose results the machine still holds. */
+  /** Number of ended attempts whose results the machine still holds. */
   readonly ended: number;
-  /** By estimate, when the last of `finishing` has ended. */
+  /** Estimated time until the last task of `finishing` ends. */
   readonly finishesInMs: number;
 }
 
-/** When a task ends by its estimate; one that outlasts it may end at any moment. */
+/** Estimated time until a task ends; 0 for one that has outlasted its estimate. */
 const remainingMs = (attempt: AttemptView, { now }: Moment): number => {
   const estimateMs = (attempt.job?.spec.estimateS ?? 0) * 1000;
   const ranMs = attempt.startedAt === null ? 0 : now - attempt.startedAt;
   return Math.max(0, estimateMs - ranMs);
 };
 
-/** Sorts what is on a machine by how it can leave; `letEndS`: how soon work must end to be left. */
+/** Classifies a machine's work; tasks expected to end within `letEndS` are left to finish. */
 export const classifyWork = (
   machine: MachineView,
   letEndS: number,
@@ -91,11 +91,11 @@
   return { stoppable, replicas, finishing, stopping, ended, finishesInMs };
 };
 
-/** A machine that may be drained, and how much that disturbs; smaller ranks go first. */
+/** A machine that may be drained; candidates of lower rank are drained first. */
 export interface DrainCandidate {
   readonly machine: MachineView;
   readonly work: MachineWork;
-  /** 0: idle; 1: all its work writes checkpoints; 2: some has to end or to move first. */
+  /** 0: idle; 1: all work writes checkpoints or is stopping; 2: some has to end or move first. */
   readonly rank: number;
 }
 
@@ -104,7 +104,7 @@
   return stoppable.length + stopping > 0 ? 1 : 0;
 };
 
-/** The machines in the order in which they are drained: the least disturbing first. */
+/** Ranks machines in drain order: the least disturbing first. */
 export const rankCandidates = (
   machines: readonly MachineView[],
   letEndS: number,
@@ -123,10 +123,10 @@
         (a.machine.id < b.machine.id ? -1 : 1),
     );
 
-/** The cloud reclaims it, or it is lost: what is on it is left to the core. */
+/** Whether a machine is lost, reclaimed or being deleted; the core then handles its work. */
 export const isBeingLost = (machine: MachineView): boolean =>
   machine.isDeleting || machine.lostAt !== null || machine.reclaimAt !== null;
 
-/** A machine that is about to leave the fleet anyway. */
+/** Whether a machine is about to leave the fleet. */
 export const isLeaving = (machine: MachineView): boolean =>
   machine.isDraining || isBeingLost(machine);
--- a/packages/drain/src/core/plan.ts
+++ b/packages/drain/src/core/plan.ts
@@ -1,4 +1,4 @@
-/** A dry run: the steps that a drain would take as things stand, and what would hold it up. */
+/** Dry run: the steps of a drain in the current state of the fleet, and their blockers. */
 import { type Blocker, describeBlocker, finishingBlocker } from './blocker.js';
 import type { DecisionContext } from './decision-context.js';
 import type { Drain } from './drain.js';
@@ -39,7 +39,7 @@
   return blockers;
 };
 
-/** The plan of a drain that has not been started, as operators see it; changes nothing. */
+/** Plans a drain that has not been started, as shown to operators; changes no state. */
 export const planOf = (manager: DrainManager, drain: Drain, context: DecisionContext) => {
   const machines = remainingMachines(drain, context.fleet, context.moment);
   const order = orderCandidates(machines, manager.constraintsOf(context), context.moment);
--- a/packages/drain/src/core/queue-head-check.ts
+++ b/packages/drain/src/core/queue-head-check.ts
@@ -1,9 +1,9 @@
-/** Whether the head of the queue could still run once machines have left for good. */
+/** Checks whether the queue head could still run after machines leave without replacement. */
 import type { FleetView, JobSpec, MachineId, MachineType } from '@robinspread/extension-api';
 import type { Blocker } from './blocker.js';
 import { isLeaving } from './machine-selection.js';
 
-/** A machine, or a pool of instances that the cloud provisions. */
+/** A machine, or an instance pool of the cloud. */
 interface Capacity {
   readonly type: MachineType;
   readonly zone: string;
@@ -18,13 +18,12 @@
 };
 
 /**
- * Keeps for the head of the queue one machine that it fits, unless the cloud provisions such
- * machines and has not refused them of late. One walk over the fleet serves for all machines that
- * are checked in turn.
+ * Reserves one machine that the queue head fits on, unless the cloud offers such machines and did
+ * not refuse the last request for them. The fleet is scanned only once, by the constructor.
  */
 export class QueueHeadCheck {
   private readonly head: JobSpec | null;
-  /** Machines that the head fits and that stay. */
+  /** Machines that the head fits on and that are not leaving. */
   private readonly feasibleMachines = new Set<MachineId>();
   private readonly isProvisionable: boolean;
 
@@ -49,14 +48,14 @@
     return false;
   }
 
-  /** What keeps a machine from leaving, beside those marked as leaving; null: nothing. */
+  /** The blocker if the head needs this machine, given those marked as leaving; null otherwise. */
   findBlocker(machine: MachineId): Blocker | null {
     if (this.head === null || this.isProvisionable) return null;
     if (!this.feasibleMachines.has(machine) || this.feasibleMachines.size > 1) return null;
     return { kind: 'head-needs-it', job: this.head.id };
   }
 
-  /** The machine leaves: it is not kept for the head any more. */
+  /** Marks a machine as leaving, and thus as unavailable to the head. */
   markLeaving(machine: MachineId): void {
     this.feasibleMachines.delete(machine);
   }
--- a/packages/drain/src/core/record-schemas.ts
+++ b/packages/drain/src/core/record-schemas.ts
@@ -1,11 +1,11 @@
-/** What the codecs of the package's records have in common. */
+/** Definitions shared by the record codecs. */
 import * as v from 'valibot';
 
-/** How much of the largest value of the key-value store one record may fill. */
+/** The share of the key-value store's maximum value size that one record may fill. */
 export const MAX_RECORD_SHARE = 0.9;
 
-/** A whole number from 0. */
+/** An integer of 0 or more. */
 export const countSchema = v.pipe(v.number(), v.integer(), v.minValue(0));
 
-/** A text that is not empty. */
+/** A non-empty string. */
 export const textSchema = v.pipe(v.string(), v.minLength(1));
--- a/packages/drain/src/core/records.ts
+++ b/packages/drain/src/core/records.ts
@@ -1,7 +1,7 @@
 /**
- * The package's records in the key-value store: the codecs of drains and of the machines of their
- * steps, with their keys, and the reading of all records. The stored names are fixed, since leaders
- * of other versions read them; the mapping to inner names stands in the codecs alone.
+ * The package's records in the key-value store: keys and codecs of drains and of the machines in
+ * their steps, and the decoding of all records. Stored names are fixed, since leaders of other
+ * versions read them; only the codecs map them to internal names.
  */
 import type {
   ExtensionRecord,
@@ -30,7 +30,7 @@
 /** The key of a drain's record. */
 export const drainKey = (name: DrainName): string => `${DRAIN_PREFIX}${name}`;
 
-/** The prefix of the keys of a drain's machines. */
+/** The key prefix of the records of a drain's machines. */
 export const machineKeyPrefix = (name: DrainName): string => `${MACHINE_PREFIX}${name}/`;
 
 /** The key of the record of a machine in a drain's current step. */
@@ -94,7 +94,7 @@
 const decodeStepSize = (size: DrainRecord['size']): StepSize =>
   'count' in size ? { kind: 'count', count: size.count } : { kind: 'share', share: size.share };
 
-/** The record of a drain; the machines of its step have records of their own. */
+/** Encodes a drain, without the machines in its step, which have their own records. */
 export const encodeDrain = (drain: Drain): DrainRecord => ({
   phase: drain.phase,
   why: drain.pauseReason,
@@ -111,7 +111,7 @@
   deadline: drain.request.deadlineS,
 });
 
-/** A drain without the machines of its step; null: the record cannot be read. */
+/** Decodes a drain, without the machines in its step; null if the record is malformed. */
 const decodeDrain = (name: DrainName, value: unknown): Drain | null => {
   const result = v.safeParse(drainSchema, value);
   if (!result.success) return null;
@@ -137,7 +137,7 @@
   };
 };
 
-// ---- machines of a step ----
+// ---- machines in a step ----
 
 const machineSchema = v.object({
   phase: v.picklist(['waiting', 'cordoned', 'draining', 'returning']),
@@ -161,7 +161,7 @@
   requested,
 });
 
-/** The record of a machine in a drain's current step. */
+/** Encodes a machine in a drain's current step. */
 export const encodeMachineDrain = (machineDrain: MachineDrain) => ({
   phase: machineDrain.phase,
   rental: machineDrain.replacementSlot === null ? null : encodeSlot(machineDrain.replacementSlot),
@@ -184,13 +184,13 @@
 
 // ---- all records ----
 
-/** All that was stored, as far as it can be read. */
+/** The decoded records of the package. */
 export interface StoredState {
   readonly drains: Map<DrainName, Drain>;
   readonly disruptions: Disruption[];
-  /** Drains of which something cannot be read. */
+  /** Drains with a record that cannot be read. */
   readonly unreadable: Set<DrainName>;
-  /** Keys of records that cannot be read, or whose drain cannot, and that belong to no drain. */
+  /** Keys of other unreadable records, and of machines whose drain was not read. */
   readonly orphaned: string[];
 }
 
@@ -209,7 +209,7 @@
   else state.orphaned.push(key);
 };
 
-/** Reads the records in two passes: drains before their machines. */
+/** Decodes all records, in two passes: drains before the machines in their steps. */
 export const decodeRecords = (records: readonly ExtensionRecord[]): StoredState => {
   const state: StoredState = {
     drains: new Map(),
--- a/packages/drain/src/core/replacements.ts
+++ b/packages/drain/src/core/replacements.ts
@@ -1,7 +1,7 @@
 /**
- * Replacements of drained machines. Those of one instance pool in a step are provisioned together,
- * by a request whose id is stored before it is sent. A repeat of an id provisions nothing new, so
- * that a request without an answer, or of a former leader, is sent again.
+ * Provisions replacements of drained machines. Machines of the same instance pool in a step share a
+ * provision request, whose id is stored before it is sent. Requests are idempotent by id: one that
+ * was not answered, or comes from a previous leader, can be sent again.
  */
 import type {
   ExtensionEvent,
@@ -20,40 +20,39 @@
 /** The cloud's answer to a provision request. */
 export type ProvisionResult = Extract<ExtensionEvent, { kind: 'provision-result' }>;
 
-/** A provision request, and what is known of its answer. */
+/** A provision request and its outcome, as far as known. */
 interface ProvisionRequestState {
-  /** How many machines it asks for. */
+  /** Machines requested. */
   readonly count: number;
-  /** Sent, and not answered yet. */
   isInFlight: boolean;
   refusals: number;
-  /** When it may be sent again, on the steady clock. */
+  /** The earliest time to send it, on the steady clock. */
   retryAt: number;
-  /** The machines that it provisioned; null: not known yet. */
+  /** The provisioned machines; null while not known. */
   machines: readonly MachineId[] | null;
 }
 
-/** How long the replacement of one machine has been waited for. */
+/** Tracks whether the replacement of one machine becomes ready in time. */
 interface ReadinessWatch {
-  /** On the steady clock. */
+  /** Start, on the steady clock. */
   readonly since: number;
-  /** It has been seen ready. */
+  /** Whether it has been ready. */
   wasReady: boolean;
 }
 
-/** Heartbeats that a machine may miss and still count as ready. */
+/** Heartbeats that a machine may miss and still be ready. */
 const MAX_MISSED_HEARTBEATS = 2;
 const UNANSWERED_RETRY_MS = 5000;
 const REFUSED_RETRY_MS = 4000;
 const MAX_RETRY_MS = 60_000;
-/** Bounds the exponent, not the delay: `MAX_RETRY_MS` is reached before. */
+/** Limits the exponent only; the delay reaches `MAX_RETRY_MS` before that. */
 const MAX_BACKOFF_DOUBLINGS = 6;
-/** After this many failed replacements the operator is told so. */
-const REPORTED_AFTER_REPLACEMENTS = 3;
-/** Machines that the cloud provisions by one request. */
+/** From this number of failed replacements on, operators are told. */
+const FAILURE_REPORT_THRESHOLD = 3;
+/** The most machines that the cloud provisions per request. */
 const MAX_MACHINES_PER_REQUEST = 50;
 
-/** What became of a replacement: ready, waited for, or given up for another one. */
+/** A replacement is ready, not ready yet, or given up for another one. */
 export type ReplacementState =
   | { readonly kind: 'ready' }
   | { readonly kind: 'blocked'; readonly blocker: Blocker }
@@ -63,7 +62,7 @@
 const GIVEN_UP: ReplacementState = { kind: 'given-up' };
 const blockedBy = (blocker: Blocker): ReplacementState => ({ kind: 'blocked', blocker });
 
-/** It obeys this leader's fencing token, sends heartbeats, and may take work. */
+/** Whether a machine accepts this leader's fencing token, reports, and may run work. */
 const isReady = (machine: MachineView, fleet: FleetView, { now }: Moment): boolean =>
   machine.hasReported &&
   machine.isReady &&
@@ -93,7 +92,7 @@
     REFUSED_RETRY_MS * 2 ** Math.min(replacementsRequested, MAX_BACKOFF_DOUBLINGS),
   );
 
-/** Owns the provision requests of one leader's term, and watches what they provisioned. */
+/** Owns the provision requests of one leader's term, and tracks their replacements. */
 export class Replacements {
   private readonly provisionRequests = new Map<ProvisionRequestId, ProvisionRequestState>();
   private readonly watches = new Map<MachineDrain, ReadinessWatch>();
@@ -101,14 +100,14 @@
 
   constructor(private readonly settings: DrainSettings) {}
 
-  /** An id that no leader has used or ever will: it holds the fencing token. */
+  /** Returns an id that is unique across terms, as it contains the fencing token. */
   private nextRequestId({ fleet }: DecisionContext): ProvisionRequestId {
     const id = `drain-${fleet.fencingToken}-${this.nextRequest}` as ProvisionRequestId;
     this.nextRequest += 1;
     return id;
   }
 
-  /** A slot for each of these machines, in as few requests for each pool as the cloud takes. */
+  /** Allocates a slot for each machine, in as few requests per instance pool as possible. */
   allocateSlots(
     machines: readonly MachineView[],
     context: DecisionContext,
@@ -125,7 +124,7 @@
     return slots;
   }
 
-  /** A request for another replacement of one machine. */
+  /** Allocates a slot in a new request for one machine. */
   allocateSlot(context: DecisionContext): ReplacementSlot {
     return { request: this.nextRequestId(context), position: 0, requested: 1 };
   }
@@ -145,7 +144,7 @@
     return state;
   }
 
-  /** Provisions what is missing, and tells whether the replacement of `machine` is ready. */
+  /** Requests the replacement of `machine` if necessary, and returns its state. */
   advance(
     machineDrain: MachineDrain,
     machine: MachineView,
@@ -155,16 +154,16 @@
     if (slot === null) return GIVEN_UP;
     if (replacement !== null) return this.checkReadiness(machineDrain, slot, replacement, context);
     const state = this.requestStateOf(slot, replacementsRequested, context.moment);
-    // Fewer machines were provisioned than requested: this one is requested anew.
+    // Fewer machines were provisioned than requested, so this slot needs a new request.
     if (state.machines !== null) return GIVEN_UP;
     this.provision(state, slot, machine, context);
     if (state.refusals > 0) return blockedBy({ kind: 'no-capacity', of: describePool(machine) });
-    if (replacementsRequested > REPORTED_AFTER_REPLACEMENTS)
+    if (replacementsRequested > FAILURE_REPORT_THRESHOLD)
       return blockedBy({ kind: 'replacement-failed', tries: replacementsRequested - 1 });
     return blockedBy({ kind: 'replacement-booting', request: slot.request });
   }
 
-  /** Sends the request unless it is under way or has to wait. */
+  /** Sends the request unless it is in flight or delayed. */
   private provision(
     state: ProvisionRequestState,
     { request }: ReplacementSlot,
@@ -196,7 +195,7 @@
     return GIVEN_UP;
   }
 
-  /** Takes in the cloud's answer; true when it names machines. */
+  /** Handles the cloud's answer; returns true if machines were provisioned. */
   handleProvisionResult({ request, result, machines }: ProvisionResult, { now }: Moment): boolean {
     const state = this.provisionRequests.get(request);
     if (!state) return false;
@@ -213,17 +212,17 @@
     return false;
   }
 
-  /** The machine that an answered request provisioned for this slot; null: none. */
+  /** The machine that was provisioned for the slot; null if there is none. */
   machineFor({ request, position }: ReplacementSlot): MachineId | null {
     return this.provisionRequests.get(request)?.machines?.[position] ?? null;
   }
 
-  /** The machine has left its drain, or gets another replacement. */
+  /** For a machine that leaves its drain or gets another replacement. */
   stopWatching(machineDrain: MachineDrain): void {
     this.watches.delete(machineDrain);
   }
 
-  /** Drops requests that no machine waits for any more. */
+  /** Drops requests that are neither in flight nor needed any more. */
   pruneUnneeded(isNeeded: (request: ProvisionRequestId) => boolean): void {
     for (const [request, { isInFlight }] of this.provisionRequests) {
       if (!isInFlight && !isNeeded(request)) this.provisionRequests.delete(request);
--- a/packages/drain/src/core/settings.ts
+++ b/packages/drain/src/core/settings.ts
@@ -1,36 +1,35 @@
-/** Settings of the package, as its file states them. */
+/** Settings of the package, as read from its settings file. */
 
-/** How much of a scope's work may be disrupted; null: not limited in this way. */
+/** How many tasks of a scope may be disrupted; null fields set no limit. */
 export interface BudgetLimits {
-  /** At once. */
+  /** Tasks disrupted at once. */
   readonly count: number | null;
-  /** At once, of the scope's tasks that are on machines or disrupted; rounded down. */
+  /** At once, as a share of the tasks on machines or disrupted; rounded down. */
   readonly share: number | null;
-  /** Within any stretch of time of this length. */
+  /** Tasks disrupted within any period of this length. */
   readonly window: { readonly seconds: number; readonly count: number } | null;
 }
 
-/** A team's budget. */
 export interface TeamBudget {
   readonly limits: BudgetLimits;
-  /** Of single job classes; the team's limits hold for them as well. */
+  /** Limits of single job classes, in addition to the team's. */
   readonly classes: ReadonlyMap<string, BudgetLimits>;
 }
 
-/** All settings of the package; the fields are named after those of the file. */
+/** All settings; fields are named after those of the file. */
 export interface DrainSettings {
-  /** Work that ends within this time by its estimate is let end, also when it could be stopped. */
+  /** Tasks expected to end within this time are left to finish, even if they write checkpoints. */
   readonly letEndS: number;
-  /** A replacement that is not ready after this long is given up for another one. */
+  /** A replacement that is not ready after this time is given up for another one. */
   readonly readyTimeoutS: number;
-  /** A drain that has not progressed for this long is reported as stalled. */
+  /** A blocked drain without progress for this time is reported as stalled. */
   readonly stalledAfterS: number;
-  /** For teams without a budget of their own; null: no limit. */
+  /** Applies to each team without its own budget; null for no limit. */
   readonly defaultBudget: BudgetLimits | null;
   readonly teams: ReadonlyMap<string, TeamBudget>;
 }
 
-/** What holds where the file states nothing. */
+/** Defaults for settings that the file omits. */
 export const DEFAULT_SETTINGS: DrainSettings = {
   letEndS: 60,
   readyTimeoutS: 300,
--- a/packages/drain/src/core/step-selection.ts
+++ b/packages/drain/src/core/step-selection.ts
@@ -1,4 +1,4 @@
-/** Which machines the next step of a drain takes. */
+/** Selects the machines of a drain's next step. */
 import type {
   AttemptView,
   FleetView,
@@ -19,37 +19,37 @@
 } from './machine-selection.js';
 import { QueueHeadCheck } from './queue-head-check.js';
 
-/** How many machines one step takes; at least one. */
+/** The number of machines in a full step; at least one. */
 export const stepSizeOf = ({ request, total }: Drain): number => {
   const { stepSize } = request;
   if (stepSize.kind === 'count') return stepSize.count;
   return Math.max(1, Math.floor(stepSize.share * total));
 };
 
-/** The machines of the next step; or why there is none, where some remain. */
+/** The machines of the next step, and the blocker if some could not be chosen. */
 export interface StepSelection {
-  /** How many machines the drain is still for. */
+  /** Machines still to be drained, available or not. */
   readonly remaining: number;
   readonly chosen: readonly MachineView[];
   readonly blocker: Blocker | null;
 }
 
-/** What limits the choice of machines beside the fleet. */
+/** Constraints on the choice of machines, beside the fleet. */
 export interface StepConstraints {
   readonly letEndS: number;
-  /** Part of a step under way, or a replacement in one. */
+  /** Whether a machine is in a current step, or a replacement in one. */
   readonly isAssignedToDrain: (machine: MachineId) => boolean;
-  /** What keeps one more task of this team and job class from being disrupted. */
+  /** See `BudgetLedger.findBlocker`. */
   readonly findBudgetBlocker: (team: TeamName, jobClass: string) => Blocker | null;
 }
 
-/** The check of the queue's head; null for a drain that replaces what it takes. */
+/** Creates the queue head check; null for a drain that replaces its machines. */
 export const queueHeadCheckFor = ({ request }: Drain, fleet: FleetView): QueueHeadCheck | null =>
   request.replace ? null : new QueueHeadCheck(fleet);
 
 /**
- * Machines in the order in which they are drained: first those whose work the budgets let be
- * disrupted now, and within each group the least disturbing first.
+ * Sorts machines in drain order: first those without work that a budget blocks, and within each
+ * group the least disturbing first.
  */
 export const orderCandidates = (
   machines: readonly MachineView[],
@@ -64,15 +64,18 @@
     return isBlocked;
   };
   const isBlocked = ({ job }: AttemptView): boolean => job !== null && isJobBlocked(job);
-  const isHeldUp = ({ work }: DrainCandidate): boolean =>
+  const hasBlockedWork = ({ work }: DrainCandidate): boolean =>
     work.stoppable.some(isBlocked) || work.replicas.some(isBlocked);
   const order = rankCandidates(machines, letEndS, moment);
-  return [...order.filter((candidate) => !isHeldUp(candidate)), ...order.filter(isHeldUp)];
+  return [
+    ...order.filter((candidate) => !hasBlockedWork(candidate)),
+    ...order.filter(hasBlockedWork),
+  ];
 };
 
 /**
- * Whether a step may take the machine. One that has not reported to this leader is left out: of it
- * only a former leader's ledger, or a list that lags, may tell.
+ * Whether a step may include the machine. A machine that has not reported to this leader may be
+ * known only from a previous leader's ledger or an outdated cloud list, and is left out.
  */
 const isAvailable = (machine: MachineView, { isAssignedToDrain }: StepConstraints): boolean =>
   machine.hasReported &&
@@ -80,8 +83,8 @@
   !machine.isCordoned &&
   !isAssignedToDrain(machine.id);
 
-/** Takes candidates in order, up to the step's size, and leaves the queue's head a machine. */
-const takeCandidates = (
+/** Chooses up to `maxMachines` candidates in order, and leaves a machine for the queue head. */
+const chooseCandidates = (
   candidates: readonly DrainCandidate[],
   maxMachines: number,
   queueHead: QueueHeadCheck | null,
@@ -101,7 +104,7 @@
   return { chosen, blocker };
 };
 
-/** Selects the machines of the next step: those that disturb least. */
+/** Selects the available machines that disturb least for the next step. */
 export const selectStep = (
   drain: Drain,
   constraints: StepConstraints,
@@ -114,5 +117,5 @@
     return { remaining, chosen: [], blocker: { kind: 'busy-elsewhere', machines: remaining } };
   const queueHead = queueHeadCheckFor(drain, fleet);
   const candidates = orderCandidates(available, constraints, moment);
-  return { remaining, ...takeCandidates(candidates, stepSizeOf(drain), queueHead) };
+  return { remaining, ...chooseCandidates(candidates, stepSizeOf(drain), queueHead) };
 };
--- a/packages/drain/src/core/views.ts
+++ b/packages/drain/src/core/views.ts
@@ -1,6 +1,6 @@
 /**
- * What operators are told of drains and budgets, in the names of the HTTP interface. Answers stay
- * well below what one line of the connection between controllers may hold.
+ * Drains and budgets as shown to operators, with the field names of the HTTP interface. Answers are
+ * well below the maximum line length of the connection between controllers.
  */
 import type { FleetView, Moment } from '@robinspread/extension-api';
 import { type Blocker, describeBlocker } from './blocker.js';
@@ -8,14 +8,14 @@
 import type { DrainManager } from './drain-manager.js';
 import { remainingMachines } from './machine-selection.js';
 
-/** Machines listed in one answer; the rest is counted. */
+/** Machines listed in one answer; the others are only counted. */
 export const MAX_LISTED_MACHINES = 200;
 
 const blockerView = (blocker: Blocker | null) =>
   blocker === null ? null : { kind: blocker.kind, text: describeBlocker(blocker) };
 
-/** A machine on its way back to the cloud is still draining to operators: it may yet be there. */
-const shownPhase = ({ phase }: MachineDrain): string =>
+/** A machine being returned is shown as draining, since it may still be in the fleet. */
+const displayedPhase = ({ phase }: MachineDrain): string =>
   phase === 'returning' ? 'draining' : phase;
 
 const requestView = ({ request }: Drain) => ({
@@ -26,7 +26,7 @@
   deadlineS: request.deadlineS,
 });
 
-/** One drain in a line. */
+/** A drain in a list. */
 export const summaryOf = (manager: DrainManager, drain: Drain, moment: Moment) => ({
   name: drain.request.name,
   status: manager.progress.statusOf(drain, moment),
@@ -37,7 +37,7 @@
   inStep: drain.machinesInStep.size,
 });
 
-/** All that is known of one drain. */
+/** A drain, its blockers and its step. */
 export const detailsOf = (
   manager: DrainManager,
   drain: Drain,
@@ -56,7 +56,7 @@
     request: requestView(drain),
     machines: inStep.slice(0, MAX_LISTED_MACHINES).map((machineDrain) => ({
       name: machineDrain.machine,
-      state: shownPhase(machineDrain),
+      state: displayedPhase(machineDrain),
       replacement: machineDrain.replacement,
       left: fleet.machines.get(machineDrain.machine)?.placements.size ?? 0,
       blocked: blockerView(manager.progress.blockerOf(drain, machineDrain.machine)),
@@ -64,7 +64,7 @@
   };
 };
 
-/** The budgets and their use. */
+/** The budgets and their current usage. */
 export const budgetsOf = (manager: DrainManager, fleet: FleetView, moment: Moment) =>
   manager.budget.listUsage(fleet, moment).map(({ scope, open, limit, inWindow }) => ({
     scope: scope.name,
