--- a/packages/drain/src/core/blocker.ts
+++ b/packages/drain/src/core/blocker.ts
@@ -17,7 +17,7 @@
       readonly limit: number;
       readonly withinS: number;
     }
-  | { readonly kind: 'no-capacity'; readonly of: string }
+  | { readonly kind: 'no-capacity'; readonly pool: string }
   | { readonly kind: 'replacement-booting'; readonly request: ProvisionRequestId }
   | { readonly kind: 'replacement-failed'; readonly tries: number }
   | { readonly kind: 'work-ends-by-itself'; readonly tasks: number; readonly inS: number }
@@ -46,7 +46,7 @@
         `within ${blocker.withinS} s`
       );
     case 'no-capacity':
-      return `the cloud has no capacity for ${blocker.of}`;
+      return `the cloud has no capacity for ${blocker.pool}`;
     case 'replacement-booting':
       return `its replacement (${blocker.request}) is not ready`;
     case 'replacement-failed':
--- a/packages/drain/src/core/replacements.ts
+++ b/packages/drain/src/core/replacements.ts
@@ -157,7 +157,7 @@
     // Fewer machines were provisioned than requested, so this slot needs a new request.
     if (state.machines !== null) return GIVEN_UP;
     this.provision(state, slot, machine, context);
-    if (state.refusals > 0) return blockedBy({ kind: 'no-capacity', of: describePool(machine) });
+    if (state.refusals > 0) return blockedBy({ kind: 'no-capacity', pool: describePool(machine) });
     if (replacementsRequested > FAILURE_REPORT_THRESHOLD)
       return blockedBy({ kind: 'replacement-failed', tries: replacementsRequested - 1 });
     return blockedBy({ kind: 'replacement-booting', request: slot.request });
