--- a/packages/drain/src/core/budget-ledger.ts
+++ b/packages/drain/src/core/budget-ledger.ts
@@ -87,7 +87,7 @@
     return tasks;
   }
 
-  /** The first budget without room for one more task of this team and job class; null if none. */
+  /** Returns a blocker if a budget has no room for one more task of the job class; else null. */
   findBlocker(team: TeamName, jobClass: string, fleet: FleetView, moment: Moment): Blocker | null {
     for (const scope of scopesOf(this.settings, team, jobClass)) {
       const { open, limit, inWindow } = this.usageOf(scope, fleet, moment);
@@ -124,7 +124,7 @@
     return blocker;
   }
 
-  /** Counts a lost machine's or reclaim notice's disruption; a known one becomes `stopped`. */
+  /** Counts a disruption by a lost machine or reclaim notice; a known one is then stopped. */
   recordInvoluntary(attempt: AttemptView, moment: Moment): void {
     const known = this.disruptions.get(attempt.entry.attempt);
     if (known) {
