--- a/src/adapters/configuration/configuration-file.ts
+++ b/src/adapters/configuration/configuration-file.ts
@@ -19,5 +19,5 @@
 };
 
 /** Parses one S-expression; `;` begins a comment. Returns an `Error` for a fault of its syntax. */
-export const parseForm = (text: string): unknown =>
+export const parseSExpression = (text: string): unknown =>
   parseExpression(text.replace(/;[^\n]*/g, '').trim());
--- a/src/adapters/configuration/policy.ts
+++ b/src/adapters/configuration/policy.ts
@@ -1,7 +1,7 @@
 /** The operators' policy file (an S-expression), checked. */
 
 import type { Policy } from '../../core/model/policy.js';
-import { parseForm, readConfigurationFile, SettingsError } from './configuration-file.js';
+import { parseSExpression, readConfigurationFile, SettingsError } from './configuration-file.js';
 
 /** The policy where no file names another. */
 export const DEFAULT_POLICY: Policy = {
@@ -67,7 +67,7 @@
  * default. Throws a `SettingsError` that names the fault's field.
  */
 export const parsePolicy = (text: string): Policy => {
-  const form = parseForm(text);
+  const form = parseSExpression(text);
   if (form instanceof Error) throw new SettingsError(`policy: ${form.message.split('\n')[0]}`);
   if (!Array.isArray(form) || form[0] !== 'policy') {
     throw new SettingsError('policy: expected (policy (NAME VALUE) ...)');
--- a/src/adapters/configuration/settings.ts
+++ b/src/adapters/configuration/settings.ts
@@ -113,7 +113,7 @@
   readonly api: Endpoint;
   /** Where the other controllers connect to. */
   readonly peerAddress: Endpoint;
-  readonly peers: readonly { readonly node: NodeId; readonly at: Endpoint }[];
+  readonly peers: readonly { readonly node: NodeId; readonly endpoint: Endpoint }[];
   readonly cloud: Endpoint;
   readonly keyValueStore: Endpoint;
   readonly teams: ReadonlyMap<TeamName, Team>;
@@ -196,7 +196,7 @@
     peerAddress: parseEndpoint(file.back),
     peers: file.seeds.map((seed) => ({
       node: seed.node as NodeId,
-      at: parseEndpoint(seed.endpoint),
+      endpoint: parseEndpoint(seed.endpoint),
     })),
     cloud: parseEndpoint(file.outside.cloud),
     keyValueStore: parseEndpoint(file.outside.state),
--- a/src/adapters/http/api-server.ts
+++ b/src/adapters/http/api-server.ts
@@ -13,7 +13,7 @@
 } from './heartbeat-connections.js';
 import { HEARTBEAT_PATH } from './heartbeat-framing.js';
 import { makeHeartbeatHandler } from './heartbeat-handler.js';
-import { listenerOf, type NodeApplication } from './hono-listener.js';
+import { createRequestListener, type NodeApplication } from './hono-listener.js';
 import { MAX_HEARTBEAT_BYTES } from './request-body.js';
 
 /** Users' requests under way beyond which new ones are turned away: memory is bounded by it. */
@@ -88,7 +88,7 @@
 
 /** Serves an application; a port that cannot be listened on ends the process. */
 export const serveApi = ({ settings, app, log, handleHeartbeat }: ServedApi): Server => {
-  const server = new ApiServer(limitInFlight(listenerOf(app)));
+  const server = new ApiServer(limitInFlight(createRequestListener(app)));
   // A worker or user that has gone elsewhere, or whose machine is gone, may leave its connection
   // open for good. What has been silent for a lease is closed, so that a whole fleet that comes
   // back by new connections finds room.
--- a/src/adapters/http/heartbeat-handler.ts
+++ b/src/adapters/http/heartbeat-handler.ts
@@ -1,6 +1,6 @@
 /** Workers' heartbeats: from the body of a request to what the worker is answered. */
 import type { HeartbeatService } from '../../ports/heartbeat-service.js';
-import { type Log, Once } from '../logging/log.js';
+import { type Log, LogDeduplicator } from '../logging/log.js';
 import { HeartbeatParser } from '../workers/heartbeat-parser.js';
 import {
   answerHeartbeat,
@@ -24,11 +24,11 @@
 /** The handler of heartbeats; it answers 400 to what is none, and logs it once for each machine. */
 export const makeHeartbeatHandler = (service: HeartbeatService, log: Log): HeartbeatHandler => {
   const parser = new HeartbeatParser();
-  const logged = new Once();
+  const logged = new LogDeduplicator();
 
   const refuse = (body: JsonBody): HeartbeatReply => {
     const { machineId, reason } = describeMalformed(body);
-    if (logged.isFirst(`${machineId} ${reason}`))
+    if (logged.isFirstOccurrence(`${machineId} ${reason}`))
       log.info({ machineId, reason }, 'malformed heartbeat');
     return MALFORMED_HEARTBEAT;
   };
--- a/src/adapters/http/hono-listener.ts
+++ b/src/adapters/http/hono-listener.ts
@@ -57,7 +57,7 @@
 };
 
 /** The listener for Node's HTTP server. It never rejects. */
-export const listenerOf =
+export const createRequestListener =
   (app: NodeApplication): RequestListener =>
   async (incoming, outgoing) => {
     try {
--- a/src/adapters/key-value-store/key-value-store-client.ts
+++ b/src/adapters/key-value-store/key-value-store-client.ts
@@ -74,8 +74,8 @@
   }
 
   /** Whether it keeps to the lower share of the store's rates. */
-  get isLowered(): boolean {
-    return this.rates.isLowered;
+  get usesLoweredRates(): boolean {
+    return this.rates.usesLoweredRates;
   }
 
   scaleWriteRate(scale: number): void {
--- a/src/adapters/key-value-store/store-rates.ts
+++ b/src/adapters/key-value-store/store-rates.ts
@@ -32,7 +32,7 @@
   }
 
   /** Whether it keeps to the lower share. */
-  get isLowered(): boolean {
+  get usesLoweredRates(): boolean {
     return steadyNow() < this.loweredUntil;
   }
 
@@ -49,7 +49,7 @@
   }
 
   private applyRates(): void {
-    const { rps, writeRps } = this.isLowered ? this.shares.lowered : this.shares;
+    const { rps, writeRps } = this.usesLoweredRates ? this.shares.lowered : this.shares;
     this.requests.setRate(rps);
     this.writes.setRate(writeRps * this.writeScale);
   }
--- a/src/adapters/logging/log.ts
+++ b/src/adapters/logging/log.ts
@@ -19,11 +19,11 @@
 const MAX_KEYS = 1000;
 
 /** Lets each key through once: what is malformed mostly comes again with every heartbeat. */
-export class Once {
+export class LogDeduplicator {
   private readonly seenKeys = new Set<string>();
 
   /** Whether this is the first time that the key comes, and there is still space for it. */
-  isFirst(key: string): boolean {
+  isFirstOccurrence(key: string): boolean {
     if (this.seenKeys.has(key) || this.seenKeys.size >= MAX_KEYS) return false;
     this.seenKeys.add(key);
     return true;
--- a/src/adapters/outbound/http-client.ts
+++ b/src/adapters/outbound/http-client.ts
@@ -142,9 +142,14 @@
   constructor(
     private readonly endpoint: Endpoint,
     maxSockets: number,
-    idleMs = 15_000,
+    idleTimeoutMs = 15_000,
   ) {
-    this.agent = new Agent({ keepAlive: true, maxSockets, maxFreeSockets: 4, timeout: idleMs });
+    this.agent = new Agent({
+      keepAlive: true,
+      maxSockets,
+      maxFreeSockets: 4,
+      timeout: idleTimeoutMs,
+    });
   }
 
   send(request: HttpRequest): Promise<Reply> {
--- a/src/adapters/runtime/random.ts
+++ b/src/adapters/runtime/random.ts
@@ -12,7 +12,7 @@
   }
 
   /** A length of time between half of `ms` and one and a half times it. */
-  around(ms: number): number {
+  apply(ms: number): number {
     return ms * (0.5 + uniformFloat64(this.generator));
   }
 }
--- a/src/adapters/workers/heartbeat-parser.ts
+++ b/src/adapters/workers/heartbeat-parser.ts
@@ -26,7 +26,7 @@
   private heartbeatsInRound = 0;
 
   /** Tasks that had to be checked and decoded; the others were known from the last heartbeat. */
-  decodedTasks = 0;
+  decodedTaskCount = 0;
 
   /** The heartbeat, or null when it is malformed. */
   parse(body: unknown): Heartbeat | null {
@@ -67,7 +67,7 @@
         continue;
       }
       newTasks += 1;
-      this.decodedTasks += 1;
+      this.decodedTaskCount += 1;
       const task = decodeTask(raw);
       if (!task) return null;
       decoded.push({ raw: raw as Record<string, unknown>, task });
@@ -86,7 +86,7 @@
   }
 
   /** How many machines' last heartbeats are kept. */
-  get rememberedMachines(): number {
+  get cachedMachineCount(): number {
     let count = this.current.size;
     for (const machine of this.previous.keys()) if (!this.current.has(machine)) count += 1;
     return count;
--- a/src/cli/check-config.ts
+++ b/src/cli/check-config.ts
@@ -1,9 +1,9 @@
 /** The command that checks the files a controller would start with. */
 
-import { type Files, loadFiles } from './load.js';
+import { type ConfigurationPaths, loadConfiguration } from './load.js';
 
 /** Prints whether the files are sound. Throws a `SettingsError` where they are not. */
-export const checkConfig = async (files: Files): Promise<void> => {
-  const { settings } = await loadFiles(files);
+export const checkConfig = async (files: ConfigurationPaths): Promise<void> => {
+  const { settings } = await loadConfiguration(files);
   process.stdout.write(`ok: node ${settings.node}, ${settings.teams.size} teams\n`);
 };
--- a/src/cli/extensions.ts
+++ b/src/cli/extensions.ts
@@ -4,7 +4,7 @@
  */
 
 import {
-  parseForm,
+  parseSExpression,
   readConfigurationFile,
   SettingsError,
 } from '../adapters/configuration/configuration-file.js';
@@ -28,7 +28,7 @@
 /** Loads the package that a file enables, as the file configures it. Throws a `SettingsError`. */
 export const loadExtension = async (path: string, settings: Settings): Promise<ExtensionModule> => {
   const text = readConfigurationFile(path, 'extension');
-  const form = parseForm(text);
+  const form = parseSExpression(text);
   const name = Array.isArray(form) ? String(form[0]) : '';
   const extensionPackage = await loadPackage(name);
   if (!extensionPackage)
--- a/src/cli/load.ts
+++ b/src/cli/load.ts
@@ -7,7 +7,7 @@
 import { loadExtension } from './extensions.js';
 
 /** The files of a controller, as paths. */
-export interface Files {
+export interface ConfigurationPaths {
   /** The platform's settings. */
   readonly config: string;
   /** The operators' policy; the default one without it. */
@@ -17,14 +17,16 @@
 }
 
 /** The files' contents, checked. */
-export interface LoadedFiles {
+export interface LoadedConfiguration {
   readonly settings: Settings;
   readonly policy: Policy;
   readonly extensions: readonly ExtensionModule[];
 }
 
 /** Loads and checks all files. Throws a `SettingsError` for the first fault. */
-export const loadFiles = async (files: Files): Promise<LoadedFiles> => {
+export const loadConfiguration = async (
+  files: ConfigurationPaths,
+): Promise<LoadedConfiguration> => {
   const settings = loadSettings(files.config);
   const policy = files.policy === undefined ? DEFAULT_POLICY : loadPolicy(files.policy);
   const extensions: ExtensionModule[] = [];
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -5,7 +5,7 @@
 
 import { Command } from 'commander';
 import { handleCommandError } from './command-failures.js';
-import type { Files } from './load.js';
+import type { ConfigurationPaths } from './load.js';
 
 const addFileOptions = (command: Command): Command =>
   command
@@ -19,7 +19,7 @@
     .version('0.1.0');
 
   addFileOptions(program.command('serve').description('run one controller')).action(
-    async (options: Files) => {
+    async (options: ConfigurationPaths) => {
       const { serve } = await import('./serve.js');
       await serve(options);
     },
@@ -27,7 +27,7 @@
 
   addFileOptions(
     program.command('check-config').description('check a settings file and a policy file'),
-  ).action(async (options: Files) => {
+  ).action(async (options: ConfigurationPaths) => {
     const { checkConfig } = await import('./check-config.js');
     await checkConfig(options);
   });
--- a/src/service/create-dependencies.ts
+++ b/src/service/create-dependencies.ts
@@ -3,7 +3,7 @@
 import type { Settings } from '../adapters/configuration/settings.js';
 import { KeyValueStoreClient } from '../adapters/key-value-store/key-value-store-client.js';
 import type { RateShares } from '../adapters/key-value-store/store-rates.js';
-import { type Log, Once } from '../adapters/logging/log.js';
+import { type Log, LogDeduplicator } from '../adapters/logging/log.js';
 import { PeerClient } from '../adapters/peers/peer-client.js';
 import { WorkerClient } from '../adapters/workers/worker-client.js';
 import type { Dependencies } from './dependencies.js';
@@ -33,10 +33,10 @@
 
 /** Logs answers that do not follow the protocol, once for each service and kind of request. */
 const makeMalformedAnswerLogger = (log: Log) => {
-  const logged = new Once();
+  const logged = new LogDeduplicator();
   return (service: string) =>
     (request: string): void => {
-      if (logged.isFirst(`${service} ${request}`))
+      if (logged.isFirstOccurrence(`${service} ${request}`))
         log.info({ service, request }, 'malformed answer');
     };
 };
@@ -71,7 +71,9 @@
       malformedAnswerLoggerFor('cloud'),
     ),
     workers: new WorkerClient(Math.max(MIN_COMMAND_SOCKETS, commandSockets)),
-    peers: new Map(settings.peers.map((peer) => [peer.node, new PeerClient(peer.node, peer.at)])),
+    peers: new Map(
+      settings.peers.map((peer) => [peer.node, new PeerClient(peer.node, peer.endpoint)]),
+    ),
     machineTypes: null,
   };
 };
--- a/src/service/guarded-writer.ts
+++ b/src/service/guarded-writer.ts
@@ -70,9 +70,7 @@
         if (outcome !== 'not-stored') return outcome;
       }
       const isRateRefusal = result.kind === 'refused' && !this.store.isDown;
-      await sleep(
-        this.jitter.around(isRateRefusal ? RATE_REFUSAL_DELAY_MS : retryDelayMs(retries)),
-      );
+      await sleep(this.jitter.apply(isRateRefusal ? RATE_REFUSAL_DELAY_MS : retryDelayMs(retries)));
     }
     return 'leadership-lost';
   }
--- a/src/service/job-watch.ts
+++ b/src/service/job-watch.ts
@@ -45,7 +45,7 @@
         if (!listing) return;
         revision = listing.revision;
         this.submitJobs(listing.items);
-      } else await sleep(dependencies.jitter.around(RETRY_MS));
+      } else await sleep(dependencies.jitter.apply(RETRY_MS));
     }
   }
 
--- a/src/service/jobs/submission-service.ts
+++ b/src/service/jobs/submission-service.ts
@@ -88,7 +88,7 @@
       if (mayForward && attempt === 1) {
         const forwarded = await this.admitThroughPeer(record, this.nextPeer());
         if (forwarded.kind !== 'unavailable') return forwarded;
-      } else await sleep(jitter.around(ADMISSION_RETRY_MS));
+      } else await sleep(jitter.apply(ADMISSION_RETRY_MS));
       result = await write();
     }
     return this.concludeAdmission(record, result);
--- a/src/service/leader-election.ts
+++ b/src/service/leader-election.ts
@@ -109,14 +109,14 @@
       if (leader.kind === 'absent') await this.handleNoLeader();
       else if (leader.kind === 'found')
         await this.handleLeaderRecord(leader.item.value, leader.item.revision);
-      else await sleep(this.jitter.around(RETRY_MS.read));
+      else await sleep(this.jitter.apply(RETRY_MS.read));
     }
   }
 
   private async handleNoLeader(): Promise<void> {
     this.leaderNode = null;
     if (this.mayCampaign()) await this.campaign(ABSENT);
-    else await sleep(this.jitter.around(RETRY_MS.campaignPaused));
+    else await sleep(this.jitter.apply(RETRY_MS.campaignPaused));
   }
 
   private async handleLeaderRecord(value: unknown, revision: Revision): Promise<void> {
@@ -147,7 +147,7 @@
       const last = result.changes.filter((change) => change.key === LEADER_KEY).at(-1);
       return last !== undefined && 'deleted' in last;
     }
-    if (result.kind !== 'too-old') await sleep(this.jitter.around(RETRY_MS.read));
+    if (result.kind !== 'too-old') await sleep(this.jitter.apply(RETRY_MS.read));
     return false;
   }
 
@@ -186,7 +186,7 @@
       onExpired: (expired) => this.handleLeaseExpired(expired),
     });
     if (!lease) {
-      await sleep(this.jitter.around(RETRY_MS.grant));
+      await sleep(this.jitter.apply(RETRY_MS.grant));
       return;
     }
     // Renewed from the start: the lease must not expire while the claim is slow.
@@ -195,7 +195,7 @@
     if (token === null || lease.hasEnded) {
       lease.abandon();
       await lease.revoke();
-      await sleep(this.jitter.around(RETRY_MS.claimLost));
+      await sleep(this.jitter.apply(RETRY_MS.claimLost));
       return;
     }
     this.startLeading(token, lease);
@@ -222,7 +222,7 @@
         const { value, revision } = leader.item;
         return this.isOwnClaim(value, lease) ? (revision as number as FencingToken) : null;
       }
-      await sleep(this.jitter.around(RETRY_MS.claimReadBack));
+      await sleep(this.jitter.apply(RETRY_MS.claimReadBack));
     }
     return null;
   }
--- a/src/service/leader-lease.ts
+++ b/src/service/leader-lease.ts
@@ -72,7 +72,7 @@
           break;
         case 'ended':
         case 'failed':
-          await sleep(jitter.around(RENEWAL_RETRY_MS));
+          await sleep(jitter.apply(RENEWAL_RETRY_MS));
           break;
       }
     }
--- a/src/service/machine-type-discovery.ts
+++ b/src/service/machine-type-discovery.ts
@@ -33,7 +33,7 @@
       if (listed && this.fitsStoredValue(listed) && (await storedItem).kind === 'absent')
         await this.storeMachineTypes(listed);
       await storedItem;
-      if (!dependencies.machineTypes) await sleep(dependencies.jitter.around(RETRY_MS));
+      if (!dependencies.machineTypes) await sleep(dependencies.jitter.apply(RETRY_MS));
     }
   }
 
--- a/src/service/peers/peer-monitor.ts
+++ b/src/service/peers/peer-monitor.ts
@@ -80,7 +80,7 @@
 
   async run(): Promise<void> {
     while (!this.isStopped) {
-      await sleep(this.dependencies.jitter.around(POLL_INTERVAL_MS));
+      await sleep(this.dependencies.jitter.apply(POLL_INTERVAL_MS));
       await this.poll();
     }
   }
--- a/src/service/store-listing.ts
+++ b/src/service/store-listing.ts
@@ -23,7 +23,7 @@
   while (term.isCurrent) {
     const listing = await batchStore.listAll(prefix);
     if (listing.kind === 'listed') return listing;
-    await sleep(jitter.around(RETRY_MS));
+    await sleep(jitter.apply(RETRY_MS));
   }
   return null;
 };
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -157,7 +157,7 @@
     );
     const draw = new Jitter(77);
     for (let i = 0; i < 200; i += 1) {
-      await vi.advanceTimersByTimeAsync(draw.around(300));
+      await vi.advanceTimersByTimeAsync(draw.apply(300));
       expect(elections.filter(isLeading).length).toBeLessThanOrEqual(1);
       // One ends, the leader most often, also in mid-election, and is back within 250 ms.
       const index =
--- a/test/extensions.test.ts
+++ b/test/extensions.test.ts
@@ -211,7 +211,7 @@
         return { kind: 'committed', revision: 9 as Revision };
       },
     };
-    const jitter: Pick<Jitter, 'around'> = { around: (ms) => ms };
+    const jitter: Pick<Jitter, 'apply'> = { apply: (ms) => ms };
     const writer = new BatchWriter({
       store: store as KeyValueStore,
       fencingToken: 7 as FencingToken,
--- a/test/heartbeat-http.test.ts
+++ b/test/heartbeat-http.test.ts
@@ -279,15 +279,15 @@
     const parser = new HeartbeatParser();
     const tasks = Array.from({ length: 40 }, (_, n) => running(n));
     parser.parse(fresh(report(1, tasks)));
-    expect(parser.decodedTasks).toBe(40);
+    expect(parser.decodedTaskCount).toBe(40);
     for (let tick = 2; tick < 12; tick += 1) parser.parse(fresh(report(tick, tasks)));
-    expect(parser.decodedTasks).toBe(40);
+    expect(parser.decodedTaskCount).toBe(40);
     // One ends, one is gone, one is new.
     const changed = tasks.map((t, n) => (n === 5 ? { ...t, Status: 'ended', Cause: 'done' } : t));
     changed.splice(20, 1);
     changed.push(running(90));
     parser.parse(fresh(report(12, changed)));
-    expect(parser.decodedTasks).toBe(42);
+    expect(parser.decodedTaskCount).toBe(42);
   });
 
   it('parses with its memory as without it, and refuses malformed heartbeats alike', () => {
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -42,8 +42,8 @@
     });
     for (let sequence = 1; sequence <= 20; sequence += 1)
       for (const name of names) parser.parse(body(name, sequence));
-    expect(parser.decodedTasks).toBe(2 * FLEET);
-    expect(parser.rememberedMachines).toBe(FLEET);
+    expect(parser.decodedTaskCount).toBe(2 * FLEET);
+    expect(parser.cachedMachineCount).toBe(FLEET);
   });
 
   it('leaves no machine in the cache of the heartbeat parser that no longer sends any', () => {
@@ -59,7 +59,7 @@
     });
     for (const name of names) parser.parse(body(name));
     for (let i = 0; i < 12 * FLEET; i += 1) parser.parse(body(names[i % 100]!));
-    expect(parser.rememberedMachines).toBe(100);
+    expect(parser.cachedMachineCount).toBe(100);
   });
 
   it('is scheduled with work linear in the machines, and heartbeats walk over none of them', () => {
--- a/test/service-jobs.test.ts
+++ b/test/service-jobs.test.ts
@@ -162,11 +162,11 @@
     now += 1000;
     expect(await write()).toEqual({ kind: 'refused' });
     state.isRateLimited = false;
-    expect(client.isLowered).toBe(true);
+    expect(client.usesLoweredRates).toBe(true);
     for (let i = 0; i < 3; i += 1) expect(await most()).toBe(4);
     now += 20_000;
     await most();
-    expect(client.isLowered).toBe(false);
+    expect(client.usesLoweredRates).toBe(false);
     expect(await most()).toBe(8);
   });
 });
