--- a/.ci/unit-tests.mjs
+++ b/.ci/unit-tests.mjs
@@ -1,35 +1,36 @@
-// Runs the unit tests for CI. A failure of a test that KNOWN-RED.txt names is printed and passed
-// over; any other failure, and any error outside a test, fails the run.
-// Each line of that file: FILE > NAME OF THE TEST | cause | issue
+// Runs the unit tests for CI. Failures of tests listed in KNOWN-RED.txt are printed and ignored;
+// any other test failure, and any error outside a test, fails the run.
+// Format of each line: FILE > TEST NAME | cause | issue
 import { spawnSync } from 'node:child_process';
 import { existsSync, mkdtempSync, readFileSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join, relative } from 'node:path';
 
-const MAX_KNOWN = 3;
+const MAX_KNOWN_FAILURES = 3;
 const MAX_OUTPUT_BYTES = 64 * 1024 * 1024;
 
-const readKnown = () => {
+const readKnownFailures = () => {
   if (!existsSync('KNOWN-RED.txt')) return [];
   const lines = readFileSync('KNOWN-RED.txt', 'utf8').split('\n');
   return lines.filter((line) => line.trim() !== '').map((line) => line.split(' | ')[0]);
 };
 
-/** Names of the tests that failed; null when the run failed by something other than a test. */
+/** Returns the names of the failed tests, or null if the run failed for another reason. */
 const failedTests = (report) => {
   const failed = [];
   for (const { name, status, assertionResults } of report.testResults) {
-    const red = assertionResults.filter((result) => result.status === 'failed');
-    if (status === 'failed' && red.length === 0) return null;
+    const failures = assertionResults.filter((result) => result.status === 'failed');
+    if (status === 'failed' && failures.length === 0) return null;
     const file = relative(process.cwd(), name);
-    for (const { ancestorTitles, title } of red)
+    for (const { ancestorTitles, title } of failures)
       failed.push([file, ...ancestorTitles, title].join(' > '));
   }
   return failed.length > 0 ? failed : null;
 };
 
-const known = readKnown();
-if (known.length > MAX_KNOWN) throw new Error(`KNOWN-RED.txt names more than ${MAX_KNOWN} tests`);
+const knownFailures = readKnownFailures();
+if (knownFailures.length > MAX_KNOWN_FAILURES)
+  throw new Error(`KNOWN-RED.txt names more than ${MAX_KNOWN_FAILURES} tests`);
 const directory = mkdtempSync(join(tmpdir(), 'robinspread-unit-'));
 const output = join(directory, 'report.json');
 const args = ['run', '--reporter=default', '--reporter=json', `--outputFile.json=${output}`];
@@ -39,12 +40,12 @@
 });
 process.stdout.write(run.stdout);
 process.stderr.write(run.stderr);
-for (const name of known) console.log(`known red: ${name}`);
+for (const name of knownFailures) console.log(`known red: ${name}`);
 if (run.status !== 0) {
   const hasOtherError = /Unhandled (Error|Rejection)/.test(run.stdout + run.stderr);
   const failed = existsSync(output) ? failedTests(JSON.parse(readFileSync(output, 'utf8'))) : null;
-  const isPassedOver = failed?.every((name) => known.includes(name)) ?? false;
+  const hasOnlyKnownFailures = failed?.every((name) => knownFailures.includes(name)) ?? false;
   for (const name of failed ?? []) console.log(`failed: ${name}`);
-  process.exitCode = isPassedOver && !hasOtherError ? 0 : 1;
+  process.exitCode = hasOnlyKnownFailures && !hasOtherError ? 0 : 1;
 }
 rmSync(directory, { recursive: true, force: true });
--- a/deploy/drain.scm
+++ b/deploy/drain.scm
@@ -1,8 +1,9 @@
 ; Enables stepped drains: `serve --enable deploy/drain.scm`. See docs/operators/drain.md.
 (drain
-  (let-end-s 60)          ; work that ends within this time is let end
-  (ready-timeout-s 300)   ; a replacement that is not ready by then is given up for another
-  (stalled-after-s 60)    ; a drain that has not moved for this long is shown as stalled
+  (let-end-s 60)          ; seconds; work estimated to end within this time is not stopped
+  (ready-timeout-s 300)   ; seconds after which a replacement that is not ready is itself replaced
+  (stalled-after-s 60)    ; seconds without progress after which a drain is reported as stalled
   (budgets
-    ; for every team that is not named: (team NAME (at-once N) (at-once-share S) (within SECONDS N) (class NAME ...))
+    ; `default` applies to every team without an entry of its own, which has the form
+    ; (team NAME (at-once N) (at-once-share S) (within SECONDS N) (class NAME ...))
     (default (at-once 8) (at-once-share 0.1))))
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,36 +1,36 @@
-// How the service is bundled. Starting on a fraction of a core is part of every failover, so the bundle is one CommonJS
-// file, without what is never used: the worker threads in which pino would run log transports.
+// Bundles the service into one CommonJS file. Every failover includes a start on a fraction of a
+// core, so unused code (the worker threads of pino's log transports) is left out.
 import { copyFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { build } from 'esbuild';
 
-/** Modules that are required when the bundle is loaded, but that nothing here calls. */
-const UNUSED = /^thread-stream$|^\.\/(lib\/)?transport$/;
-/** Of this one pino asks whether it runs in the main thread; it always does. */
-const THREADS = /^(node:)?worker_threads$/;
+/** Modules that are required at load time but never called; replaced by a stub. */
+const UNUSED_MODULES = /^thread-stream$|^\.\/(lib\/)?transport$/;
+/** Replaced by a stub, since pino only reads `isMainThread` from it, which is always true. */
+const WORKER_THREADS = /^(node:)?worker_threads$/;
 
-const leftOut = {
+const stubUnusedModules = {
   name: 'left-out',
-  setup(b) {
-    const replaceBy = (namespace, filter, contents) => {
-      b.onResolve({ filter }, (args) => ({ path: args.path, namespace }));
-      b.onLoad({ filter: /.*/, namespace }, () => ({ contents, loader: 'js' }));
+  setup(pluginBuild) {
+    const replaceWithStub = (namespace, filter, contents) => {
+      pluginBuild.onResolve({ filter }, (args) => ({ path: args.path, namespace }));
+      pluginBuild.onLoad({ filter: /.*/, namespace }, () => ({ contents, loader: 'js' }));
     };
-    replaceBy('unused', UNUSED, 'module.exports = {};');
-    replaceBy('threads', THREADS, 'module.exports = { isMainThread: true };');
+    replaceWithStub('unused', UNUSED_MODULES, 'module.exports = {};');
+    replaceWithStub('threads', WORKER_THREADS, 'module.exports = { isMainThread: true };');
   },
 };
 
-/** Optional packages, each a bundle of its own beside the program. */
+/** Optional packages, each built into a separate bundle in the same directory. */
 const PACKAGES = ['drain'];
-const PACKAGE = /^@robinspread\/(\w+)$/;
+const PACKAGE_NAME = /^@robinspread\/(\w+)$/;
 
-/** The program requires a package's bundle only when it is enabled. */
-const besideProgram = {
+/** Makes the main bundle load a package's bundle only when the package is enabled. */
+const externalPackages = {
   name: 'beside-program',
-  setup(b) {
-    b.onResolve({ filter: PACKAGE }, (args) => ({
-      path: `./${PACKAGE.exec(args.path)[1]}.cjs`,
+  setup(pluginBuild) {
+    pluginBuild.onResolve({ filter: PACKAGE_NAME }, (args) => ({
+      path: `./${PACKAGE_NAME.exec(args.path)[1]}.cjs`,
       external: true,
     }));
   },
@@ -47,13 +47,13 @@
   logLevel: 'warning',
 };
 
-/** Writes the program, `main.cjs`, `bundle.cjs` and one bundle for each package, to a directory. */
+/** Writes the entry point `main.cjs`, `bundle.cjs` and a bundle per package to `directory`. */
 export const bundle = async (directory) => {
   await build({
     entryPoints: { bundle: 'src/cli/main.ts' },
     outdir: directory,
-    plugins: [leftOut, besideProgram],
-    // A package is required: the program runs where no dynamic import is at hand.
+    plugins: [stubUnusedModules, externalPackages],
+    // Compiles import() to require(): entry.cjs runs the bundle where import() is not available.
     supported: { 'dynamic-import': false },
     ...OPTIONS,
   });
--- a/scripts/entry.cjs
+++ b/scripts/entry.cjs
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-// Starts the bundle beside it, from the code compiled at build time where this node accepts it.
+// Runs bundle.cjs, with the V8 code cache written at build time if this Node accepts it.
 const { readFileSync } = require('node:fs');
 const { join } = require('node:path');
 const vm = require('node:vm');
--- a/scripts/measure-drain.mjs
+++ b/scripts/measure-drain.mjs
@@ -1,16 +1,16 @@
 /**
- * Measures drains of a fleet of stand-in workers on loopback, one way after the other; prints one
- * line of JSON for each.
+ * Measures drains of a fleet of simulated workers on loopback, one drain mode after the other.
+ * Prints one line of JSON per mode.
  *
- * Usage: node scripts/measure-drain.mjs [MACHINES] [SEED] [WAY...]
+ * Usage: node scripts/measure-drain.mjs [MACHINES] [SEED] [MODE...]
  */
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { join } from 'node:path';
 import { build } from 'esbuild';
 
-const WAYS = ['budgets', 'no-budgets', 'all-at-once', 'taken-at-once'];
-const [machines = '100', seed = '1', ...ways] = process.argv.slice(2);
+const MODES = ['budgets', 'no-budgets', 'all-at-once', 'taken-at-once'];
+const [machines = '100', seed = '1', ...modes] = process.argv.slice(2);
 const directory = mkdtempSync(join(process.cwd(), 'target-measure-'));
 const program = join(directory, 'drain-load.mjs');
 await build({
@@ -24,8 +24,8 @@
   logLevel: 'warning',
 });
 let failed = false;
-for (const way of ways.length > 0 ? ways : WAYS) {
-  const { status } = spawnSync(process.execPath, [program, way, machines, seed], {
+for (const mode of modes.length > 0 ? modes : MODES) {
+  const { status } = spawnSync(process.execPath, [program, mode, machines, seed], {
     stdio: 'inherit',
   });
   failed ||= status !== 0;
--- a/src/adapters/cloud/cloud-client.ts
+++ b/src/adapters/cloud/cloud-client.ts
@@ -1,4 +1,4 @@
-/** The cloud: machine types, provisioning, deletion and the list of machines, within its rate. */
+/** Rate-limited client of the cloud API: machine types, provisioning, deletion and machine list. */
 import type { MachineId } from '../../core/model/ids.js';
 import type { ListedMachine, MachineType, ProvisionRequest } from '../../core/model/machine.js';
 import type { Endpoint } from '../configuration/settings.js';
@@ -18,36 +18,36 @@
 const MAX_QUEUED = 20;
 const PAGE_SIZE = 500;
 const MAX_SOCKETS = 4;
-/** All controllers share the cloud's rate; only the leader uses it steadily. */
+/** Share of the cloud's rate for this controller; only the leader uses it continuously. */
 const RATE_SHARE = 0.7;
-/** Of the rate, how much lists may take; the rest is for provisioning and deletion. */
+/** Share of the rate that machine lists may use; the rest is for provisioning and deletion. */
 const LIST_SHARE = 0.4;
 
-/** Asked at the moment of sending: the right to a request may end while the request waits. */
+/** Called just before sending, since a request's authorization may end while it is queued. */
 export type AuthorizationCheck = () => boolean;
 
 const RATE_LIMITED: NoAnswer = {
   kind: 'none',
   sent: false,
   reason: 'rate-limited',
-  message: 'rate',
+  message: 'request not sent: client-side rate limit reached',
 };
 const NOT_AUTHORIZED: NoAnswer = {
   kind: 'none',
   sent: false,
   reason: 'not-authorized',
-  message: 'no longer entitled',
+  message: 'request not sent: no longer authorized',
 };
 
-/** Names an operation where its answer is none of the protocol's. */
+/** Names the request whose answer violates the protocol. */
 type Operation = 'list-machine-types' | 'list-machines' | 'provision';
 
-/** How a request for machines ended. */
+/** The result of a provision request. */
 export type ProvisionResult =
   | { readonly kind: 'provisioned'; readonly machines: MachineId[] }
-  /** Surely not carried out. */
+  /** Certainly not executed. */
   | { readonly kind: 'refused' }
-  /** It may have been carried out, or may yet be. */
+  /** The request may have been executed, or may still be. */
   | { readonly kind: 'unknown' };
 
 const REFUSED: ProvisionResult = { kind: 'refused' };
@@ -55,16 +55,16 @@
 
 const always: AuthorizationCheck = () => true;
 
-/** A client of the cloud's interface. */
+/** Client of the cloud API. */
 export class CloudClient {
   private readonly http: HttpClient;
   private readonly limiter: RateLimiter;
-  /** The last request got no answer, or one that says the cloud is in trouble. */
+  /** True if the last request got no answer, or the cloud answered with the error `trouble`. */
   isUnavailable = false;
-  /** Requests that the last list took. */
+  /** Number of pages, each one request, that the last complete list took. */
   private pagesOfLastList = 1;
 
-  /** `onUnexpectedAnswer` is told what was asked when the answer is none of the protocol's. */
+  /** `onUnexpectedAnswer` is called with the operation when an answer violates the protocol. */
   constructor(
     endpoint: Endpoint,
     private readonly requestsPerSecond: number,
@@ -91,7 +91,7 @@
     return reply;
   }
 
-  /** The answer's content; null when there is none, or none that can be read. */
+  /** Returns the parsed content; null for no answer, an error status or a malformed body. */
   private read<T>(
     operation: Operation,
     reply: Reply,
@@ -107,13 +107,13 @@
     return value;
   }
 
-  /** The machine types on offer, or null when the cloud does not tell them. */
+  /** Lists the machine types that the cloud offers. Returns null if the request fails. */
   async listMachineTypes(): Promise<MachineType[] | null> {
     const reply = await this.send('GET', '/machine_types');
     return this.read('list-machine-types', reply, parseMachineTypes);
   }
 
-  /** Asks for new machines. A request that is repeated under its name yields the same ones. */
+  /** Provisions machines. Repeating a request with the same id returns the same machines. */
   async provision(
     request: ProvisionRequest,
     isAuthorized?: AuthorizationCheck,
@@ -130,7 +130,7 @@
     return machines ? { kind: 'provisioned', machines } : UNKNOWN;
   }
 
-  /** Returns machines for good; false when it is not known to have been done. */
+  /** Deletes machines permanently. Returns false if the deletion was not confirmed. */
   async deleteMachines(
     machines: readonly MachineId[],
     isAuthorized?: AuthorizationCheck,
@@ -140,7 +140,7 @@
     return reply.kind === 'answer' && reply.status === 200;
   }
 
-  /** All machines, page by page, or null when a page is missing. */
+  /** Lists all machines, page by page. Returns null if any page cannot be read. */
   async listMachines(): Promise<ListedMachine[] | null> {
     const all: ListedMachine[] = [];
     for (let pages = 1; ; pages += 1) {
@@ -157,7 +157,7 @@
     }
   }
 
-  /** How long to wait between lists, in ms, so that a large fleet's leave rate for the rest. */
+  /** Pause between lists, in ms; keeps the requests for a large fleet within `LIST_SHARE`. */
   get listPauseMs(): number {
     return (this.pagesOfLastList / (this.requestsPerSecond * LIST_SHARE)) * 1000;
   }
--- a/src/adapters/configuration/configuration-file.ts
+++ b/src/adapters/configuration/configuration-file.ts
@@ -1,14 +1,14 @@
-/** What the files of operators and platform share: how they are read, and their faults. */
+/** Reading, parsing and error reporting shared by the settings, policy and extension files. */
 
 import { readFileSync } from 'node:fs';
 import parseExpression from 's-expression';
 
-/** A fault of a file handed over. Its message is one line for operators, who need no stack. */
+/** A configuration file is unreadable or invalid. The message is one line, for operators. */
 export class SettingsError extends Error {
   override readonly name = 'SettingsError';
 }
 
-/** Reads a file. Throws a `SettingsError` that begins with `subject`, what the file is for. */
+/** Reads a file. Throws a `SettingsError` whose message begins with `subject`, the file's kind. */
 export const readConfigurationFile = (path: string, subject: string): string => {
   try {
     return readFileSync(path, 'utf8');
@@ -18,6 +18,6 @@
   }
 };
 
-/** Parses one S-expression; `;` begins a comment. Returns an `Error` for a fault of its syntax. */
+/** Parses one S-expression; `;` begins a comment. Returns an `Error` if the syntax is invalid. */
 export const parseSExpression = (text: string): unknown =>
   parseExpression(text.replace(/;[^\n]*/g, '').trim());
--- a/src/adapters/configuration/policy.ts
+++ b/src/adapters/configuration/policy.ts
@@ -1,9 +1,9 @@
-/** The operators' policy file (an S-expression), checked. */
+/** Parses and validates the operators' policy file, an S-expression. */
 
 import type { Policy } from '../../core/model/policy.js';
 import { parseSExpression, readConfigurationFile, SettingsError } from './configuration-file.js';
 
-/** The policy where no file names another. */
+/** The policy without a policy file; also the values of omitted fields. */
 export const DEFAULT_POLICY: Policy = {
   ageFactor: 1,
   deadlineWeight: 1,
@@ -24,7 +24,7 @@
   leaderLeaseMs: 3000,
 };
 
-/** The file's names, each with its field here and the least and most allowed. */
+/** Maps each name in the policy file to its `Policy` field and the permitted range. */
 const POLICY_FIELDS: Record<string, { key: keyof Policy; min: number; max: number }> = {
   'age-factor': { key: 'ageFactor', min: 0, max: 1e6 },
   'deadline-weight': { key: 'deadlineWeight', min: 0, max: 1e6 },
@@ -47,7 +47,7 @@
 
 type MutablePolicy = { -readonly [K in keyof Policy]: Policy[K] };
 
-/** Reads one `(NAME VALUE)` of the file into the policy. */
+/** Validates one `(NAME VALUE)` entry and stores its value in the policy. */
 const applyField = (policy: MutablePolicy, entry: unknown): void => {
   const parts: readonly unknown[] = Array.isArray(entry) ? entry : [entry];
   const name = String(parts[0]);
@@ -63,8 +63,8 @@
 };
 
 /**
- * Parses and checks `(policy (deadline-k 2) (age-factor 1) ...)`; what is not named keeps its
- * default. Throws a `SettingsError` that names the fault's field.
+ * Parses and validates `(policy (deadline-k 2) (age-factor 1) ...)`. Omitted fields keep their
+ * defaults. Throws a `SettingsError` that names the invalid field.
  */
 export const parsePolicy = (text: string): Policy => {
   const form = parseSExpression(text);
@@ -79,6 +79,6 @@
   return policy;
 };
 
-/** Reads and checks the policy file. Throws a `SettingsError`. */
+/** Reads and parses the policy file. Throws a `SettingsError` if it is unreadable or invalid. */
 export const loadPolicy = (path: string): Policy =>
   parsePolicy(readConfigurationFile(path, 'policy'));
--- a/src/adapters/configuration/settings.ts
+++ b/src/adapters/configuration/settings.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's settings file (JSON), checked. The file's field names are the platform's; they
- * are mapped to this code's names here and nowhere else. Fields that are not named are ignored.
+ * Parses and validates the platform's settings file (JSON). The platform defines the file's field
+ * names; only this module maps them to internal names. Unknown fields are ignored.
  */
 
 import * as v from 'valibot';
@@ -10,7 +10,7 @@
 
 const MAX_PORT = 65_535;
 const BYTES_PER_KB = 1024;
-/** What a controller may use of its machine where the settings do not say. */
+/** Default limits for a controller process, used for each that the settings omit. */
 const DEFAULT_QUOTA = { cores: 1, memoryMb: 178, maxConnections: 1000 };
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
@@ -75,32 +75,32 @@
   }),
 });
 
-/** A host and port to connect to or to listen on. */
+/** A host and port, to connect to or to listen on. */
 export interface Endpoint {
   readonly host: string;
   readonly port: number;
 }
 
-/** What the platform promises of workers, in seconds. */
+/** Timing guarantees for workers, in seconds. */
 export interface WorkerTimes {
-  /** Between two heartbeats of a worker. */
+  /** Interval between two heartbeats of a worker. */
   readonly heartbeatIntervalS: number;
-  /** How long a worker holds its tasks after the last answer to it. */
+  /** How long a worker keeps its tasks after the last answer to a heartbeat. */
   readonly leaseS: number;
-  /** After a job is cancelled, when all its tasks must be gone. */
+  /** Time from a job's cancellation within which all its tasks must end. */
   readonly cancelS: number;
 }
 
-/** What the key-value store allows. */
+/** Limits of the key-value store. */
 export interface KeyValueStoreLimits {
   /** Requests per second. */
   readonly rps: number;
-  /** Changes per second. */
+  /** Changed keys per second. */
   readonly writeRps: number;
-  /** Rates that it will have from some moment on; never above the present ones. */
+  /** Announced rates that apply from an unknown time on; never above the present ones. */
   readonly nextRps: number;
   readonly nextWriteRps: number;
-  /** Sizes: the smaller of what holds now and what will. */
+  /** Size limits: the smaller of present and announced value. */
   readonly maxValueBytes: number;
   readonly maxTransactionOperations: number;
 }
@@ -109,9 +109,9 @@
 export interface Settings {
   readonly node: NodeId;
   readonly zone: ZoneName;
-  /** Where users and workers connect to. */
+  /** Listening address for users and workers. */
   readonly api: Endpoint;
-  /** Where the other controllers connect to. */
+  /** Listening address for the other controllers. */
   readonly peerAddress: Endpoint;
   readonly peers: readonly { readonly node: NodeId; readonly endpoint: Endpoint }[];
   readonly cloud: Endpoint;
@@ -119,9 +119,9 @@
   readonly teams: ReadonlyMap<TeamName, Team>;
   readonly workers: WorkerTimes;
   readonly keyValueStoreLimits: KeyValueStoreLimits;
-  /** Requests per second that the cloud allows, and by how much its machine list lags. */
+  /** Requests per second that the cloud accepts, and the staleness of its machine list, in s. */
   readonly cloudLimits: { readonly rps: number; readonly listLagS: number };
-  /** What this process may use. */
+  /** Resource limits of this process. */
   readonly quota: {
     readonly cores: number;
     readonly memoryMb: number;
@@ -129,7 +129,7 @@
   };
 }
 
-/** Splits `HOST:PORT` at the last colon; the caller has checked its form. */
+/** Splits `HOST:PORT` at the last colon. The caller must have validated the format. */
 export const parseEndpoint = (text: string): Endpoint => {
   const colon = text.lastIndexOf(':');
   return { host: text.slice(0, colon), port: Number(text.slice(colon + 1)) };
@@ -163,7 +163,7 @@
     }),
   );
 
-/** Limits may be announced to fall: sizes obey the lower ones from the start, rates when told. */
+/** Announced lower size limits apply at once, lower rates only once the store enforces them. */
 const storeLimitsOf = ({ state }: Params): Settings['keyValueStoreLimits'] => {
   const { next } = state;
   const valueKb = Math.min(state.value_kb, next.value_kb ?? state.value_kb);
@@ -183,7 +183,7 @@
   maxConnections: quota.max_connections ?? DEFAULT_QUOTA.maxConnections,
 });
 
-/** Parses and checks the settings. Throws a `SettingsError` that names the first fault's field. */
+/** Parses and validates the settings. Throws a `SettingsError` naming the first invalid field. */
 export const parseSettings = (text: string): Settings => {
   const result = v.safeParse(settingsSchema, parseJson(text));
   if (!result.success) throw new SettingsError(`settings: ${firstIssue(result.issues)}`);
@@ -212,6 +212,6 @@
   };
 };
 
-/** Reads and checks the platform's settings file. Throws a `SettingsError`. */
+/** Reads and parses the settings file. Throws a `SettingsError` if it is unreadable or invalid. */
 export const loadSettings = (path: string): Settings =>
   parseSettings(readConfigurationFile(path, 'settings'));
