--- a/src/adapters/http/answers.ts
+++ b/src/adapters/http/answers.ts
@@ -1,6 +1,6 @@
 /**
- * The one place that maps results and errors to HTTP statuses and bodies. Clients rely on both, and
- * on the words.
+ * The only module that maps results and errors to HTTP statuses and bodies. Clients depend on both,
+ * and on the error texts.
  */
 import type { OperatorAnswer } from '../../core/extensions/extension.js';
 import type { HeartbeatDecision } from '../../ports/heartbeat-service.js';
@@ -8,53 +8,53 @@
 import { encodeJobView } from '../wire/jobs.js';
 import { encodeWorkerCommands } from '../wire/workers.js';
 
-/** What a request is answered. */
+/** The response to an HTTP request. */
 export interface HttpAnswer {
   readonly status: number;
-  /** Becomes JSON. */
+  /** Serialized as JSON. */
   readonly body: unknown;
 }
 
-/** What a worker is answered. */
+/** The response to a worker's heartbeat. */
 export interface HeartbeatReply extends HttpAnswer {
   readonly status: 200 | 400 | 421 | 503;
   readonly body: object;
 }
 
-/** The status of every answer that asks the client to try again; it goes out with `Retry-After`. */
+/** Status of every response that asks the client to retry; sent with a `Retry-After` header. */
 export const UNAVAILABLE_STATUS = 503;
-/** Seconds after which a client that was answered 503 may ask again. */
+/** Value of `Retry-After`: seconds after which a client may retry. */
 export const RETRY_AFTER_S = '1';
 
 const ok = (body: unknown): HttpAnswer => ({ status: 200, body });
 
-/** The request itself is wrong. */
+/** Status 400: the request is invalid. */
 export const badRequest = (reason: string): HttpAnswer => ({
   status: 400,
   body: { error: reason },
 });
 
-/** What the path names does not exist. */
+/** Status 404: the resource does not exist. */
 export const notFound = (reason: string): HttpAnswer => ({ status: 404, body: { error: reason } });
 
-/** Not now: the client asks again. */
+/** Status 503: the client should retry. */
 export const unavailable = (reason: string): HttpAnswer => ({
   status: UNAVAILABLE_STATUS,
   body: { error: reason },
 });
 
-/** An error that no handler caught. Its text is for the log alone. */
+/** An error that no handler caught. Its text is only logged, not sent. */
 export const UNEXPECTED_ERROR = unavailable('fault');
-/** No such path is served. */
+/** No route matches the path. */
 export const NO_SUCH_PATH = notFound('no such path');
-/** The job does not exist, or is not the asking team's. */
+/** The job does not exist, or belongs to another team. */
 export const NO_SUCH_JOB = notFound('no such job');
 
-/** A load balancer's check. */
+/** Responds to a load balancer's health check. */
 export const answerHealthCheck = (isReady: boolean): HttpAnswer =>
   isReady ? ok({ ok: true }) : unavailable('starting');
 
-/** A submission: 201 only for a job that was stored by it. */
+/** Responds to a submission: 201 only if this submission stored the job. */
 export const answerSubmission = (result: SubmissionResult): HttpAnswer => {
   switch (result.kind) {
     case 'accepted':
@@ -70,7 +70,7 @@
   }
 };
 
-/** A look-up or a cancellation. */
+/** Responds to a look-up or a cancellation. */
 export const answerLookup = (result: LookupResult): HttpAnswer => {
   switch (result.kind) {
     case 'found':
@@ -82,20 +82,20 @@
   }
 };
 
-/** A team's jobs. */
+/** Responds with a team's jobs. */
 export const answerList = (result: ListResult): HttpAnswer =>
   result.kind === 'listed'
     ? ok({ jobs: result.jobs.map(encodeJobView) })
     : unavailable(result.reason);
 
-/** Why a job waits; the explanation is told as it is. */
+/** Responds with the reason why a job waits; the explanation is passed through unchanged. */
 export const answerExplanation = (explanation: unknown): HttpAnswer => ok(explanation);
 
-/** An operator's call; null when no leader answered it. */
+/** Responds to an operator's call; `answer` is null if no leader answered it. */
 export const answerOperatorCall = (answer: OperatorAnswer | null): HttpAnswer =>
   answer ?? unavailable('no leader to ask');
 
-/** A heartbeat that could be read. */
+/** Responds to a well-formed heartbeat. */
 export const answerHeartbeat = (decision: HeartbeatDecision): HeartbeatReply => {
   switch (decision.kind) {
     case 'commands':
@@ -113,7 +113,7 @@
   }
 };
 
-/** A heartbeat that cannot be read. */
+/** The response to a malformed heartbeat. */
 export const MALFORMED_HEARTBEAT: HeartbeatReply = { status: 400, body: { error: 'malformed' } };
-/** A heartbeat whose handling failed. */
+/** The response to a heartbeat whose handling threw an error. */
 export const HEARTBEAT_FAILED: HeartbeatReply = { status: 503, body: { error: 'fault' } };
--- a/src/adapters/http/api-server.ts
+++ b/src/adapters/http/api-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server of one controller: its connections and their limits. */
+/** The HTTP server of a controller, with its connection and request limits. */
 import { type RequestListener, Server } from 'node:http';
 import type { Socket } from 'node:net';
 import type { ControllerApi } from '../../ports/controller-api.js';
@@ -16,15 +16,15 @@
 import { createRequestListener, type NodeApplication } from './hono-listener.js';
 import { MAX_HEARTBEAT_BYTES } from './request-body.js';
 
-/** Users' requests under way beyond which new ones are turned away: memory is bounded by it. */
+/** Users' requests in flight above which new ones are answered 503, to bound memory use. */
 export const MAX_REQUESTS_IN_FLIGHT = 400;
-/** Share of all sockets; the rest is for outside services, peers and commands sent to workers. */
+/** Share of all sockets; the rest is for the cloud, the store, peers and commands to workers. */
 const API_SOCKET_SHARE = 0.85;
 const MIN_API_SOCKETS = 10;
 const REQUEST_TIMEOUT_MS = 20_000;
 const MIN_IDLE_TIMEOUT_MS = 5000;
 
-/** An HTTP server that leaves plain heartbeats to a handler of their own. */
+/** An HTTP server that passes plain heartbeats to a dedicated handler. */
 class ApiServer extends Server {
   private readonly heartbeatSockets = new Set<Socket>();
 
@@ -32,7 +32,7 @@
     super(listener);
   }
 
-  /** Every connection is a worker's until it turns out not to be. */
+  /** Handles each connection as a worker's until it carries anything but plain heartbeats. */
   interceptHeartbeats(handleHeartbeat: HeartbeatHandler, limits: HeartbeatLimits): void {
     const [handleAsHttp] = this.listeners('connection');
     this.removeAllListeners('connection');
@@ -53,12 +53,11 @@
   }
 }
 
-/** Passes requests on, but turns users away while too many of theirs are under way. */
+/** Forwards requests, but answers users 503 while too many of their requests are in flight. */
 const limitInFlight = (listener: RequestListener): RequestListener => {
   let inFlight = 0;
   return (request, response) => {
-    // Heartbeats are as many as there are machines, and an idle worker's waits for its answer: they
-    // do not count.
+    // Heartbeats are not counted: there are as many as machines, and an idle worker's stays open.
     if (request.url === HEARTBEAT_PATH) {
       void listener(request, response);
       return;
@@ -77,21 +76,21 @@
   };
 };
 
-/** What `serveApi` serves, and where. */
+/** Options of `serveApi`. */
 export interface ServedApi {
   readonly settings: Pick<Settings, 'api' | 'workers' | 'quota'>;
   readonly app: NodeApplication;
   readonly log: Log;
-  /** Answers plain heartbeats past the application; without it, they are requests like others. */
+  /** Answers plain heartbeats outside `app`; if absent, `app` handles them as other requests. */
   readonly handleHeartbeat?: HeartbeatHandler;
 }
 
-/** Serves an application; a port that cannot be listened on ends the process. */
+/** Serves an application. Exits the process if the server cannot listen on its address. */
 export const serveApi = ({ settings, app, log, handleHeartbeat }: ServedApi): Server => {
   const server = new ApiServer(limitInFlight(createRequestListener(app)));
-  // A worker or user that has gone elsewhere, or whose machine is gone, may leave its connection
-  // open for good. What has been silent for a lease is closed, so that a whole fleet that comes
-  // back by new connections finds room.
+  // A client that moved to another controller, or whose machine is gone, may never close its
+  // connection. Connections idle for one worker lease are closed, so that a whole fleet that
+  // reconnects finds free sockets.
   const idleMs = Math.max(MIN_IDLE_TIMEOUT_MS, settings.workers.leaseS * 1000);
   server.keepAliveTimeout = idleMs;
   server.headersTimeout = REQUEST_TIMEOUT_MS;
@@ -106,14 +105,14 @@
     });
   }
   server.on('error', (error) => {
-    log.error({ err: error }, 'cannot listen');
+    log.error({ err: error }, 'cannot listen on the API address, exiting');
     process.exit(1);
   });
   server.listen(settings.api.port, settings.api.host);
   return server;
 };
 
-/** Serves the whole interface of one controller. */
+/** Starts the complete HTTP API of a controller. */
 export const startApi = (settings: Settings, controller: ControllerApi, log: Log): Server => {
   const handleHeartbeat = makeHeartbeatHandler(controller, log);
   const app = makeApi(controller, log, handleHeartbeat);
--- a/src/adapters/http/api.ts
+++ b/src/adapters/http/api.ts
@@ -1,4 +1,4 @@
-/** The HTTP interface of one controller: its routes, and what is answered when none or all fail. */
+/** The HTTP API of a controller: its routes, and the responses to unknown paths and errors. */
 import { Hono } from 'hono';
 import type { ControllerApi } from '../../ports/controller-api.js';
 import type { Log } from '../logging/log.js';
@@ -11,7 +11,7 @@
 import { addOperatorRoutes } from './operator-routes.js';
 import { MAX_HEARTBEAT_BYTES, readText } from './request-body.js';
 
-/** All routes. Only heartbeats that are not plain requests come here: see `HeartbeatConnection`. */
+/** Creates all routes. Plain heartbeats do not get here: `HeartbeatConnection` answers them. */
 export const makeApi = (
   controller: ControllerApi,
   log: Log,
@@ -21,14 +21,14 @@
   app.get('/up', (c) => sendAnswer(c, answerHealthCheck(controller.isReady())));
   app.post(HEARTBEAT_PATH, async (c) => {
     const text = await readText(c.env.incoming, MAX_HEARTBEAT_BYTES);
-    // One that is too long is malformed, as an empty one is.
+    // A body over the limit is answered as malformed, like an empty one.
     return sendAnswer(c, await handleHeartbeat(text ?? ''));
   });
   addJobRoutes(app, controller.users, log);
   addOperatorRoutes(app, controller, controller.extensions);
   app.notFound((c) => sendAnswer(c, NO_SUCH_PATH));
   app.onError((error, c) => {
-    log.error({ err: error, path: c.req.path }, 'request failed');
+    log.error({ err: error, path: c.req.path }, 'request handler failed, answering 503');
     return sendAnswer(c, UNEXPECTED_ERROR);
   });
   return app;
--- a/src/adapters/http/heartbeat-connections.ts
+++ b/src/adapters/http/heartbeat-connections.ts
@@ -1,24 +1,23 @@
 /**
- * Connections on which workers send heartbeats. Heartbeats are nearly all of what a leader answers,
- * and most of what Node's HTTP server does for one request (streams, header objects, events) is of
- * no use to them: plain ones are read from and answered on the socket itself. A connection that
- * brings anything else is handed to the HTTP server with all bytes that have been read, and stays
- * there.
+ * Connections on which workers send heartbeats. Heartbeats are nearly all of a leader's load, and
+ * do not need most of what Node's HTTP server does per request (streams, header objects, events):
+ * plain ones are parsed and answered directly on the socket. A connection that carries anything
+ * else is passed permanently to the HTTP server, together with all unprocessed bytes.
  */
 import type { Socket } from 'node:net';
 import { steadyNow } from '../runtime/clock.js';
 import { type HeartbeatReply, RETRY_AFTER_S, UNAVAILABLE_STATUS } from './answers.js';
 import { frameHeartbeat } from './heartbeat-framing.js';
 
-/** Answers the body of a heartbeat; must not reject. */
+/** Handles the body of a heartbeat. The promise must not reject. */
 export type HeartbeatHandler = (body: string) => Promise<HeartbeatReply>;
 
-/** What a connection may hold and how long it may take. */
+/** Limits of a connection. */
 export interface HeartbeatLimits {
   readonly maxBodyBytes: number;
-  /** A connection on which nothing has come for this long is closed. */
+  /** A connection that receives no data for this long is closed. */
   readonly idleMs: number;
-  /** A request that is not complete after this long is given up. */
+  /** A connection whose request is incomplete after this long is closed. */
   readonly requestMs: number;
 }
 
@@ -39,11 +38,11 @@
   );
 };
 
-/** One connection, until it closes or is handed over. Answers one request at a time. */
+/** A connection until it closes or is passed on. Answers one request at a time. */
 class HeartbeatConnection {
-  /** Bytes that have come and are not yet read as a request. */
+  /** Received bytes that are not yet parsed as a request. */
   private unread: Buffer | null = null;
-  /** When the first of them came, or the request before them was read. */
+  /** When the first of `unread` was received, or the previous request was parsed. */
   private unreadSince = 0;
   private isAnswering = false;
   private hasClientEnded = false;
@@ -68,7 +67,7 @@
     if (!this.isAnswering) this.socket.destroy();
   };
 
-  /** The client sends no more, but may still wait for an answer. */
+  /** The client has ended its side, but may still wait for an answer. */
   private readonly onEnd = (): void => {
     if (this.isAnswering) this.hasClientEnded = true;
     else this.socket.end();
@@ -80,7 +79,7 @@
       this.unreadSince = steadyNow();
     } else this.unread = Buffer.concat([this.unread, bytes]);
     if (!this.isAnswering) this.readNext();
-    // Workers do not pipeline requests: a client that sends on and on while it waits is cut off.
+    // Workers do not pipeline requests: a client that keeps sending while it waits is disconnected.
     else if (this.unread.length > this.limits.maxBodyBytes) this.socket.destroy();
   };
 
@@ -108,14 +107,14 @@
 
   private answer(reply: HeartbeatReply, close: boolean): void {
     this.isAnswering = false;
-    // The worker may have hung up meanwhile.
+    // The worker may have closed the connection meanwhile.
     if (this.socket.destroyed || !this.socket.writable) return;
     this.socket.write(encodeReply(reply, close));
     if (close || this.hasClientEnded) this.socket.end();
     else this.readNext();
   }
 
-  /** Leaves the socket as it was, for the HTTP server. */
+  /** Removes the listeners and the timeout from the socket, for the HTTP server. */
   private detach(): void {
     this.unread = null;
     this.socket.setTimeout(0);
@@ -126,7 +125,10 @@
   }
 }
 
-/** Takes a new connection; `handOver` gets its bytes once it brings anything but heartbeats. */
+/**
+ * Reads heartbeats from a new connection. Calls `handOver` with the unprocessed bytes once the
+ * connection carries anything else.
+ */
 export const acceptHeartbeats = (
   socket: Socket,
   handle: HeartbeatHandler,
--- a/src/adapters/http/heartbeat-handler.ts
+++ b/src/adapters/http/heartbeat-handler.ts
@@ -1,4 +1,4 @@
-/** Workers' heartbeats: from the body of a request to what the worker is answered. */
+/** Handles workers' heartbeats, from the request body to the response. */
 import type { HeartbeatService } from '../../ports/heartbeat-service.js';
 import { type Log, LogDeduplicator } from '../logging/log.js';
 import { HeartbeatParser } from '../workers/heartbeat-parser.js';
@@ -11,17 +11,17 @@
 import type { HeartbeatHandler } from './heartbeat-connections.js';
 import { type JsonBody, parseJsonText } from './request-body.js';
 
-/** As much as is logged of a machine's id that cannot be read. */
+/** Characters logged of the machine id in a malformed heartbeat. */
 const MAX_LOGGED_ID_LENGTH = 120;
 
-/** The machine that a malformed heartbeat names, and what is wrong with the heartbeat. */
+/** Returns the machine that a malformed heartbeat names, and why it is malformed. */
 const describeMalformed = (body: JsonBody): { machineId: string; reason: string } => {
   if (body.kind === 'malformed') return { machineId: '', reason: body.reason };
   const { Berth: id } = (body.json ?? {}) as { Berth?: unknown };
   return { machineId: String(id).slice(0, MAX_LOGGED_ID_LENGTH), reason: 'fields' };
 };
 
-/** The handler of heartbeats; it answers 400 to what is none, and logs it once for each machine. */
+/** Creates a handler that answers malformed heartbeats 400 and logs them once per machine. */
 export const makeHeartbeatHandler = (service: HeartbeatService, log: Log): HeartbeatHandler => {
   const parser = new HeartbeatParser();
   const logged = new LogDeduplicator();
@@ -29,7 +29,7 @@
   const refuse = (body: JsonBody): HeartbeatReply => {
     const { machineId, reason } = describeMalformed(body);
     if (logged.isFirstOccurrence(`${machineId} ${reason}`))
-      log.info({ machineId, reason }, 'malformed heartbeat');
+      log.info({ machineId, reason }, 'malformed heartbeat, answering 400');
     return MALFORMED_HEARTBEAT;
   };
 
@@ -42,7 +42,7 @@
 
   return (text) =>
     answer(text).catch((error: Error) => {
-      log.error({ err: error }, 'heartbeat failed');
+      log.error({ err: error }, 'heartbeat handling failed, answering 503');
       return HEARTBEAT_FAILED;
     });
 };
--- a/src/adapters/http/job-routes.ts
+++ b/src/adapters/http/job-routes.ts
@@ -1,4 +1,4 @@
-/** Users' routes: submission, queries and cancellation of jobs. */
+/** Routes for users: submission, queries and cancellation of jobs. */
 import type { Context, Hono } from 'hono';
 import type { JobId, TeamName } from '../../core/model/ids.js';
 import type { LookupResult, UserApi } from '../../ports/user-api.js';
@@ -30,9 +30,9 @@
   const startedAt = steadyNow();
   const result = await users.submit(jobId, parseJob(json));
   const durationMs = Math.round(steadyNow() - startedAt);
-  log.debug({ jobId, result: result.kind, durationMs }, 'submission');
+  log.debug({ jobId, result: result.kind, durationMs }, 'submission handled');
   if (result.kind === 'malformed' || result.kind === 'infeasible')
-    log.info({ jobId, reason: result.reason }, 'submission refused');
+    log.info({ jobId, reason: result.reason }, 'job submission rejected');
   return answerSubmission(result);
 };
 
@@ -43,7 +43,7 @@
     : badRequest('name a team: ?team=NAME');
 };
 
-/** Scoping, not authentication: with ?team=NAME, another team's job is as good as absent. */
+/** With ?team=NAME, other teams' jobs are reported as not found. This is not authentication. */
 const lookUpInScope = async (
   c: Context<NodeEnv>,
   users: UserApi,
@@ -55,7 +55,7 @@
   return isOutOfScope ? NOT_FOUND : result;
 };
 
-/** What the client is answered in place of what it asks for, or null if the job is in its scope. */
+/** Returns null if the job is in the requested team's scope, else the response to send instead. */
 const checkScope = async (
   c: Context<NodeEnv>,
   users: UserApi,
--- a/src/adapters/http/operator-routes.ts
+++ b/src/adapters/http/operator-routes.ts
@@ -1,4 +1,4 @@
-/** Operators' routes: those that enabled extensions declare. */
+/** Routes for operators, as declared by the enabled extensions. */
 import type { Context, Hono } from 'hono';
 import type { ExtensionModule, ExtensionRoute } from '../../core/extensions/extension.js';
 import type { OperatorApi } from '../../ports/operator-api.js';
@@ -21,7 +21,7 @@
   return answerOperatorCall(await operators.handleOperatorCall(extension, call));
 };
 
-/** Adds the routes of all enabled extensions. */
+/** Adds the routes of all enabled extensions to the application. */
 export const addOperatorRoutes = (
   app: Hono<NodeEnv>,
   operators: OperatorApi,
--- a/src/adapters/http/request-body.ts
+++ b/src/adapters/http/request-body.ts
@@ -1,12 +1,12 @@
-/** Bodies of requests: read whole within a limit, and parsed as JSON. */
+/** Reads request bodies up to a size limit and parses them as JSON. */
 import type { IncomingMessage } from 'node:http';
 
-/** The longest body that users and operators may send. */
+/** Size limit for requests of users and operators. */
 export const MAX_BODY_BYTES = 64 * 1024;
-/** Heartbeats of a machine full of small tasks are longer than what users may send. */
+/** Larger than `MAX_BODY_BYTES`, since a machine may report many small tasks. */
 export const MAX_HEARTBEAT_BYTES = 4 * 1024 * 1024;
 
-/** A body as JSON, or what is wrong with it, in words for the client. */
+/** A parsed body, or an error text for the client. */
 export type JsonBody =
   | { readonly kind: 'json'; readonly json: unknown }
   | { readonly kind: 'malformed'; readonly reason: string };
@@ -14,7 +14,7 @@
 const BODY_TOO_LARGE: JsonBody = { kind: 'malformed', reason: 'body too large' };
 const NOT_JSON: JsonBody = { kind: 'malformed', reason: 'body is not JSON' };
 
-/** The whole body as text, null when it is longer than allowed; rejects if the client hangs up. */
+/** Reads a body as text; null if it exceeds the limit. Rejects if the client disconnects. */
 export const readText = (request: IncomingMessage, maxBytes: number): Promise<string | null> =>
   new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
@@ -28,11 +28,12 @@
     );
     request.on('error', reject);
     request.on('close', () => {
-      if (!request.complete) reject(new Error('connection closed within the body'));
+      if (!request.complete)
+        reject(new Error('connection closed before the end of the request body'));
     });
   });
 
-/** Parses a body that has been read. */
+/** Parses a body as JSON. */
 export const parseJsonText = (text: string): JsonBody => {
   try {
     return { kind: 'json', json: JSON.parse(text) };
@@ -41,13 +42,13 @@
   }
 };
 
-/** The body of a user's request. */
+/** Reads and parses a JSON body. */
 export const readJsonBody = async (request: IncomingMessage): Promise<JsonBody> => {
   const text = await readText(request, MAX_BODY_BYTES);
   return text === null ? BODY_TOO_LARGE : parseJsonText(text);
 };
 
-/** As `readJsonBody`; no body at all is as good as an empty object. */
+/** As `readJsonBody`, but treats an empty body as an empty object. */
 export const readOptionalJsonBody = async (request: IncomingMessage): Promise<JsonBody> => {
   const text = await readText(request, MAX_BODY_BYTES);
   if (text === null) return BODY_TOO_LARGE;
