--- a/src/adapters/cloud/cloud-client.ts
+++ b/src/adapters/cloud/cloud-client.ts
@@ -55,7 +55,6 @@
 
 const always: AuthorizationCheck = () => true;
 
-/** Client of the cloud API. */
 export class CloudClient {
   private readonly http: HttpClient;
   private readonly limiter: RateLimiter;
--- a/src/adapters/configuration/settings.ts
+++ b/src/adapters/configuration/settings.ts
@@ -91,7 +91,6 @@
   readonly cancelS: number;
 }
 
-/** Limits of the key-value store. */
 export interface KeyValueStoreLimits {
   /** Requests per second. */
   readonly rps: number;
@@ -121,7 +120,6 @@
   readonly keyValueStoreLimits: KeyValueStoreLimits;
   /** Requests per second that the cloud accepts, and the staleness of its machine list, in s. */
   readonly cloudLimits: { readonly rps: number; readonly listLagS: number };
-  /** Resource limits of this process. */
   readonly quota: {
     readonly cores: number;
     readonly memoryMb: number;
--- a/src/adapters/http/api-server.ts
+++ b/src/adapters/http/api-server.ts
@@ -76,7 +76,6 @@
   };
 };
 
-/** Options of `serveApi`. */
 export interface ServedApi {
   readonly settings: Pick<Settings, 'api' | 'workers' | 'quota'>;
   readonly app: NodeApplication;
@@ -112,7 +111,6 @@
   return server;
 };
 
-/** Starts the complete HTTP API of a controller. */
 export const startApi = (settings: Settings, controller: ControllerApi, log: Log): Server => {
   const handleHeartbeat = makeHeartbeatHandler(controller, log);
   const app = makeApi(controller, log, handleHeartbeat);
--- a/src/adapters/http/heartbeat-connections.ts
+++ b/src/adapters/http/heartbeat-connections.ts
@@ -12,7 +12,6 @@
 /** Handles the body of a heartbeat. The promise must not reject. */
 export type HeartbeatHandler = (body: string) => Promise<HeartbeatReply>;
 
-/** Limits of a connection. */
 export interface HeartbeatLimits {
   readonly maxBodyBytes: number;
   /** A connection that receives no data for this long is closed. */
--- a/src/adapters/http/operator-routes.ts
+++ b/src/adapters/http/operator-routes.ts
@@ -21,7 +21,6 @@
   return answerOperatorCall(await operators.handleOperatorCall(extension, call));
 };
 
-/** Adds the routes of all enabled extensions to the application. */
 export const addOperatorRoutes = (
   app: Hono<NodeEnv>,
   operators: OperatorApi,
--- a/src/adapters/http/request-body.ts
+++ b/src/adapters/http/request-body.ts
@@ -33,7 +33,6 @@
     });
   });
 
-/** Parses a body as JSON. */
 export const parseJsonText = (text: string): JsonBody => {
   try {
     return { kind: 'json', json: JSON.parse(text) };
@@ -42,7 +41,6 @@
   }
 };
 
-/** Reads and parses a JSON body. */
 export const readJsonBody = async (request: IncomingMessage): Promise<JsonBody> => {
   const text = await readText(request, MAX_BODY_BYTES);
   return text === null ? BODY_TOO_LARGE : parseJsonText(text);
--- a/src/adapters/key-value-store/key-value-store-client.ts
+++ b/src/adapters/key-value-store/key-value-store-client.ts
@@ -1,4 +1,4 @@
-/** The key-value store over HTTP, within this node's share of its limits. */
+/** HTTP client of the key-value store, limited to this node's share of the store's rates. */
 import type { Revision } from '../../core/model/ids.js';
 import type {
   CompareAndSwapResult,
@@ -32,19 +32,19 @@
 import { MAX_QUEUE_MS, StoreConnection } from './store-connection.js';
 import { type RateShares, StoreRates } from './store-rates.js';
 
-/** Users wait 2 s for an answer about a job. */
+/** Below the 2 s that users wait for an answer about a job. */
 const READ_TIMEOUT_MS = 1600;
-/** Longer for what is of use late: a slow answer is better than a second try at a slow store. */
+/** Longer, since late results are still useful, and retries would add load to a slow store. */
 const WRITE_TIMEOUT_MS = 4000;
 const LEASE_TIMEOUT_MS = 2500;
-/** A watch is answered once its hold time is over; this much later it is given up. */
+/** A watch is answered when its hold time ends at the latest; it times out this much later. */
 const WATCH_TIMEOUT_SLACK_MS = 3000;
 const PAGE_SIZE = 500;
 
-/** Names an operation where its answer is none of the protocol's. */
+/** Names the operation whose answer violates the protocol. */
 type Operation = 'get' | 'list' | 'compare-and-swap' | 'grant-lease' | 'renew-lease' | 'watch';
 
-/** Outcomes that carry no data: made once, and shared by all requests. */
+/** Results without data, allocated once and shared by all requests. */
 const REFUSED = Object.freeze({ kind: 'refused' } as const);
 const UNKNOWN = Object.freeze({ kind: 'unknown' } as const);
 const ABSENT = Object.freeze({ kind: 'absent' } as const);
@@ -54,12 +54,11 @@
 const RENEWED = Object.freeze({ kind: 'renewed' } as const);
 const TOO_OLD = Object.freeze({ kind: 'too-old' } as const);
 
-/** A client of the key-value store. */
 export class KeyValueStoreClient implements KeyValueStore {
   private readonly rates: StoreRates;
   private readonly connection: StoreConnection;
 
-  /** `onUnexpectedAnswer` is told what was asked when the answer is none of the protocol's. */
+  /** `onUnexpectedAnswer` is called with the operation when an answer violates the protocol. */
   constructor(
     endpoint: Endpoint,
     shares: RateShares,
@@ -73,7 +72,7 @@
     return this.connection.isDown;
   }
 
-  /** Whether it keeps to the lower share of the store's rates. */
+  /** Whether this client currently limits itself to the lowered rates. */
   get usesLoweredRates(): boolean {
     return this.rates.usesLoweredRates;
   }
@@ -82,7 +81,7 @@
     this.rates.scaleWrites(scale);
   }
 
-  /** What a reply means that has no content of use. */
+  /** Classifies a reply that is not a valid success as `refused` or `unknown`. */
   private failureOf(operation: Operation, reply: Reply): StoreFailure {
     if (reply.kind === 'none') {
       if (reply.reason === 'not-json') this.onUnexpectedAnswer(operation);
@@ -104,7 +103,7 @@
     return item ? { kind: 'found', item } : this.failureOf('get', reply);
   }
 
-  /** One page of the keys under a prefix; `after` is the last key of the page before. */
+  /** Reads one page of the keys under a prefix; `after` is the last key of the previous page. */
   async list(
     prefix: string,
     after: string | undefined,
@@ -118,7 +117,7 @@
     return readContent(reply, parsePage) ?? this.failureOf('list', reply);
   }
 
-  /** The revision is that of the first page: a watch from there misses no change of the others. */
+  /** Returns the first page's revision, so that a watch from it misses no change of any page. */
   async listAll(prefix: string): Promise<ListResult> {
     const items: StoredItem[] = [];
     let revision: Revision | null = null;
@@ -145,7 +144,7 @@
       timeoutMs,
     });
     if (hasStatus(reply, 409)) return CONFLICT;
-    // Only one reason for 400 has a name; by the others the store faults the request itself.
+    // `no such lease` is the only named reason for 400; otherwise the request itself is invalid.
     if (hasStatus(reply, 400)) return isNoSuchLease(reply.body) ? LEASE_EXPIRED : TOO_LARGE;
     const revision = readContent(reply, parseCommit);
     if (revision === null) return this.failureOf('compare-and-swap', reply);
@@ -153,7 +152,7 @@
   }
 
   async grantLease(lifeMs: number): Promise<LeaseGrantResult> {
-    const reply = await this.connection.sendUrgently({
+    const reply = await this.connection.sendLeaseRequest({
       method: 'POST',
       path: '/holds',
       body: encodeLeaseRequest(lifeMs),
@@ -165,7 +164,7 @@
   }
 
   async renewLease(lease: LeaseId): Promise<LeaseRenewalResult> {
-    const reply = await this.connection.sendUrgently({
+    const reply = await this.connection.sendLeaseRequest({
       method: 'POST',
       path: `/holds/${lease}/renew`,
       body: {},
@@ -177,7 +176,7 @@
   }
 
   async revokeLease(lease: LeaseId): Promise<void> {
-    await this.connection.sendUrgently({
+    await this.connection.sendLeaseRequest({
       method: 'DELETE',
       path: `/holds/${lease}`,
       timeoutMs: LEASE_TIMEOUT_MS,
@@ -191,7 +190,7 @@
       timeoutMs: holdMs + WATCH_TIMEOUT_SLACK_MS,
     });
     if (hasStatus(reply, 410)) return TOO_OLD;
-    // A watch tells all changes at once, without bound: the caller reads the keys again, in pages.
+    // A watch returns all changes in one answer of any size: the caller lists the keys instead.
     if (reply.kind === 'none' && reply.reason === 'too-large') return TOO_OLD;
     return readContent(reply, parseChanges) ?? this.failureOf('watch', reply);
   }
@@ -209,6 +208,6 @@
 ): reply is Answer & { readonly status: Status } =>
   reply.kind === 'answer' && reply.status === status;
 
-/** What a successful answer holds; null when the reply is none, or is malformed. */
+/** Returns the parsed body of a 200 answer; null for any other reply or a malformed body. */
 const readContent = <T>(reply: Reply, parse: (body: unknown) => T | null): T | null =>
   hasStatus(reply, 200) ? parse(reply.body) : null;
--- a/src/adapters/key-value-store/store-codec.ts
+++ b/src/adapters/key-value-store/store-codec.ts
@@ -1,4 +1,4 @@
-/** Requests to the key-value store and its answers: the wire's names. */
+/** Encodes requests to the key-value store and parses its answers, by the wire's names. */
 import * as v from 'valibot';
 import type { Revision } from '../../core/model/ids.js';
 import type {
@@ -55,13 +55,13 @@
     ? { key: change.Write, value: change.Data, revision: change.Stamp as Revision }
     : { key: change.Delete, deleted: true, revision: change.Stamp as Revision };
 
-/** The item, or null when the answer is malformed. */
+/** Parses an item. Returns null if the answer is malformed. */
 export const parseItem = (body: unknown): StoredItem | null => {
   const result = v.safeParse(itemSchema, body);
   return result.success ? decodeItem(result.output) : null;
 };
 
-/** The page, or null when the answer is malformed. */
+/** Parses a page. Returns null if the answer is malformed. */
 export const parsePage = (body: unknown): StoredPage | null => {
   const result = v.safeParse(pageSchema, body);
   if (!result.success) return null;
@@ -70,25 +70,25 @@
   return { kind: 'page', items, hasMore: More ?? false, revision: Epoch as Revision };
 };
 
-/** The revision of a transaction that was carried out, or null when the answer is malformed. */
+/** Parses the revision of a committed transaction. Returns null if the answer is malformed. */
 export const parseCommit = (body: unknown): Revision | null => {
   const result = v.safeParse(commitSchema, body);
   return result.success ? (result.output.Epoch as Revision) : null;
 };
 
-/** The lease that was granted, or null when the answer is malformed. */
+/** Parses the id of a granted lease. Returns null if the answer is malformed. */
 export const parseLease = (body: unknown): LeaseId | null => {
   const result = v.safeParse(leaseSchema, body);
   return result.success ? (result.output.Hold as LeaseId) : null;
 };
 
-/** Whether a transaction was turned down since a lease that it names has expired. */
+/** Whether a transaction was rejected because a lease that it names has expired. */
 export const isNoSuchLease = (body: unknown): boolean => v.is(noSuchLeaseSchema, body);
 
-/** Changes in their order, and the revision of the store that they lead to. */
+/** Changes in order, and the store's revision after the last of them. */
 export type StoredChanges = Extract<WatchResult, { kind: 'changes' }>;
 
-/** What a watch tells, or null when the answer is malformed. */
+/** Parses the changes of a watch. Returns null if the answer is malformed. */
 export const parseChanges = (body: unknown): StoredChanges | null => {
   const result = v.safeParse(changesSchema, body);
   if (!result.success) return null;
@@ -103,7 +103,6 @@
   return { Write: put, Data: value, ...(lease === undefined ? {} : { Hold: lease }) };
 };
 
-/** The body of a transaction. */
 export const encodeTransaction = (
   preconditions: readonly Precondition[],
   mutations: readonly Mutation[],
@@ -112,20 +111,18 @@
   Apply: mutations.map(encodeMutation),
 });
 
-/** The body of a request for a lease. */
 export const encodeLeaseRequest = (lifeMs: number) => ({ LifeMs: lifeMs });
 
-/** Slashes stay as they are: keys are paths. */
+/** Encodes a query string. Slashes are not escaped, since keys are paths. */
 const encodeQuery = (parameters: Record<string, string | number | undefined>): string =>
   Object.entries(parameters)
     .filter(([, value]) => value !== undefined)
     .map(([name, value]) => `${name}=${encodeURIComponent(String(value)).replace(/%2F/g, '/')}`)
     .join('&');
 
-/** The path of the page of a prefix's keys that follows `after`; undefined: the first page. */
+/** Path of the page of a prefix's keys after the key `after`, or of the first page without it. */
 export const pagePath = (prefix: string, after: string | undefined, limit: number): string =>
   `/kv?${encodeQuery({ Under: prefix, Since: after, Limit: limit })}`;
 
-/** The path of a watch. */
 export const watchPath = (prefix: string, since: Revision, holdMs: number): string =>
   `/follow?${encodeQuery({ Under: prefix, Since: since, HoldMs: holdMs })}`;
--- a/src/adapters/key-value-store/store-connection.ts
+++ b/src/adapters/key-value-store/store-connection.ts
@@ -1,4 +1,4 @@
-/** Requests to the key-value store, and whether it answers this node. */
+/** Sends requests to the key-value store and tracks whether the store answers this node. */
 import type { Endpoint } from '../configuration/settings.js';
 import {
   HttpClient,
@@ -8,13 +8,13 @@
 } from '../outbound/http-client.js';
 import type { StoreRates } from './store-rates.js';
 
-/** How long a request may wait for its turn within the rate. */
+/** Longest time that a request may wait for the rate limiter. */
 export const MAX_QUEUE_MS = 1500;
 
-const SOCKETS = 24;
-const LEASE_SOCKETS = 6;
-const WATCH_SOCKETS = 4;
-const WATCH_IDLE_MS = 60_000;
+const MAX_SOCKETS = 24;
+const MAX_LEASE_SOCKETS = 6;
+const MAX_WATCH_SOCKETS = 4;
+const WATCH_IDLE_TIMEOUT_MS = 60_000;
 const PROBE_DELAY_MS = 300;
 const PROBE: HttpRequest = { method: 'GET', path: '/kv/probe', timeoutMs: 1600 };
 
@@ -25,13 +25,13 @@
   message: 'too many requests waiting',
 };
 
-/** Connections to the store: those of leases and watches are apart from the others'. */
+/** Connections to the store, with separate sockets for leases and for watches. */
 export class StoreConnection {
   private readonly http: HttpClient;
   private readonly watches: HttpClient;
-  /** Of its own, so that a lease never waits behind other requests. */
+  /** Separate, so that lease requests never wait for a socket behind other requests. */
   private readonly leases: HttpClient;
-  private unanswered = false;
+  private unresponsive = false;
   private probe: NodeJS.Timeout | null = null;
   private closed = false;
 
@@ -39,29 +39,29 @@
     endpoint: Endpoint,
     private readonly rates: StoreRates,
   ) {
-    this.http = new HttpClient(endpoint, SOCKETS);
-    this.leases = new HttpClient(endpoint, LEASE_SOCKETS);
-    this.watches = new HttpClient(endpoint, WATCH_SOCKETS, WATCH_IDLE_MS);
+    this.http = new HttpClient(endpoint, MAX_SOCKETS);
+    this.leases = new HttpClient(endpoint, MAX_LEASE_SOCKETS);
+    this.watches = new HttpClient(endpoint, MAX_WATCH_SOCKETS, WATCH_IDLE_TIMEOUT_MS);
   }
 
-  /** The store did not answer, and has not since. */
+  /** True after a request got no answer or 503, until any other answer but 429. */
   get isDown(): boolean {
-    return this.unanswered;
+    return this.unresponsive;
   }
 
-  /** A request in its turn within the rate. */
+  /** Sends a request once the rate limiter permits, within `MAX_QUEUE_MS`. */
   async send(request: HttpRequest): Promise<Reply> {
     if (!(await this.rates.requests.acquire(1, MAX_QUEUE_MS))) return RATE_LIMITED;
     return this.record(await this.http.send(request));
   }
 
-  /** A request that must not wait: leases run out meanwhile. */
-  async sendUrgently(request: HttpRequest): Promise<Reply> {
+  /** Sends a request without waiting for the rate limiter, since the lease might expire. */
+  async sendLeaseRequest(request: HttpRequest): Promise<Reply> {
     this.rates.requests.acquireImmediately(1);
     return this.record(await this.leases.send(request));
   }
 
-  /** A request that the store holds back until there is news: it tells nothing of its health. */
+  /** Sends a long poll. Its result does not count for `isDown`. */
   sendWatch(request: HttpRequest): Promise<Reply> {
     this.rates.requests.acquireImmediately(1);
     return this.watches.send(request);
@@ -69,17 +69,17 @@
 
   private record(reply: Reply): Reply {
     if (reply.kind === 'none' || reply.status === 503) {
-      this.unanswered = true;
+      this.unresponsive = true;
       if (!this.closed) this.probe ??= setTimeout(() => this.sendProbe(), PROBE_DELAY_MS);
-    } else if (reply.status !== 429) this.unanswered = false;
+    } else if (reply.status !== 429) this.unresponsive = false;
     if (reply.kind === 'answer') this.rates.recordAnswer(reply.status === 429);
     return reply;
   }
 
-  /** While the store is down, other requests may be held back: this one finds out when it is up. */
+  /** Detects recovery: while the store is down, callers may send no other requests. */
   private sendProbe(): void {
     this.probe = null;
-    if (!this.unanswered || this.closed) return;
+    if (!this.unresponsive || this.closed) return;
     this.rates.requests.acquireImmediately(1);
     void this.http.send(PROBE).then((reply) => this.record(reply));
   }
--- a/src/adapters/key-value-store/store-rates.ts
+++ b/src/adapters/key-value-store/store-rates.ts
@@ -1,25 +1,24 @@
-/** This node's share of the key-value store's rates, which the store may lower unannounced. */
+/** This node's share of the key-value store's rates, which the store may lower without notice. */
 import { RateLimiter } from '../outbound/rate-limiter.js';
 import { steadyNow } from '../runtime/clock.js';
 
-/** Requests and changed keys a second. */
+/** Requests and changed keys per second. */
 interface Rates {
   readonly rps: number;
   readonly writeRps: number;
 }
 
-/** A node's share, now and once the store has lowered its limits, which only its refusals tell. */
+/** A node's share before and after the store lowers its limits; only 429 answers reveal that. */
 export interface RateShares extends Rates {
   readonly lowered: Rates;
 }
 
 /**
- * After a refusal for the rate the lower share holds for this long. Should the limits be as before,
- * the higher share returns.
+ * How long the lowered rates apply after a 429 answer. The normal rates are then tried again, in
+ * case the store did not lower its limits.
  */
-const LOWERED_FOR_MS = 20_000;
+const LOWERED_RATES_DURATION_MS = 20_000;
 
-/** Limits requests and changes to the share. */
 export class StoreRates {
   readonly requests: RateLimiter;
   readonly writes: RateLimiter;
@@ -31,18 +30,18 @@
     this.writes = new RateLimiter(shares.writeRps, shares.writeRps);
   }
 
-  /** Whether it keeps to the lower share. */
+  /** Whether the lowered rates apply. */
   get usesLoweredRates(): boolean {
     return steadyNow() < this.loweredUntil;
   }
 
-  /** Takes note of each answer: refused for the rate, or not. */
+  /** Must be called for each answer, with whether it was 429. */
   recordAnswer(refusedForRate: boolean): void {
-    if (refusedForRate) this.loweredUntil = steadyNow() + LOWERED_FOR_MS;
+    if (refusedForRate) this.loweredUntil = steadyNow() + LOWERED_RATES_DURATION_MS;
     this.applyRates();
   }
 
-  /** From now on this many times the share of the write rate. */
+  /** Multiplies the share of the write rate by `scale` from now on. */
   scaleWrites(scale: number): void {
     this.writeScale = scale;
     this.applyRates();
--- a/src/adapters/outbound/http-client.ts
+++ b/src/adapters/outbound/http-client.ts
@@ -1,8 +1,8 @@
-/** JSON over Node's HTTP client: kept connections, a deadline per exchange, bounded answers. */
+/** JSON over HTTP with keep-alive connections, a deadline per exchange and bounded answers. */
 import { Agent, type ClientRequest, type IncomingMessage, request as openRequest } from 'node:http';
 import type { Endpoint } from '../configuration/settings.js';
 
-/** A JSON request. An `undefined` body sends none; `timeoutMs` bounds connecting to last byte. */
+/** A JSON request; an `undefined` body sends none. `timeoutMs` covers connecting to last byte. */
 export interface HttpRequest {
   readonly method: string;
   readonly path: string;
@@ -10,32 +10,32 @@
   readonly timeoutMs: number;
 }
 
-/** Why there is no answer. */
+/** Why there is no valid answer. */
 export type NoAnswerReason =
-  /** Held back by this node: its share of the other side's rate is used up. */
+  /** Not sent: this node's share of the server's rate is used up. */
   | 'rate-limited'
-  /** Held back by this node: the right to make the request ended while it waited. */
+  /** Not sent: the authorization ended while the request was queued. */
   | 'not-authorized'
-  /** The address cannot be one, e.g. a port above 65535. */
+  /** Not sent: the address is invalid, e.g. a port above 65535. */
   | 'invalid-address'
   | 'timeout'
   | 'connection-error'
-  /** The connection closed within the answer. */
+  /** The connection closed before the end of the answer. */
   | 'truncated'
   | 'too-large'
   | 'not-json';
 
-/** The request got no answer that can be read. */
+/** The request got no valid answer. */
 export interface NoAnswer {
   readonly kind: 'none';
-  /** The request may have been, or may yet be, carried out. */
+  /** True if the request may have been executed, or may still be. */
   readonly sent: boolean;
   readonly reason: NoAnswerReason;
-  /** The reason in words, for people. */
+  /** The reason as a text for logs and command output. */
   readonly message: string;
 }
 
-/** How an exchange ended. The body is parsed JSON, or null when the answer has none. */
+/** The result of an exchange. `body` is parsed JSON, or null if the answer has no body. */
 export type Reply =
   | { readonly kind: 'answer'; readonly status: number; readonly body: unknown }
   | NoAnswer;
@@ -70,7 +70,7 @@
   }
 };
 
-/** One request on its way: settles once, whichever of its events comes first. */
+/** A request in flight. The first terminal event determines the reply; later ones are ignored. */
 class PendingExchange {
   private settled = false;
   private connected = false;
@@ -119,7 +119,7 @@
   }
 }
 
-/** Sends one request over the agent's connections. Never rejects: the reply says what failed. */
+/** Sends a request through `agent`. Never rejects: failures are returned as a `NoAnswer`. */
 export const exchange = (agent: Agent, endpoint: Endpoint, request: HttpRequest): Promise<Reply> =>
   new Promise((resolve) => {
     const text = request.body === undefined ? undefined : JSON.stringify(request.body);
@@ -127,7 +127,7 @@
     try {
       clientRequest = openClientRequest(agent, endpoint, request, text);
     } catch (error) {
-      // An address that cannot be one is a request refused, no reason for the process to end.
+      // An invalid address fails this request only; it must not end the process.
       resolve(noAnswer(false, 'invalid-address', (error as Error).message));
       return;
     }
@@ -135,7 +135,7 @@
     clientRequest.end(text);
   });
 
-/** A client of one endpoint, over at most `maxSockets` kept connections. */
+/** A client of one endpoint, with at most `maxSockets` connections, kept open when idle. */
 export class HttpClient {
   private readonly agent: Agent;
 
--- a/src/adapters/outbound/rate-limiter.ts
+++ b/src/adapters/outbound/rate-limiter.ts
@@ -1,7 +1,7 @@
-/** A token bucket whose waiting line is bounded: overload becomes a refusal, not growing memory. */
+/** A token bucket with a bounded queue: overload leads to refusals, not to memory growth. */
 import { steadyNow } from '../runtime/clock.js';
 
-/** Grants tokens at a steady rate, and lets at most `maxWaiting` callers wait for theirs. */
+/** Grants tokens at a constant rate. At most `maxWaiting` callers wait at a time. */
 export class RateLimiter {
   private tokens: number;
   private refilledAt: number;
@@ -16,14 +16,14 @@
     this.refilledAt = steadyNow();
   }
 
-  /** From now on this many tokens a second, with a burst of one second's worth. */
+  /** Sets the rate, and the burst to the tokens of one second. */
   setRate(ratePerSecond: number): void {
     if (ratePerSecond === this.ratePerSecond) return;
     this.ratePerSecond = ratePerSecond;
     this.burst = ratePerSecond;
   }
 
-  /** Takes tokens at once, going into debt; returns how long to wait for them, in ms. */
+  /** Takes tokens; the balance may become negative. Returns the time until it is 0 again, in ms. */
   private reserve(count: number): number {
     const now = steadyNow();
     const refill = ((now - this.refilledAt) / 1000) * this.ratePerSecond;
@@ -33,12 +33,12 @@
     return this.tokens >= 0 ? 0 : (-this.tokens / this.ratePerSecond) * 1000;
   }
 
-  /** Takes tokens without waiting for them: for requests that must not be late. */
+  /** Takes tokens without waiting, for requests that must not be delayed. */
   acquireImmediately(count: number): void {
     this.reserve(count);
   }
 
-  /** Waits for tokens; false, at once, if that took over `maxWaitMs` or the line is full. */
+  /** Waits for tokens. Returns false at once if that would exceed `maxWaitMs` or `maxWaiting`. */
   async acquire(count: number, maxWaitMs: number): Promise<boolean> {
     const waitMs = this.reserve(count);
     if (waitMs === 0) return true;
--- a/src/adapters/peers/frames.ts
+++ b/src/adapters/peers/frames.ts
@@ -1,21 +1,20 @@
-/** Messages between controllers on a TCP stream: msgpack, each after its length as 4 bytes. */
+/** Framing of peer messages on TCP: a length of 4 bytes (big endian), then a msgpack body. */
 import { Packr } from 'msgpackr/pack';
 
-/** No message between peers comes near this; a larger one is refused, its connection closed. */
+/** Far above any valid message. A larger frame closes the connection. */
 export const MAX_FRAME_BYTES = 64 * 1024;
 const HEADER_BYTES = 4;
 const NO_BYTES = Buffer.alloc(0);
 
 const packr = new Packr({ useRecords: false });
 
-/** A frame on the stream announces more than `MAX_FRAME_BYTES`. */
+/** A frame header announces more than `MAX_FRAME_BYTES`. */
 export class FrameTooLargeError extends Error {
   constructor(readonly size: number) {
-    super(`frame of ${size} bytes`);
+    super(`frame of ${size} bytes exceeds MAX_FRAME_BYTES`);
   }
 }
 
-/** The message as one frame. */
 export const encodeFrame = (message: unknown): Buffer => {
   const body = packr.pack(message);
   const frame = Buffer.allocUnsafe(HEADER_BYTES + body.length);
@@ -24,13 +23,13 @@
   return frame;
 };
 
-/** Cuts one byte stream into messages. */
+/** Splits the byte stream of one connection into messages. */
 export class FrameDecoder {
   private buffered: Buffer = NO_BYTES;
 
   /**
-   * The messages that these bytes complete. Throws `FrameTooLargeError`, or what msgpack throws on
-   * a message that is none: the stream cannot be read from there on.
+   * Returns the messages completed by `bytes`. Throws `FrameTooLargeError`, or msgpack's error for
+   * an invalid body; the rest of the stream cannot be decoded then.
    */
   decode(bytes: Buffer): unknown[] {
     this.buffered = this.buffered.length === 0 ? bytes : Buffer.concat([this.buffered, bytes]);
--- a/src/adapters/peers/peer-client.ts
+++ b/src/adapters/peers/peer-client.ts
@@ -1,4 +1,4 @@
-/** Asks another controller, over one connection that is opened when there is a question. */
+/** Sends questions to another controller, over one connection that is opened on demand. */
 import { Socket } from 'node:net';
 import type { NodeId } from '../../core/model/ids.js';
 import type { Peer, PeerRequest } from '../../ports/peer.js';
@@ -8,17 +8,17 @@
 import { encodeQuestion, parseAnswer } from './question-codec.js';
 
 const IDLE_TIMEOUT_MS = 30_000;
-/** After a connection is lost, none is opened for this long, and questions go unanswered. */
+/** After a connection is lost, questions fail for this long instead of opening a new one. */
 const RECONNECT_DELAY_MS = 300;
-/** Questions without an answer at a time; more would only fill the memory of both sides. */
-const MAX_UNANSWERED = 512;
+/** Bound on pending questions, which limits the memory used at both ends. */
+const MAX_PENDING_QUESTIONS = 512;
 
 /** The connection to one peer. */
 export class PeerClient implements Peer {
   private socket: Socket | null = null;
   private connected = false;
-  private nextNumber = 1;
-  private readonly unanswered = new Map<number, (answer: unknown) => void>();
+  private nextSequenceNumber = 1;
+  private readonly pendingQuestions = new Map<number, (answer: unknown) => void>();
   private reconnectAt = 0;
 
   constructor(
@@ -28,17 +28,17 @@
 
   request(question: PeerRequest, timeoutMs: number): Promise<unknown> {
     if (!this.socket && steadyNow() < this.reconnectAt) return Promise.resolve(undefined);
-    if (this.unanswered.size >= MAX_UNANSWERED) return Promise.resolve(undefined);
+    if (this.pendingQuestions.size >= MAX_PENDING_QUESTIONS) return Promise.resolve(undefined);
     const socket = this.connect();
-    const n = this.nextNumber++;
+    const n = this.nextSequenceNumber++;
     return new Promise((resolve) => {
       const timer = setTimeout(() => {
-        this.unanswered.delete(n);
+        this.pendingQuestions.delete(n);
         resolve(undefined);
-        // One that cannot even be connected to is cut off: the next question connects anew.
+        // A connection attempt that is still pending is aborted; the next question reconnects.
         if (!this.connected) socket.destroy();
       }, timeoutMs);
-      this.unanswered.set(n, (answer) => {
+      this.pendingQuestions.set(n, (answer) => {
         clearTimeout(timer);
         resolve(answer);
       });
@@ -50,19 +50,19 @@
     if (this.socket) return this.socket;
     const socket = new Socket();
     const decoder = new FrameDecoder();
-    const drop = () => this.drop(socket);
+    const disconnect = () => this.disconnect(socket);
     socket.setNoDelay(true);
-    socket.setTimeout(IDLE_TIMEOUT_MS, drop);
+    socket.setTimeout(IDLE_TIMEOUT_MS, disconnect);
     socket.on('connect', () => {
       this.connected = true;
     });
-    socket.on('error', drop);
-    socket.on('close', drop);
+    socket.on('error', disconnect);
+    socket.on('close', disconnect);
     socket.on('data', (bytes: Buffer) => {
       try {
         for (const message of decoder.decode(bytes)) this.handleAnswer(message);
       } catch {
-        drop();
+        disconnect();
       }
     });
     socket.connect(this.endpoint.port, this.endpoint.host);
@@ -73,19 +73,19 @@
   private handleAnswer(message: unknown): void {
     const answer = parseAnswer(message);
     if (!answer) return;
-    const resolve = this.unanswered.get(answer.n);
-    this.unanswered.delete(answer.n);
+    const resolve = this.pendingQuestions.get(answer.n);
+    this.pendingQuestions.delete(answer.n);
     resolve?.(answer.is);
   }
 
-  /** All questions that wait get no answer. Events of a connection dropped before do nothing. */
-  private drop(socket: Socket): void {
+  /** Resolves pending questions as unanswered. Ignores events of earlier connections. */
+  private disconnect(socket: Socket): void {
     if (this.socket !== socket) return;
     this.socket = null;
     this.connected = false;
     this.reconnectAt = steadyNow() + RECONNECT_DELAY_MS;
-    for (const resolve of this.unanswered.values()) resolve(undefined);
-    this.unanswered.clear();
+    for (const resolve of this.pendingQuestions.values()) resolve(undefined);
+    this.pendingQuestions.clear();
     socket.destroy();
   }
 
--- a/src/adapters/peers/peer-server.ts
+++ b/src/adapters/peers/peer-server.ts
@@ -1,4 +1,4 @@
-/** Answers the questions of other controllers. */
+/** TCP server that answers questions from other controllers. */
 import { createServer, type Server, type Socket } from 'node:net';
 import type { HandlePeerRequest } from '../../ports/peer.js';
 import type { Endpoint } from '../configuration/settings.js';
@@ -8,7 +8,7 @@
 const IDLE_TIMEOUT_MS = 60_000;
 const MAX_CONNECTIONS = 64;
 
-/** Told why a message was dropped, in words that bound how many there are. */
+/** Called with the reason why a message was dropped; the set of reasons must be bounded. */
 export type OnDroppedMessage = (reason: string) => void;
 
 const answerMessage = async (
@@ -19,7 +19,7 @@
 ): Promise<void> => {
   const parsed = parseQuestion(message);
   if (!parsed) {
-    onDropped('question of an unknown form');
+    onDropped('malformed question');
     return;
   }
   const answer = await answerPeer(parsed.question);
@@ -49,7 +49,7 @@
   });
 };
 
-/** Listens for peers; a message that cannot be answered is dropped without harm to the others. */
+/** Listens for peers. A message that cannot be answered is dropped; the others are not affected. */
 export const servePeers = (
   endpoint: Endpoint,
   answerPeer: HandlePeerRequest,
--- a/src/adapters/peers/question-codec.ts
+++ b/src/adapters/peers/question-codec.ts
@@ -1,4 +1,4 @@
-/** Questions and answers between controllers as they are sent: each pair shares a number `n`. */
+/** Wire format of questions and answers between controllers; both carry the same number `n`. */
 import * as v from 'valibot';
 import type { PeerRequest } from '../../ports/peer.js';
 
@@ -23,16 +23,16 @@
 
 const answerSchema = v.object({ n: sequenceNumber, is: v.unknown() });
 
-/** A question as it came in; its answer goes back under the same number. */
+/** A received question, and the sequence number that its answer must carry. */
 export interface NumberedQuestion {
   readonly n: number;
   readonly question: PeerRequest;
 }
 
-/** An answer as it came in. */
+/** A received answer. */
 export type NumberedAnswer = v.InferOutput<typeof answerSchema>;
 
-/** The message as a question, or null when it has no known form. */
+/** Parses a question. Returns null if the message is malformed or of an unknown kind. */
 export const parseQuestion = (message: unknown): NumberedQuestion | null => {
   const result = v.safeParse(questionSchema, message);
   if (!result.success) return null;
@@ -40,14 +40,13 @@
   return { n, question: question as PeerRequest };
 };
 
-/** The message as an answer, or null when it has no known form. */
+/** Parses an answer. Returns null if the message is malformed. */
 export const parseAnswer = (message: unknown): NumberedAnswer | null => {
   const result = v.safeParse(answerSchema, message);
   return result.success ? result.output : null;
 };
 
-/** The question as a message; `n` stands first. */
+/** Encodes a question. `n` is the first field. */
 export const encodeQuestion = (n: number, question: PeerRequest) => ({ n, ...question });
 
-/** The answer to the question of the same number as a message. */
 export const encodeAnswer = (n: number, answer: unknown) => ({ n, is: answer });
--- a/src/adapters/runtime/clock.ts
+++ b/src/adapters/runtime/clock.ts
@@ -1,10 +1,10 @@
-/** The clocks of this process: a steady one for leases and timeouts, and the time of day. */
+/** Clocks: the steady (monotonic) clock for leases and timeouts, and the time of day. */
 
 import type { Instant } from '../../core/model/time.js';
 
 /**
- * Reads the steady clock, in milliseconds; every lease and timeout counts on it. It is not
- * `performance.now()`: that loads all of Node's performance hooks, which delays the start.
+ * Reads the steady clock, in milliseconds; it times every lease and timeout. `performance.now()` is
+ * not used, since it loads all of Node's performance hooks, which delays the start-up.
  */
 export const steadyNow = (): Instant => {
   const [seconds, nanoseconds] = process.hrtime();
@@ -12,12 +12,11 @@
 };
 
 /**
- * Turns another node's time of day, in milliseconds since 1970, into an instant on this process's
- * steady clock. It is off by as much as the two nodes' clocks are.
+ * Converts another node's time of day, in milliseconds since 1970, to an instant on this process's
+ * steady clock. The error is the difference between the two nodes' times of day.
  */
 export const fromTimeOfDay = (timeOfDayMs: number): Instant =>
   (steadyNow() - (Date.now() - timeOfDayMs)) as Instant;
 
-/** Resolves after this many milliseconds. */
 export const sleep = (ms: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, ms));
--- a/src/adapters/runtime/random.ts
+++ b/src/adapters/runtime/random.ts
@@ -1,9 +1,9 @@
-/** Randomness, from a seeded generator so that tests can repeat it. */
+/** Random numbers, from a seeded generator so that tests are reproducible. */
 
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** Spreads retries, so that controllers that fail at once do not all come back at once. */
+/** Randomizes delays, so that controllers that fail together do not retry together. */
 export class Jitter {
   private readonly generator;
 
@@ -11,7 +11,7 @@
     this.generator = xoroshiro128plus(seed);
   }
 
-  /** A length of time between half of `ms` and one and a half times it. */
+  /** Returns a random duration between half of `ms` and one and a half times `ms`. */
   apply(ms: number): number {
     return ms * (0.5 + uniformFloat64(this.generator));
   }
--- a/src/adapters/s-expression.d.ts
+++ b/src/adapters/s-expression.d.ts
@@ -1,4 +1,4 @@
 declare module 's-expression' {
-  /** Nested arrays of atoms (strings) and quoted strings (String objects), or an Error. */
+  /** Returns nested arrays of atoms (strings) and quoted strings (String objects), or an Error. */
   export default function parse(text: string): unknown;
 }
