--- a/src/adapters/cloud/cloud-client.ts
+++ b/src/adapters/cloud/cloud-client.ts
@@ -42,7 +42,6 @@
 /** Names the request whose answer violates the protocol. */
 type Operation = 'list-machine-types' | 'list-machines' | 'provision';
 
-/** The result of a provision request. */
 export type ProvisionResult =
   | { readonly kind: 'provisioned'; readonly machines: MachineId[] }
   /** Certainly not executed. */
--- a/src/adapters/configuration/settings.ts
+++ b/src/adapters/configuration/settings.ts
@@ -75,7 +75,7 @@
   }),
 });
 
-/** A host and port, to connect to or to listen on. */
+/** A host and port to connect to or listen on. */
 export interface Endpoint {
   readonly host: string;
   readonly port: number;
--- a/src/adapters/http/answers.ts
+++ b/src/adapters/http/answers.ts
@@ -8,7 +8,6 @@
 import { encodeJobView } from '../wire/jobs.js';
 import { encodeWorkerCommands } from '../wire/workers.js';
 
-/** The response to an HTTP request. */
 export interface HttpAnswer {
   readonly status: number;
   /** Serialized as JSON. */
@@ -82,7 +81,6 @@
   }
 };
 
-/** Responds with a team's jobs. */
 export const answerList = (result: ListResult): HttpAnswer =>
   result.kind === 'listed'
     ? ok({ jobs: result.jobs.map(encodeJobView) })
--- a/src/adapters/http/heartbeat-connections.ts
+++ b/src/adapters/http/heartbeat-connections.ts
@@ -14,7 +14,7 @@
 
 export interface HeartbeatLimits {
   readonly maxBodyBytes: number;
-  /** A connection that receives no data for this long is closed. */
+  /** A connection without data for this long is closed. */
   readonly idleMs: number;
   /** A connection whose request is incomplete after this long is closed. */
   readonly requestMs: number;
@@ -124,10 +124,7 @@
   }
 }
 
-/**
- * Reads heartbeats from a new connection. Calls `handOver` with the unprocessed bytes once the
- * connection carries anything else.
- */
+/** Reads heartbeats from a new connection until other data arrives, which goes to `handOver`. */
 export const acceptHeartbeats = (
   socket: Socket,
   handle: HeartbeatHandler,
--- a/src/adapters/http/heartbeat-handler.ts
+++ b/src/adapters/http/heartbeat-handler.ts
@@ -24,11 +24,11 @@
 /** Creates a handler that answers malformed heartbeats 400 and logs them once per machine. */
 export const makeHeartbeatHandler = (service: HeartbeatService, log: Log): HeartbeatHandler => {
   const parser = new HeartbeatParser();
-  const logged = new LogDeduplicator();
+  const logDeduplicator = new LogDeduplicator();
 
   const refuse = (body: JsonBody): HeartbeatReply => {
     const { machineId, reason } = describeMalformed(body);
-    if (logged.isFirstOccurrence(`${machineId} ${reason}`))
+    if (logDeduplicator.isFirstOccurrence(`${machineId} ${reason}`))
       log.info({ machineId, reason }, 'malformed heartbeat, answering 400');
     return MALFORMED_HEARTBEAT;
   };
--- a/src/adapters/wire/cloud.ts
+++ b/src/adapters/wire/cloud.ts
@@ -1,4 +1,4 @@
-/** The cloud's machine types and machines: the wire's names, and the checks on each field. */
+/** Wire format of the cloud's machine types and machines: field names and validation. */
 import * as v from 'valibot';
 import type { MachineId, MachineTypeName, ZoneName } from '../../core/model/ids.js';
 import type { ListedMachine, MachineType, ProvisionRequest } from '../../core/model/machine.js';
@@ -37,7 +37,7 @@
   count: 'HowMany',
 } as const satisfies Record<keyof ProvisionRequest, string>;
 
-/** The wire's names of lists, whole or in pages. */
+/** The wire's name of each list, and of the flag that a page is not the last one. */
 const LIST_FIELDS = { machineTypes: 'Hulls', machines: 'Berths', hasMore: 'More' } as const;
 
 const DEFAULT_BOOT_S = 60;
@@ -58,7 +58,7 @@
   ),
 });
 
-/** The machine types, or null when the answer is malformed. */
+/** Parses the machine types. Returns null if the answer is malformed. */
 export const parseMachineTypes = (body: unknown): MachineType[] | null => {
   const result = v.safeParse(machineTypesSchema, body);
   if (!result.success) return null;
@@ -77,7 +77,7 @@
 
 const machineIdsSchema = v.object({ [LIST_FIELDS.machines]: v.array(keyLabel) });
 
-/** The machines that a request provisioned, or null when the answer is malformed. */
+/** Parses the ids of provisioned machines. Returns null if the answer is malformed. */
 export const parseMachineIds = (body: unknown): MachineId[] | null => {
   const result = v.safeParse(machineIdsSchema, body);
   return result.success ? (result.output[LIST_FIELDS.machines] as MachineId[]) : null;
@@ -98,7 +98,7 @@
   [LIST_FIELDS.hasMore]: v.nullish(v.boolean(), false),
 });
 
-/** A status that this version does not know is one before `running`. */
+/** Statuses unknown to this version are taken as `booting`. */
 const decodeStatus = (status: string): ListedMachine['status'] =>
   status === 'failed' || status === 'running' ? status : 'booting';
 
@@ -108,7 +108,7 @@
   readonly hasMore: boolean;
 }
 
-/** A page of the list, or null when the answer is malformed. */
+/** Parses a page of the list. Returns null if the answer is malformed. */
 export const parseMachinePage = (body: unknown): MachinePage | null => {
   const result = v.safeParse(machinesSchema, body);
   if (!result.success) return null;
@@ -126,7 +126,6 @@
   return { machines, hasMore: result.output[LIST_FIELDS.hasMore] ?? false };
 };
 
-/** The body of a request for new machines. */
 export const encodeProvisionRequest = ({ request, type, zone, spot, count }: ProvisionRequest) => ({
   [PROVISION_FIELDS.request]: request,
   [PROVISION_FIELDS.type]: type,
@@ -135,12 +134,12 @@
   [PROVISION_FIELDS.count]: count,
 });
 
-/** The body of a request that returns machines for good. */
+/** Encodes the body of a request that deletes machines permanently. */
 export const encodeDeletion = (machines: readonly MachineId[]) => ({
   [LIST_FIELDS.machines]: machines,
 });
 
-/** The query for the page of the list that follows a machine; undefined: the first page. */
+/** Encodes the query for the page after machine `after`, or for the first page without it. */
 export const encodePageQuery = (after: MachineId | undefined, limit: number): string => {
   const since = after === undefined ? '' : `Since=${encodeURIComponent(after)}&`;
   return `${since}Limit=${limit}`;
--- a/src/adapters/wire/jobs.ts
+++ b/src/adapters/wire/jobs.ts
@@ -1,4 +1,4 @@
-/** Jobs as users submit them and are told of them: the wire's names, and the checks on fields. */
+/** Wire format of submitted jobs and of job views: field names and validation. */
 import * as v from 'valibot';
 import type {
   ImageName,
@@ -47,7 +47,7 @@
 const MAX_TASKS = 100_000;
 const MAX_MACHINE_TYPES = 100;
 
-/** In the order in which faults are reported: users are told the first. */
+/** Fields are validated in this order; users are told only the first invalid one. */
 const jobSchema = v.object({
   [JOB_FIELDS.id]: v.pipe(v.string(), v.regex(JOB_ID)),
   [JOB_FIELDS.jobClass]: label,
@@ -74,11 +74,11 @@
   [JOB_FIELDS.deadlineS]: v.nullish(amount, null),
 });
 
-/** The text as a job id, or null when it is none. */
+/** Validates a job id. Returns null if it is malformed. */
 export const parseJobId = (text: unknown): JobId | null =>
   typeof text === 'string' && JOB_ID.test(text) ? (text as JobId) : null;
 
-/** The job, or the first field that is wrong and why, in words for the user. */
+/** Parses a job. If it is invalid, returns a text for the user with the first invalid field. */
 export const parseJob = (body: unknown): JobSpec | { readonly fault: string } => {
   const result = v.safeParse(jobSchema, body);
   if (!result.success) {
@@ -118,7 +118,6 @@
   cancelled: 'withdrawn',
 } as const satisfies Record<JobView['status'], string>;
 
-/** The view in the wire's names. */
 export const encodeJobView = (view: JobView) => ({
   Ref: view.id,
   Status: WIRE_STATUS[view.status],
--- a/src/adapters/wire/workers.ts
+++ b/src/adapters/wire/workers.ts
@@ -1,7 +1,6 @@
 /**
- * Heartbeats and commands of workers: the wire's names. Fields are read by literal names, since
- * this runs for each heartbeat; `decodeHeartbeat`, `decodeTask` and `encodeWorkerCommands` are the
- * table of them.
+ * Wire format of workers' heartbeats and commands. `decodeHeartbeat`, `decodeTask` and
+ * `encodeWorkerCommands` map the fields by literal names, since they run for every heartbeat.
  */
 import * as v from 'valibot';
 import type { EndCause, Heartbeat, TaskPhase, TaskStatus } from '../../core/model/heartbeat.js';
@@ -17,7 +16,7 @@
 import type { WorkerCommand } from '../../core/model/worker-command.js';
 import { count, keyLabel, label } from './schemas.js';
 
-/** Tasks of one heartbeat; one with more is malformed. */
+/** A heartbeat with more tasks than this is malformed. */
 const MAX_TASKS = 20_000;
 
 const taskSchema = v.object({
@@ -38,11 +37,11 @@
   Tick: count,
   Baton: count,
   RecallS: v.nullish(v.pipe(v.number(), v.finite()), null),
-  /** Each is checked by `decodeTask`, unless it equals one of the machine's last heartbeat. */
+  /** Validated by `decodeTask`, except for tasks equal to one in the machine's last heartbeat. */
   Pieces: v.nullish(v.pipe(v.array(v.unknown()), v.maxLength(MAX_TASKS)), []),
 });
 
-/** A heartbeat whose fields are checked, but for its tasks. */
+/** A heartbeat whose fields are validated, except for its tasks. */
 export type WireHeartbeat = v.InferOutput<typeof heartbeatSchema>;
 
 const PHASES: ReadonlyMap<string, TaskPhase> = new Map([
@@ -62,13 +61,13 @@
   ['unknown', 'unknown'],
 ]);
 
-/** The body as a heartbeat with its tasks unchecked, or null when it is malformed. */
+/** Validates a heartbeat, except for its tasks. Returns null if it is malformed. */
 export const parseWireHeartbeat = (body: unknown): WireHeartbeat | null => {
   const result = v.safeParse(heartbeatSchema, body);
   return result.success ? result.output : null;
 };
 
-/** The heartbeat in the core's terms, with tasks that were read from it. */
+/** Converts a heartbeat to the core's type, with its decoded tasks. */
 export const decodeHeartbeat = (wire: WireHeartbeat, tasks: readonly TaskStatus[]): Heartbeat => ({
   machine: wire.Berth as MachineId,
   endpoint: wire.Endpoint,
@@ -82,13 +81,13 @@
   tasks,
 });
 
-/** One task of a heartbeat in the core's terms, or null when it is malformed. */
+/** Decodes a task of a heartbeat. Returns null if it is malformed. */
 export const decodeTask = (raw: unknown): TaskStatus | null => {
   const result = v.safeParse(taskSchema, raw);
   if (!result.success) return null;
   const { Piece, Try, Status, Cause, Stored } = result.output;
   const slash = Piece.indexOf('/');
-  // A state that this version does not know is taken as running: the task may hold the machine.
+  // Statuses unknown to this version are taken as running: the task may occupy the machine.
   const phase = PHASES.get(Status) ?? 'running';
   return {
     job: Piece.slice(0, slash) as JobId,
@@ -101,22 +100,22 @@
 };
 
 /**
- * Whether a task reads the same as one that was decoded before: all that `decodeTask` looks at are
- * plain values.
+ * Whether two wire tasks decode alike. Comparing with `===` suffices, since `decodeTask` reads only
+ * primitive values.
  */
-export const isSameTask = (raw: unknown, decoded: Record<string, unknown>): boolean => {
+export const isSameTask = (raw: unknown, previous: Record<string, unknown>): boolean => {
   if (typeof raw !== 'object' || raw === null) return false;
   const task = raw as Record<string, unknown>;
   return (
-    task.Piece === decoded.Piece &&
-    task.Try === decoded.Try &&
-    task.Status === decoded.Status &&
-    task.Cause === decoded.Cause &&
-    task.Stored === decoded.Stored
+    task.Piece === previous.Piece &&
+    task.Try === previous.Try &&
+    task.Status === previous.Status &&
+    task.Cause === previous.Cause &&
+    task.Stored === previous.Stored
   );
 };
 
-/** Commands as a worker reads them, in their order. */
+/** Encodes commands for a worker, in order. */
 export const encodeWorkerCommands = (commands: readonly WorkerCommand[]) =>
   commands.map((command) => ({
     Verb: command.op,
@@ -125,7 +124,7 @@
     ...(command.op === 'kill' ? { WindDownS: command.graceS } : {}),
   }));
 
-/** The body of a request that brings commands to a worker outside of its heartbeats. */
+/** Encodes the body of a request that sends commands to a worker outside its heartbeats. */
 export const encodeDirectCommands = (
   fencingToken: FencingToken,
   agentEpoch: number,
--- a/src/adapters/workers/heartbeat-parser.ts
+++ b/src/adapters/workers/heartbeat-parser.ts
@@ -1,34 +1,34 @@
-/** Parses workers' heartbeats, and decodes of each only the tasks that have changed. */
+/** Parses workers' heartbeats, decoding only the tasks that have changed since the last one. */
 import type { Heartbeat, TaskStatus } from '../../core/model/heartbeat.js';
 import { decodeHeartbeat, decodeTask, isSameTask, parseWireHeartbeat } from '../wire/workers.js';
 
-/** One task of a heartbeat as it came, and what was decoded from it. */
+/** A task as received in a heartbeat, and its decoded form. */
 interface DecodedTask {
   readonly raw: Record<string, unknown>;
   readonly task: TaskStatus;
 }
 
 /**
- * Last heartbeats are kept for the whole fleet, however large: a machine is forgotten once the
- * others have sent this many heartbeats each without it. Small fleets forget no sooner than after
- * the second number of heartbeats in all.
+ * The last heartbeat of every machine is cached, whatever the size of the fleet. A machine is
+ * evicted once the others have sent this many heartbeats each without it, but not before all
+ * machines together have sent `MIN_HEARTBEATS_PER_ROUND`.
  */
-const HEARTBEATS_PER_MACHINE = 8;
-const MIN_HEARTBEATS = 1024;
-/** After this many new tasks in one heartbeat, searching the last one costs more than it saves. */
+const HEARTBEATS_PER_MACHINE_PER_ROUND = 8;
+const MIN_HEARTBEATS_PER_ROUND = 1024;
+/** With this many new tasks in a heartbeat, searching the last one costs more than it saves. */
 const MAX_NEW_TASKS = 64;
 
-/** Parses heartbeats one after the other, and remembers each machine's last tasks. */
+/** Parses heartbeats and caches the tasks of each machine's last one. */
 export class HeartbeatParser {
-  /** Last tasks of the machines heard in this round, and in the one before. */
+  /** Last tasks of the machines that reported in this round, and in the previous one. */
   private current = new Map<string, readonly DecodedTask[]>();
   private previous = new Map<string, readonly DecodedTask[]>();
   private heartbeatsInRound = 0;
 
-  /** Tasks that had to be checked and decoded; the others were known from the last heartbeat. */
+  /** Number of tasks decoded so far; all others were found in the cache. */
   decodedTaskCount = 0;
 
-  /** The heartbeat, or null when it is malformed. */
+  /** Parses a heartbeat. Returns null if it is malformed. */
   parse(body: unknown): Heartbeat | null {
     const wire = parseWireHeartbeat(body);
     if (!wire) return null;
@@ -36,7 +36,7 @@
     const last = this.current.get(machine) ?? this.previous.get(machine) ?? [];
     const decoded = this.decodeTasks(wire.Pieces ?? [], last);
     if (!decoded) return null;
-    this.remember(machine, decoded);
+    this.cacheTasks(machine, decoded);
     return decodeHeartbeat(
       wire,
       decoded.map(({ task }) => task),
@@ -44,8 +44,8 @@
   }
 
   /**
-   * The tasks of a heartbeat, or null when one is malformed. Workers list their tasks in a steady
-   * order, new ones last, so that one walk along the last heartbeat finds all that are unchanged.
+   * Decodes the tasks of a heartbeat. Returns null if one is malformed. Workers list their tasks in
+   * a stable order, new ones last, so one pass over the last heartbeat finds all unchanged tasks.
    */
   private decodeTasks(
     entries: readonly unknown[],
@@ -75,17 +75,20 @@
     return decoded;
   }
 
-  private remember(machine: string, tasks: readonly DecodedTask[]): void {
+  private cacheTasks(machine: string, tasks: readonly DecodedTask[]): void {
     this.current.set(machine, tasks);
     this.heartbeatsInRound += 1;
-    const roundLength = Math.max(MIN_HEARTBEATS, this.current.size * HEARTBEATS_PER_MACHINE);
+    const roundLength = Math.max(
+      MIN_HEARTBEATS_PER_ROUND,
+      this.current.size * HEARTBEATS_PER_MACHINE_PER_ROUND,
+    );
     if (this.heartbeatsInRound < roundLength) return;
     this.previous = this.current;
     this.current = new Map();
     this.heartbeatsInRound = 0;
   }
 
-  /** How many machines' last heartbeats are kept. */
+  /** Number of machines whose last heartbeat is cached. */
   get cachedMachineCount(): number {
     let count = this.current.size;
     for (const machine of this.previous.keys()) if (!this.current.has(machine)) count += 1;
@@ -93,6 +96,6 @@
   }
 }
 
-/** A single heartbeat, as a worker sends it in answer to direct commands; null: malformed. */
+/** Parses a heartbeat sent in answer to direct commands. Returns null if it is malformed. */
 export const parseHeartbeat = (body: unknown): Heartbeat | null =>
   new HeartbeatParser().parse(body);
--- a/src/adapters/workers/worker-client.ts
+++ b/src/adapters/workers/worker-client.ts
@@ -1,4 +1,4 @@
-/** Commands sent straight to workers: kills, which must not wait for the next heartbeat. */
+/** Sends commands directly to workers: kills, which must not wait for the next heartbeat. */
 import { Agent } from 'node:http';
 import type { Heartbeat } from '../../core/model/heartbeat.js';
 import type { FencingToken } from '../../core/model/ids.js';
@@ -11,12 +11,12 @@
 const REQUEST_TIMEOUT_MS = 3000;
 const ENDPOINT = /^[\w.-]+:\d{1,5}$/;
 
-/** Sends commands to workers, over at most `maxSockets` connections at a time. */
+/** A client of all workers, over at most `maxSockets` concurrent connections. */
 export class WorkerClient {
   /**
-   * One for all machines: commands to as many as a large cancelled job runs on go out at once, and
-   * those beyond the bound wait for a socket instead of taking the ones that heartbeats need. No
-   * connection is kept, since few machines are sent commands twice.
+   * Shared by all machines: cancelling a large job sends commands to many at once, and those over
+   * the limit wait for a socket instead of taking sockets that heartbeats need. Connections are not
+   * kept alive, since few machines are sent commands twice.
    */
   private readonly agent: Agent;
 
@@ -24,7 +24,7 @@
     this.agent = new Agent({ keepAlive: false, maxTotalSockets: maxSockets });
   }
 
-  /** The worker's heartbeat after the commands, or null when none that can be read came back. */
+  /** Sends commands. Returns the heartbeat that answers them, or null if there is no valid one. */
   async sendCommands(
     endpoint: string,
     fencingToken: FencingToken,
@@ -39,7 +39,7 @@
       timeoutMs: REQUEST_TIMEOUT_MS,
     });
     if (reply.kind !== 'answer') return null;
-    // 409: the worker has seen a higher token, which the heartbeat tells.
+    // 409: the worker has seen a higher fencing token, which its heartbeat contains.
     if (reply.status !== 200 && reply.status !== 409) return null;
     return parseHeartbeat(reply.body);
   }
--- a/src/cli/ask.ts
+++ b/src/cli/ask.ts
@@ -1,4 +1,4 @@
-/** Commands that ask a controller and print its answer. */
+/** Commands that query a controller and print its answer. */
 
 import { parseEndpoint } from '../adapters/configuration/settings.js';
 import { HttpClient } from '../adapters/outbound/http-client.js';
@@ -6,7 +6,7 @@
 
 const ANSWER_TIMEOUT_MS = 5000;
 
-/** Prints the answer, whatever it is; any status but 200 is a failure. */
+/** Prints any answer as JSON. Sets a failure exit code unless its status is 200. */
 const printAnswer = async (endpoint: string, path: string): Promise<void> => {
   const client = new HttpClient(parseEndpoint(endpoint), 1);
   const reply = await client.send({ method: 'GET', path, timeoutMs: ANSWER_TIMEOUT_MS });
@@ -16,10 +16,10 @@
   if (reply.status !== 200) process.exitCode = EXIT_CODES.failed;
 };
 
-/** Prints why a job waits. Throws a `NoAnswerError`. */
+/** Prints why a job waits. Throws a `NoAnswerError` if the controller does not answer. */
 export const explainJob = (job: string, endpoint: string): Promise<void> =>
   printAnswer(endpoint, `/api/jobs/${encodeURIComponent(job)}/explain`);
 
-/** Prints a team's unfinished jobs. Throws a `NoAnswerError`. */
+/** Prints a team's unfinished jobs. Throws a `NoAnswerError` as `explainJob` does. */
 export const listJobs = (team: string, endpoint: string): Promise<void> =>
   printAnswer(endpoint, `/api/jobs?team=${encodeURIComponent(team)}`);
--- a/src/cli/command-failures.ts
+++ b/src/cli/command-failures.ts
@@ -1,12 +1,11 @@
-/** How commands fail: the errors that end them, and the exit codes that operators' scripts read. */
+/** Errors that end a command, and exit codes, on which operators' scripts depend. */
 
 import { SettingsError } from '../adapters/configuration/configuration-file.js';
 
-/** Exit codes of the program. */
 export const EXIT_CODES = {
-  /** A controller did not answer, refused a request, or this controller cannot go on. */
+  /** A controller did not answer or refused a request, or this controller cannot continue. */
   failed: 1,
-  /** A file that was handed over cannot be read or has a fault. */
+  /** A configuration file is unreadable or invalid. */
   invalidFile: 2,
 } as const;
 
@@ -19,12 +18,12 @@
   }
 }
 
-/** Writes one line to standard error, for operators. */
+/** Writes a one-line message for operators to standard error. */
 export const writeError = (text: string): void => {
   process.stderr.write(`robinspread: ${text}\n`);
 };
 
-/** Ends a command: one line and an exit code for errors that operators can act on, else throws. */
+/** Ends a command that failed: reports errors that operators can act on, rethrows all others. */
 export const handleCommandError = (error: unknown): void => {
   if (error instanceof SettingsError) {
     writeError(error.message);
--- a/src/cli/command-tools.ts
+++ b/src/cli/command-tools.ts
@@ -1,4 +1,4 @@
-/** What commands of optional packages use: requests to a controller, and output. */
+/** Functions for commands of optional packages: requests to a controller, and output. */
 
 import { parseEndpoint } from '../adapters/configuration/settings.js';
 import { HttpClient } from '../adapters/outbound/http-client.js';
@@ -7,7 +7,7 @@
 
 const ANSWER_TIMEOUT_MS = 8000;
 
-/** The tools as this process offers them. */
+/** Implements `CommandTools` with HTTP, standard output and standard error. */
 export const commandTools: CommandTools = {
   sendRequest: async (endpoint, method, path, body) => {
     const client = new HttpClient(parseEndpoint(endpoint), 1);
--- a/src/cli/extensions.ts
+++ b/src/cli/extensions.ts
@@ -1,6 +1,6 @@
 /**
- * Optional packages. Each is a bundle of its own beside the program, loaded only when a file names
- * it or one of its commands is called; the program runs the same where there are none.
+ * Loads optional packages. Each is a separate bundle in the program's directory, loaded only when a
+ * file enables it or one of its commands is called. The program also runs without any of them.
  */
 
 import {
@@ -14,18 +14,18 @@
 
 type PackageLoader = () => Promise<{ readonly extensionPackage: ExtensionPackage }>;
 
-/** By the name that begins a package's file, and that its commands stand under. */
+/** Keyed by package name: the first atom of the package's file, and its command on the CLI. */
 const PACKAGE_LOADERS: ReadonlyMap<string, PackageLoader> = new Map([
   ['drain', () => import('@robinspread/drain')],
 ]);
 
-/** Loads the package of this name; null where there is none. */
+/** Loads a package by name. Returns null if there is none of that name. */
 export const loadPackage = async (name: string | undefined): Promise<ExtensionPackage | null> => {
   const load = name === undefined ? undefined : PACKAGE_LOADERS.get(name);
   return load ? (await load()).extensionPackage : null;
 };
 
-/** Loads the package that a file enables, as the file configures it. Throws a `SettingsError`. */
+/** Loads and configures the package that a file enables. Throws a `SettingsError` on a fault. */
 export const loadExtension = async (path: string, settings: Settings): Promise<ExtensionModule> => {
   const text = readConfigurationFile(path, 'extension');
   const form = parseSExpression(text);
--- a/src/cli/load.ts
+++ b/src/cli/load.ts
@@ -1,4 +1,4 @@
-/** Loads the files that commands are given. */
+/** Loads the configuration files given on the command line. */
 
 import { DEFAULT_POLICY, loadPolicy } from '../adapters/configuration/policy.js';
 import { loadSettings, type Settings } from '../adapters/configuration/settings.js';
@@ -6,24 +6,24 @@
 import type { Policy } from '../core/model/policy.js';
 import { loadExtension } from './extensions.js';
 
-/** The files of a controller, as paths. */
+/** Paths of a controller's configuration files; the fields are the command-line options. */
 export interface ConfigurationPaths {
   /** The platform's settings. */
   readonly config: string;
-  /** The operators' policy; the default one without it. */
+  /** The operators' policy; the default policy applies if absent. */
   readonly policy?: string;
   /** Files that enable optional packages. */
   readonly enable?: readonly string[];
 }
 
-/** The files' contents, checked. */
+/** The validated contents of the files. */
 export interface LoadedConfiguration {
   readonly settings: Settings;
   readonly policy: Policy;
   readonly extensions: readonly ExtensionModule[];
 }
 
-/** Loads and checks all files. Throws a `SettingsError` for the first fault. */
+/** Loads and validates all files. Throws a `SettingsError` for the first invalid one. */
 export const loadConfiguration = async (
   files: ConfigurationPaths,
 ): Promise<LoadedConfiguration> => {
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,6 +1,6 @@
 /**
- * The command line. Each command's module is loaded only when the command is called: on a few
- * hundredths of a core, every module delays the start.
+ * The command line. A command's module is loaded only when the command is called: on a few
+ * hundredths of a core, every module delays the start-up.
  */
 
 import { Command } from 'commander';
@@ -54,7 +54,7 @@
   return program;
 };
 
-/** Runs the command of `argv`, which begins as `process.argv` does, and sets the exit code. */
+/** Runs the command in `argv`, which has the layout of `process.argv`. Sets the exit code. */
 export const run = async (argv: readonly string[]): Promise<void> => {
   const program = createProgram();
   const { loadPackage } = await import('./extensions.js');
@@ -67,8 +67,8 @@
 };
 
 /**
- * For the build: loads what `serve` needs and rehearses a start with these settings, so that its
- * compiled code can be kept.
+ * Called by the build to fill V8's code cache: loads the modules of `serve` and runs the start-up
+ * code with these settings.
  */
 export const warm = async (settingsText: string): Promise<void> => {
   createProgram().helpInformation();
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -1,4 +1,4 @@
-/** The command that runs one controller: it connects the adapters to the service. */
+/** The command that runs a controller; connects the adapters to the service. */
 
 import { startApi } from '../adapters/http/api-server.js';
 import { createLog, type Log, LogDeduplicator } from '../adapters/logging/log.js';
@@ -8,20 +8,20 @@
 import { EXIT_CODES } from './command-failures.js';
 import { type ConfigurationPaths, loadConfiguration } from './load.js';
 
-/** Ends the process: a controller that cannot go on is restarted, and the others carry on. */
-const exitWith = (log: Log, event: string, error: unknown): void => {
+/** Exits the process. The controller is restarted; meanwhile the others continue. */
+const logAndExit = (log: Log, event: string, error: unknown): void => {
   log.error({ err: error }, event);
   process.exit(EXIT_CODES.failed);
 };
 
-/** Differs between controllers that start at the same moment, and between starts of one. */
+/** Returns a seed that differs between controllers started together and between restarts. */
 const jitterSeed = (): number => (Date.now() ^ (process.pid << 8)) | 0;
 
-/** Runs one controller until the process ends. Throws a `SettingsError` for a faulty file. */
+/** Runs a controller until the process exits. Throws a `SettingsError` for an invalid file. */
 export const serve = async (files: ConfigurationPaths): Promise<void> => {
   const { settings, policy, extensions } = await loadConfiguration(files);
   const log = createLog(settings.node);
-  process.on('uncaughtException', (error) => exitWith(log, 'uncaught exception', error));
+  process.on('uncaughtException', (error) => logAndExit(log, 'uncaught exception, exiting', error));
   const controller = new Controller({
     settings,
     policy,
@@ -30,14 +30,15 @@
     extensions,
   });
   startApi(settings, controller, log);
-  const droppedForReason = new LogDeduplicator();
+  const loggedDropReasons = new LogDeduplicator();
   servePeers(
     settings.peerAddress,
     (question) => controller.handlePeerRequest(question),
     (reason) => {
-      if (droppedForReason.isFirstOccurrence(reason)) log.info({ reason }, 'peer message dropped');
+      if (loggedDropReasons.isFirstOccurrence(reason))
+        log.info({ reason }, 'peer message dropped without an answer');
     },
-  ).on('error', (error) => exitWith(log, 'cannot listen for peers', error));
+  ).on('error', (error) => logAndExit(log, 'cannot listen on the peer address, exiting', error));
   controller.start();
   log.info({ api: settings.api, zone: settings.zone }, 'serving');
 };
--- a/src/cli/start-rehearsal.ts
+++ b/src/cli/start-rehearsal.ts
@@ -1,6 +1,6 @@
 /**
- * For the build: runs through what a controller's start runs through, so that the compiled code
- * that is kept beside the bundle holds those functions too. It opens no socket, file or timer.
+ * Used by the build: executes the functions of a controller's start-up, so that V8's code cache
+ * contains their compiled code. Opens no socket, file or timer.
  */
 
 import { DEFAULT_POLICY } from '../adapters/configuration/policy.js';
@@ -10,7 +10,7 @@
 import { Jitter } from '../adapters/runtime/random.js';
 import { Controller } from '../service/controller.js';
 
-/** Creates a controller and its HTTP interface for the settings, and stops it unstarted. */
+/** Creates a controller and its HTTP API for the settings, and stops it without starting it. */
 export const rehearseStart = (settingsText: string): void => {
   const settings = parseSettings(settingsText);
   const log = createLog(settings.node);
