--- a/src/adapters/cloud/cloud-client.ts
+++ b/src/adapters/cloud/cloud-client.ts
@@ -18,12 +18,12 @@
 const MAX_QUEUED = 20;
 const PAGE_SIZE = 500;
 const MAX_SOCKETS = 4;
-/** Share of the cloud's rate for this controller; only the leader uses it continuously. */
+/** This controller's share of the rate common to all; only the leader sends continuously. */
 const RATE_SHARE = 0.7;
 /** Share of the rate that machine lists may use; the rest is for provisioning and deletion. */
 const LIST_SHARE = 0.4;
 
-/** Called just before sending, since a request's authorization may end while it is queued. */
+/** Whether a request is still authorized. Called just before sending, after any queueing. */
 export type AuthorizationCheck = () => boolean;
 
 const RATE_LIMITED: NoAnswer = {
--- a/src/adapters/http/api-server.ts
+++ b/src/adapters/http/api-server.ts
@@ -16,7 +16,7 @@
 import { createRequestListener, type NodeApplication } from './hono-listener.js';
 import { MAX_HEARTBEAT_BYTES } from './request-body.js';
 
-/** Users' requests in flight above which new ones are answered 503, to bound memory use. */
+/** Limit of users' requests in flight, to bound memory; further ones are answered with 503. */
 export const MAX_REQUESTS_IN_FLIGHT = 400;
 /** Share of all sockets; the rest is for the cloud, the store, peers and commands to workers. */
 const API_SOCKET_SHARE = 0.85;
@@ -53,7 +53,7 @@
   }
 }
 
-/** Forwards requests, but answers users 503 while too many of their requests are in flight. */
+/** Forwards requests, but answers users with 503 at `MAX_REQUESTS_IN_FLIGHT`. */
 const limitInFlight = (listener: RequestListener): RequestListener => {
   let inFlight = 0;
   return (request, response) => {
--- a/src/adapters/http/heartbeat-connections.ts
+++ b/src/adapters/http/heartbeat-connections.ts
@@ -37,7 +37,7 @@
   );
 };
 
-/** A connection until it closes or is passed on. Answers one request at a time. */
+/** A connection until it closes or is handed over. Answers one request at a time. */
 class HeartbeatConnection {
   /** Received bytes that are not yet parsed as a request. */
   private unread: Buffer | null = null;
@@ -124,7 +124,7 @@
   }
 }
 
-/** Reads heartbeats from a new connection until other data arrives, which goes to `handOver`. */
+/** Answers heartbeats on a new connection until other data arrives, which goes to `handOver`. */
 export const acceptHeartbeats = (
   socket: Socket,
   handle: HeartbeatHandler,
--- a/src/adapters/http/heartbeat-framing.ts
+++ b/src/adapters/http/heartbeat-framing.ts
@@ -8,7 +8,7 @@
 export const HEARTBEAT_PATH = '/checkin';
 const REQUEST_LINE = `POST ${HEARTBEAT_PATH} HTTP/1.1\r\n`;
 const HEAD_END = '\r\n\r\n';
-/** Larger heads are left to Node's parser, which answers them with 431. */
+/** Larger heads are left to Node's parser, which answers those over its own limit with 431. */
 const MAX_HEAD_BYTES = 8 * 1024;
 /** Headers that change how a message is framed or answered. */
 const SPECIAL_HEADER = /\r\n(?:transfer-encoding|trailer|te|expect|upgrade)[ \t]*:/i;
--- a/src/adapters/peers/peer-client.ts
+++ b/src/adapters/peers/peer-client.ts
@@ -8,12 +8,11 @@
 import { encodeQuestion, parseAnswer } from './question-codec.js';
 
 const IDLE_TIMEOUT_MS = 30_000;
-/** After a connection is lost, questions fail for this long instead of opening a new one. */
+/** After a connection is lost, questions go unanswered for this long before a reconnect. */
 const RECONNECT_DELAY_MS = 300;
 /** Bound on pending questions, which limits the memory used at both ends. */
 const MAX_PENDING_QUESTIONS = 512;
 
-/** The connection to one peer. */
 export class PeerClient implements Peer {
   private socket: Socket | null = null;
   private connected = false;
--- a/src/adapters/peers/question-codec.ts
+++ b/src/adapters/peers/question-codec.ts
@@ -29,7 +29,6 @@
   readonly question: PeerRequest;
 }
 
-/** A received answer. */
 export type NumberedAnswer = v.InferOutput<typeof answerSchema>;
 
 /** Parses a question. Returns null if the message is malformed or of an unknown kind. */
--- a/src/adapters/wire/cloud.ts
+++ b/src/adapters/wire/cloud.ts
@@ -102,7 +102,6 @@
 const decodeStatus = (status: string): ListedMachine['status'] =>
   status === 'failed' || status === 'running' ? status : 'booting';
 
-/** One page of the list of machines. */
 export interface MachinePage {
   readonly machines: ListedMachine[];
   readonly hasMore: boolean;
--- a/src/cli/command-failures.ts
+++ b/src/cli/command-failures.ts
@@ -23,7 +23,10 @@
   process.stderr.write(`robinspread: ${text}\n`);
 };
 
-/** Ends a command that failed: reports errors that operators can act on, rethrows all others. */
+/**
+ * Handles a command's failure: prints one line and sets the exit code for errors that operators can
+ * act on, rethrows any other.
+ */
 export const handleCommandError = (error: unknown): void => {
   if (error instanceof SettingsError) {
     writeError(error.message);
