--- a/src/adapters/peers/peer-client.ts
+++ b/src/adapters/peers/peer-client.ts
@@ -1,23 +1,23 @@
-/** Sends questions to another controller, over one connection that is opened on demand. */
+/** Sends requests to another controller, over one connection that is opened on demand. */
 import { Socket } from 'node:net';
 import type { NodeId } from '../../core/model/ids.js';
 import type { Peer, PeerRequest } from '../../ports/peer.js';
 import type { Endpoint } from '../configuration/settings.js';
 import { steadyNow } from '../runtime/clock.js';
 import { encodeFrame, FrameDecoder } from './frames.js';
-import { encodeQuestion, parseAnswer } from './question-codec.js';
+import { encodeRequest, parseAnswer } from './request-codec.js';
 
 const IDLE_TIMEOUT_MS = 30_000;
-/** After a connection is lost, questions go unanswered for this long before a reconnect. */
+/** After a connection is lost, requests go unanswered for this long before a reconnect. */
 const RECONNECT_DELAY_MS = 300;
-/** Bound on pending questions, which limits the memory used at both ends. */
-const MAX_PENDING_QUESTIONS = 512;
+/** Bound on pending requests, which limits the memory used at both ends. */
+const MAX_PENDING_REQUESTS = 512;
 
 export class PeerClient implements Peer {
   private socket: Socket | null = null;
   private connected = false;
   private nextSequenceNumber = 1;
-  private readonly pendingQuestions = new Map<number, (answer: unknown) => void>();
+  private readonly pendingRequests = new Map<number, (answer: unknown) => void>();
   private reconnectAt = 0;
 
   constructor(
@@ -25,23 +25,23 @@
     private readonly endpoint: Endpoint,
   ) {}
 
-  request(question: PeerRequest, timeoutMs: number): Promise<unknown> {
+  request(request: PeerRequest, timeoutMs: number): Promise<unknown> {
     if (!this.socket && steadyNow() < this.reconnectAt) return Promise.resolve(undefined);
-    if (this.pendingQuestions.size >= MAX_PENDING_QUESTIONS) return Promise.resolve(undefined);
+    if (this.pendingRequests.size >= MAX_PENDING_REQUESTS) return Promise.resolve(undefined);
     const socket = this.connect();
     const n = this.nextSequenceNumber++;
     return new Promise((resolve) => {
       const timer = setTimeout(() => {
-        this.pendingQuestions.delete(n);
+        this.pendingRequests.delete(n);
         resolve(undefined);
-        // A connection attempt that is still pending is aborted; the next question reconnects.
+        // A connection attempt that is still pending is aborted; the next request reconnects.
         if (!this.connected) socket.destroy();
       }, timeoutMs);
-      this.pendingQuestions.set(n, (answer) => {
+      this.pendingRequests.set(n, (answer) => {
         clearTimeout(timer);
         resolve(answer);
       });
-      socket.write(encodeFrame(encodeQuestion(n, question)));
+      socket.write(encodeFrame(encodeRequest(n, request)));
     });
   }
 
@@ -72,19 +72,19 @@
   private handleAnswer(message: unknown): void {
     const answer = parseAnswer(message);
     if (!answer) return;
-    const resolve = this.pendingQuestions.get(answer.n);
-    this.pendingQuestions.delete(answer.n);
+    const resolve = this.pendingRequests.get(answer.n);
+    this.pendingRequests.delete(answer.n);
     resolve?.(answer.is);
   }
 
-  /** Resolves pending questions as unanswered. Ignores events of earlier connections. */
+  /** Resolves pending requests as unanswered. Ignores events of earlier connections. */
   private disconnect(socket: Socket): void {
     if (this.socket !== socket) return;
     this.socket = null;
     this.connected = false;
     this.reconnectAt = steadyNow() + RECONNECT_DELAY_MS;
-    for (const resolve of this.pendingQuestions.values()) resolve(undefined);
-    this.pendingQuestions.clear();
+    for (const resolve of this.pendingRequests.values()) resolve(undefined);
+    this.pendingRequests.clear();
     socket.destroy();
   }
 
--- a/src/adapters/peers/peer-server.ts
+++ b/src/adapters/peers/peer-server.ts
@@ -1,9 +1,9 @@
-/** TCP server that answers questions from other controllers. */
+/** TCP server that answers requests from other controllers. */
 import { createServer, type Server, type Socket } from 'node:net';
 import type { HandlePeerRequest } from '../../ports/peer.js';
 import type { Endpoint } from '../configuration/settings.js';
 import { encodeFrame, FrameDecoder } from './frames.js';
-import { encodeAnswer, parseQuestion } from './question-codec.js';
+import { encodeAnswer, parseRequest } from './request-codec.js';
 
 const IDLE_TIMEOUT_MS = 60_000;
 const MAX_CONNECTIONS = 64;
@@ -14,21 +14,21 @@
 const answerMessage = async (
   socket: Socket,
   message: unknown,
-  answerPeer: HandlePeerRequest,
+  handleRequest: HandlePeerRequest,
   onDropped: OnDroppedMessage,
 ): Promise<void> => {
-  const parsed = parseQuestion(message);
+  const parsed = parseRequest(message);
   if (!parsed) {
-    onDropped('malformed question');
+    onDropped('malformed request');
     return;
   }
-  const answer = await answerPeer(parsed.question);
+  const answer = await handleRequest(parsed.request);
   if (!socket.destroyed) socket.write(encodeFrame(encodeAnswer(parsed.n, answer)));
 };
 
 const handleConnection = (
   socket: Socket,
-  answerPeer: HandlePeerRequest,
+  handleRequest: HandlePeerRequest,
   onDropped: OnDroppedMessage,
 ): void => {
   const decoder = new FrameDecoder();
@@ -38,7 +38,7 @@
   socket.on('data', (bytes: Buffer) => {
     try {
       for (const message of decoder.decode(bytes)) {
-        answerMessage(socket, message, answerPeer, onDropped).catch((error: Error) =>
+        answerMessage(socket, message, handleRequest, onDropped).catch((error: Error) =>
           onDropped(error.message),
         );
       }
@@ -52,10 +52,10 @@
 /** Listens for peers. A message that cannot be answered is dropped; the others are not affected. */
 export const servePeers = (
   endpoint: Endpoint,
-  answerPeer: HandlePeerRequest,
+  handleRequest: HandlePeerRequest,
   onDropped: OnDroppedMessage,
 ): Server => {
-  const server = createServer((socket) => handleConnection(socket, answerPeer, onDropped));
+  const server = createServer((socket) => handleConnection(socket, handleRequest, onDropped));
   server.maxConnections = MAX_CONNECTIONS;
   server.listen(endpoint.port, endpoint.host);
   return server;
--- a/src/adapters/peers/question-codec.ts
+++ b/src/adapters/peers/request-codec.ts
@@ -1,11 +1,11 @@
-/** Wire format of questions and answers between controllers; both carry the same number `n`. */
+/** Wire format of requests and answers between controllers; both carry the same number `n`. */
 import * as v from 'valibot';
 import type { PeerRequest } from '../../ports/peer.js';
 
 const sequenceNumber = v.pipe(v.number(), v.integer());
 const jobId = v.pipe(v.string(), v.regex(/^job-\d{1,18}$/));
 
-const questionSchema = v.object({
+const requestSchema = v.object({
   n: sequenceNumber,
   ask: v.picklist(['status', 'abort', 'list', 'explain', 'health', 'admit', 'look', 'operate']),
   job: v.optional(jobId),
@@ -23,20 +23,20 @@
 
 const answerSchema = v.object({ n: sequenceNumber, is: v.unknown() });
 
-/** A received question, and the sequence number that its answer must carry. */
-export interface NumberedQuestion {
+/** A received request, and the sequence number that its answer must carry. */
+export interface NumberedRequest {
   readonly n: number;
-  readonly question: PeerRequest;
+  readonly request: PeerRequest;
 }
 
 export type NumberedAnswer = v.InferOutput<typeof answerSchema>;
 
-/** Parses a question. Returns null if the message is malformed or of an unknown kind. */
-export const parseQuestion = (message: unknown): NumberedQuestion | null => {
-  const result = v.safeParse(questionSchema, message);
+/** Parses a request. Returns null if the message is malformed or of an unknown kind. */
+export const parseRequest = (message: unknown): NumberedRequest | null => {
+  const result = v.safeParse(requestSchema, message);
   if (!result.success) return null;
-  const { n, ...question } = result.output;
-  return { n, question: question as PeerRequest };
+  const { n, ...request } = result.output;
+  return { n, request: request as PeerRequest };
 };
 
 /** Parses an answer. Returns null if the message is malformed. */
@@ -45,7 +45,7 @@
   return result.success ? result.output : null;
 };
 
-/** Encodes a question. `n` is the first field. */
-export const encodeQuestion = (n: number, question: PeerRequest) => ({ n, ...question });
+/** Encodes a request. `n` is the first field. */
+export const encodeRequest = (n: number, request: PeerRequest) => ({ n, ...request });
 
 export const encodeAnswer = (n: number, answer: unknown) => ({ n, is: answer });
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -33,7 +33,7 @@
   const loggedDropReasons = new LogDeduplicator();
   servePeers(
     settings.peerAddress,
-    (question) => controller.handlePeerRequest(question),
+    (request) => controller.handlePeerRequest(request),
     (reason) => {
       if (loggedDropReasons.isFirstOccurrence(reason))
         log.info({ reason }, 'peer message dropped without an answer');
