--- a/test/api-limits.test.ts
+++ b/test/api-limits.test.ts
@@ -1,4 +1,4 @@
-/** Limits of the HTTP interface and of the command loop behind it, under floods and overload. */
+/** Limits that protect the HTTP API and the command loop from overload. */
 import { Hono } from 'hono';
 import pino from 'pino';
 import { afterEach, describe, expect, it, vi } from 'vitest';
@@ -16,15 +16,15 @@
 
 afterEach(cleanUp);
 
-describe('malformed heartbeats', () => {
-  it('are refused each time, and logged once for each machine', async () => {
+describe('POST /checkin', () => {
+  it('rejects every malformed heartbeat, and logs each machine and reason once', async () => {
     const port = await freePort();
     const settings = parseSettings(settingsText({ api_addr: `127.0.0.1:${port}` }));
-    const lines: string[] = [];
-    const captured = pino({ level: 'info' }, { write: (line: string) => lines.push(line) });
+    const logLines: string[] = [];
+    const capturingLog = pino({ level: 'info' }, { write: (line: string) => logLines.push(line) });
     const controller: Pick<ControllerApi, 'extensions'> = { extensions: [] };
-    const app = makeApi(controller as ControllerApi, captured);
-    const server = serveApi({ settings, app, log: captured });
+    const app = makeApi(controller as ControllerApi, capturingLog);
+    const server = serveApi({ settings, app, log: capturingLog });
     cleanups.push(
       () => server.close(),
       () => server.closeAllConnections(),
@@ -34,20 +34,23 @@
         expect((await post(`127.0.0.1:${port}`, '/checkin', malformed))?.status).toBe(400);
       }
     }
-    expect(lines).toHaveLength(4);
+    expect(logLines).toHaveLength(4);
   });
 });
 
-describe('overload', () => {
-  it('turns users away beyond a bound with Retry-After, and serves again once there is room', async () => {
+describe('overload protection', () => {
+  it('answers 503 with Retry-After above the in-flight limit, then serves again', async () => {
     const port = await freePort();
-    const given = parseSettings(settingsText({ api_addr: `127.0.0.1:${port}` }));
-    const settings = { ...given, quota: { ...given.quota, maxConnections: 1000 } };
+    const defaultSettings = parseSettings(settingsText({ api_addr: `127.0.0.1:${port}` }));
+    const settings = {
+      ...defaultSettings,
+      quota: { ...defaultSettings.quota, maxConnections: 1000 },
+    };
     const app = new Hono();
-    const held: (() => void)[] = [];
-    let fast = false;
+    const heldResponses: (() => void)[] = [];
+    let respondsAtOnce = false;
     app.get('/slow', async (c) => {
-      if (!fast) await new Promise<void>((resolve) => held.push(resolve));
+      if (!respondsAtOnce) await new Promise<void>((resolve) => heldResponses.push(resolve));
       return c.json({});
     });
     const server = serveApi({ settings, app, log });
@@ -55,22 +58,22 @@
       () => server.close(),
       () => server.closeAllConnections(),
     );
-    const at = `127.0.0.1:${port}`;
+    const address = `127.0.0.1:${port}`;
     await until(() => server.listening);
-    const waiting = Array.from({ length: MAX_REQUESTS_IN_FLIGHT }, () =>
-      post(at, '/slow', undefined, 'GET'),
+    const pendingResponses = Array.from({ length: MAX_REQUESTS_IN_FLIGHT }, () =>
+      post(address, '/slow', undefined, 'GET'),
     );
-    await until(() => held.length === MAX_REQUESTS_IN_FLIGHT);
-    const refused = await post(at, '/slow', undefined, 'GET');
-    expect([refused?.status, refused?.headers['retry-after']]).toEqual([503, '1']);
-    fast = true;
-    for (const release of held) release();
-    for (const answer of await Promise.all(waiting)) expect(answer?.status).toBe(200);
-    expect((await post(at, '/slow', undefined, 'GET'))?.status).toBe(200);
+    await until(() => heldResponses.length === MAX_REQUESTS_IN_FLIGHT);
+    const rejected = await post(address, '/slow', undefined, 'GET');
+    expect([rejected?.status, rejected?.headers['retry-after']]).toEqual([503, '1']);
+    respondsAtOnce = true;
+    for (const respond of heldResponses) respond();
+    for (const response of await Promise.all(pendingResponses)) expect(response?.status).toBe(200);
+    expect((await post(address, '/slow', undefined, 'GET'))?.status).toBe(200);
     expect(server.maxConnections).toBeLessThan(settings.quota.maxConnections);
   });
 
-  it('settles commands within one long turn of the event loop, as after a failover', () => {
+  it('applies commands within one long turn of the event loop, as after a failover', () => {
     vi.useFakeTimers();
     cleanups.push(() => vi.useRealTimers());
     let clock = 0;
@@ -85,7 +88,7 @@
     });
     commandLoop.start([]);
     vi.advanceTimersByTime(1);
-    // No timer fires while the turn lasts.
+    // No timer fires during the turn.
     for (let i = 0; i < 500; i += 1) {
       commandLoop.submit({ kind: 'cancel-job', job: 'job-1' as JobId, ticket: 1 as ReplyTicket });
       clock += 8;
@@ -95,46 +98,47 @@
     expect(settled).toBe(500);
   });
 
-  it('decides together what comes in while the processor time of a round is paid off', () => {
+  it('batches commands submitted during the pause that follows a costly batch', () => {
     vi.useFakeTimers();
     cleanups.push(() => vi.useRealTimers());
-    const steps: number[] = [];
-    const state = core();
-    let cost = 0;
+    const settledPerInterval: number[] = [];
+    const coreState = core();
+    let decisionCostMs = 0;
     const commandLoop = new CommandLoop({
-      core: state,
+      core: coreState,
       authority: () => {
-        // Stands for a costly decision: the clock moves on while it is made.
-        vi.setSystemTime(Date.now() + cost);
-        clock += cost;
+        // Simulates a costly decision: the clock advances while it is made.
+        vi.setSystemTime(Date.now() + decisionCostMs);
+        clock += decisionCostMs;
         return 'lead';
       },
       runEffect: (effect) => {
-        if (effect.kind === 'cancellation-settled') steps[steps.length - 1]! += 1;
+        if (effect.kind === 'cancellation-settled')
+          settledPerInterval[settledPerInterval.length - 1]! += 1;
       },
       clock: () => clock as Instant,
     });
     let clock = 0;
     const cancelJob = () =>
       commandLoop.submit({ kind: 'cancel-job', job: 'job-1' as JobId, ticket: 1 as ReplyTicket });
-    const load = (every: number, count: number) => {
-      steps.length = 0;
+    const largestBatch = (intervalMs: number, count: number) => {
+      settledPerInterval.length = 0;
       for (let i = 0; i < count; i += 1) {
         cancelJob();
-        clock += every;
-        const before = state.lastTickAt;
-        steps.push(0);
-        vi.advanceTimersByTime(every);
-        expect(state.lastTickAt).toBe(before);
+        clock += intervalMs;
+        const tickBefore = coreState.lastTickAt;
+        settledPerInterval.push(0);
+        vi.advanceTimersByTime(intervalMs);
+        expect(coreState.lastTickAt).toBe(tickBefore);
       }
-      return Math.max(...steps);
+      return Math.max(...settledPerInterval);
     };
     commandLoop.start([]);
     vi.advanceTimersByTime(1);
-    const light = load(2, 40);
-    cost = 40;
-    const heavy = load(2, 200);
-    expect(light).toBe(1);
-    expect(heavy).toBeGreaterThan(5);
+    const batchAtNoCost = largestBatch(2, 40);
+    decisionCostMs = 40;
+    const batchAtHighCost = largestBatch(2, 200);
+    expect(batchAtNoCost).toBe(1);
+    expect(batchAtHighCost).toBeGreaterThan(5);
   });
 });
--- a/test/backfill.test.ts
+++ b/test/backfill.test.ts
@@ -28,10 +28,10 @@
 ];
 const NOW = 1_000_000;
 
-const drawnJob = fc.record({
-  age: fc.integer({ min: 0, max: 600 }),
+const jobArbitrary = fc.record({
+  ageS: fc.integer({ min: 0, max: 600 }),
   shape: fc.constantFrom('array' as const, 'array' as const, 'array' as const, 'service' as const),
-  idle: fc.constantFrom(1000, 1000, 1000, 20, 65, 80),
+  idleS: fc.constantFrom(1000, 1000, 1000, 20, 65, 80),
   priority: fc.constantFrom(
     'critical' as const,
     'urgent' as const,
@@ -52,7 +52,7 @@
   deadlineS: fc.option(fc.integer({ min: 10, max: 900 })),
   imageGb: fc.constantFrom(0, 0, 1.5, 3),
 });
-const drawnMachine = fc.record({
+const machineArbitrary = fc.record({
   type: fc.constantFrom(...TYPES.map((machineType) => machineType.name as string)),
   zone: fc.constantFrom('a', 'b'),
   spot: fc.boolean(),
@@ -60,24 +60,24 @@
   heartbeatAgeMs: fc.constantFrom(0, 700, 2100),
   hasPendingReply: fc.boolean(),
 });
-const drawnWorld = fc.record({
-  jobs: fc.array(drawnJob, { minLength: 1, maxLength: 8 }),
-  machines: fc.array(drawnMachine, { minLength: 1, maxLength: 5 }),
+const worldArbitrary = fc.record({
+  jobs: fc.array(jobArbitrary, { minLength: 1, maxLength: 8 }),
+  machines: fc.array(machineArbitrary, { minLength: 1, maxLength: 5 }),
   running: fc.array(
-    fc.record({ job: fc.nat(7), machine: fc.nat(4), startedAgo: fc.integer({ min: 0, max: 40 }) }),
+    fc.record({ job: fc.nat(7), machine: fc.nat(4), startedAgoS: fc.integer({ min: 0, max: 40 }) }),
     {
       maxLength: 8,
     },
   ),
-  head: fc.option(fc.nat(7)),
+  headIndex: fc.option(fc.nat(7)),
 });
 
-type DrawnWorld = typeof drawnWorld extends fc.Arbitrary<infer T> ? T : never;
+type GeneratedWorld = typeof worldArbitrary extends fc.Arbitrary<infer T> ? T : never;
 
-/** The same world for the real round and for the plain one. */
-const worldOf = (drawn: DrawnWorld, blue = 24, green = 10) => {
-  const quotas = { blue: { cpus: blue, gpus: 4 }, green: { cpus: green, gpus: 1 } };
-  const teams = [team('blue', blue, 4), team('green', green, 1)];
+/** Builds one world as core state and as input of the reference model. */
+const buildWorld = (generated: GeneratedWorld, blueCpus = 24, greenCpus = 10) => {
+  const quotas = { blue: { cpus: blueCpus, gpus: 4 }, green: { cpus: greenCpus, gpus: 1 } };
+  const teams = [team('blue', blueCpus, 4), team('green', greenCpus, 1)];
   const state = core({ teams: new Map(teams.map((t) => [t.name, t])) });
   for (const machineType of TYPES) state.types.set(machineType.name, machineType);
   const world: PlainWorld = {
@@ -88,12 +88,12 @@
     machines: [],
     runs: [],
     quotas,
-    queueHead: drawn.head === null ? null : `job-${drawn.head}`,
+    queueHead: generated.headIndex === null ? null : `job-${generated.headIndex}`,
   };
   state.queueHead = world.queueHead as JobId | null;
-  drawn.jobs.forEach(({ age, idle, ...rest }, i) => {
-    const submittedAt = NOW - age * 1000;
-    const idleSince = NOW - Math.min(age, idle) * 1000;
+  generated.jobs.forEach(({ ageS, idleS, ...rest }, i) => {
+    const submittedAt = NOW - ageS * 1000;
+    const idleSince = NOW - Math.min(ageS, idleS) * 1000;
     world.jobs.push({
       id: `job-${i}`,
       submittedAt,
@@ -106,7 +106,7 @@
     waitingJob.idleSince = idleSince as Instant;
     state.jobs.set(spec.id, waitingJob);
   });
-  drawn.machines.forEach((attributes, i) => {
+  generated.machines.forEach((attributes, i) => {
     const machineType = TYPES.find(({ name }) => name === attributes.type)!;
     const id = `n-${i}`;
     const nextHeartbeatMs = attributes.hasPendingReply
@@ -137,12 +137,12 @@
       machine.pendingReply = { ticket: 1 as ReplyTicket, since: NOW as Instant };
     state.machines.set(machine.id, machine);
   });
-  drawn.running.forEach((run, i) => {
+  generated.running.forEach((run, i) => {
     const job = [...state.jobs.values()][run.job % state.jobs.size]!;
     const machine = [...state.machines.values()][run.machine % state.machines.size]!;
     const index = takePendingTask(job);
     if (index === null) return;
-    const startedAt = (NOW - run.startedAgo * 1000) as Instant;
+    const startedAt = (NOW - run.startedAgoS * 1000) as Instant;
     const { id, team: teamName, cpus, gpus, memoryGb, estimateS } = job.spec;
     const placement: Placement = {
       entry: {
@@ -178,30 +178,30 @@
 };
 
 describe('runSchedulingRound', () => {
-  it('places what the plain model places, on the same machines, around the same head', () => {
+  it('matches the reference model in placements, preemptions and the queue head', () => {
     let placements = 0;
     let reservations = 0;
     let replicas = 0;
     let preemptions = 0;
     let reservedMachines = 0;
     fc.assert(
-      fc.property(drawnWorld, (drawn) => {
-        const { state, world } = worldOf(drawn);
-        const plain = plainRound(world);
-        const real = runSchedulingRound(state, NOW as Instant);
-        const placed = real.placed.map(
+      fc.property(worldArbitrary, (generated) => {
+        const { state, world } = buildWorld(generated);
+        const expected = plainRound(world);
+        const actual = runSchedulingRound(state, NOW as Instant);
+        const placed = actual.placed.map(
           (placement) => `${placement.entry.job}@${placement.machine.id}`,
         );
-        expect(placed).toEqual(plain.placed);
-        expect(state.queueHead).toBe(plain.queueHead);
+        expect(placed).toEqual(expected.placed);
+        expect(state.queueHead).toBe(expected.queueHead);
         const preempted = [...state.machines.values()].flatMap((machine) =>
           [...machine.placements.values()]
             .filter((placement) => placement.stopRequest)
             .map((placement) => `${placement.entry.job}@${machine.id}`),
         );
-        expect(preempted.sort()).toEqual(plain.preempted.sort());
+        expect(preempted.sort()).toEqual(expected.preempted.sort());
         preemptions += preempted.length;
-        replicas += real.placed.filter((placement) => isService(placement.job!)).length;
+        replicas += actual.placed.filter((placement) => isService(placement.job!)).length;
         reservedMachines += [...state.machines.values()].filter(
           (machine) => machine.isReservedForServices,
         ).length;
@@ -210,7 +210,7 @@
       }),
       { seed: 20261, numRuns: 3000 },
     );
-    // The comparison means something only where both have had something to decide.
+    // Guards against worlds too simple for a meaningful comparison.
     expect(placements).toBeGreaterThan(1000);
     expect(reservations).toBeGreaterThan(100);
     expect(replicas).toBeGreaterThan(300);
@@ -218,23 +218,23 @@
     expect(reservedMachines).toBeGreaterThan(300);
   });
 
-  /** A mostly busy fleet with more waiting than fits; `visits` counts what a round looks at. */
-  const fleet = (
+  /** Builds a mostly busy fleet with a backlog; `visits` counts image and placement reads. */
+  const buildFleet = (
     machines: number,
     jobs: number,
-    largest: number,
-    running: number,
+    headTasks: number,
+    runningTasks: number,
     services = false,
   ) => {
     const machineTypes = ['small', 'big', 'big'];
-    const drawn: DrawnWorld = {
+    const generated: GeneratedWorld = {
       jobs: Array.from({ length: jobs }, (_, i) => ({
-        age: (i * 37) % 300,
-        idle: 1000,
+        ageS: (i * 37) % 300,
+        idleS: 1000,
         shape: services && i % 6 === 3 && i < 200 ? 'service' : 'array',
         priority: (['critical', 'best_effort', 'standard'] as const)[i % 3]!,
         team: i % 2 ? 'green' : 'blue',
-        tasks: i === 0 ? largest : 1 + ((i * 7) % 50),
+        tasks: i === 0 ? headTasks : 1 + ((i * 7) % 50),
         cpus: i % 3 === 1 ? 4 : 1,
         gpus: 0,
         memoryGb: 1,
@@ -255,21 +255,21 @@
         heartbeatAgeMs: 0,
         hasPendingReply: i % 2 === 0,
       })),
-      running: Array.from({ length: running }, (_, i) => ({
+      running: Array.from({ length: runningTasks }, (_, i) => ({
         job: i,
         machine: i,
-        startedAgo: i % 30,
+        startedAgoS: i % 30,
       })),
-      head: 0,
+      headIndex: 0,
     };
-    const { state, world } = worldOf(drawn, machines * 5, machines * 4);
+    const { state, world } = buildWorld(generated, machines * 5, machines * 4);
     let visits = 0;
     for (const machine of state.machines.values()) {
       const { images, placements } = machine;
-      const has = images.has.bind(images);
+      const hasImage = images.has.bind(images);
       images.has = (image) => {
         visits += 1;
-        return has(image);
+        return hasImage(image);
       };
       const values = placements.values.bind(placements);
       placements.values = () => {
@@ -280,53 +280,57 @@
     return { state, world, visits: () => visits };
   };
 
-  it('decides as the plain model on a fleet of 990 machines', () => {
-    const { state, world } = fleet(990, 6, 40, 60);
-    const plain = plainRound(world);
-    const real = runSchedulingRound(state, NOW as Instant);
+  it('matches the reference model in placements on a fleet of 990 machines', () => {
+    const { state, world } = buildFleet(990, 6, 40, 60);
+    const expected = plainRound(world);
+    const actual = runSchedulingRound(state, NOW as Instant);
     expect(
-      real.placed.map((placement) => `${placement.entry.job}@${placement.machine.id}`),
-    ).toEqual(plain.placed);
-    expect(real.placed.length).toBeGreaterThan(50);
+      actual.placed.map((placement) => `${placement.entry.job}@${placement.machine.id}`),
+    ).toEqual(expected.placed);
+    expect(actual.placed.length).toBeGreaterThan(50);
   });
 
   it.each([false, true])(
-    'does work that grows with the fleet, not with its square (services: %s)',
+    'does work that is linear in the size of the fleet (services: %s)',
     (services) => {
-      // The head has more than ever fits, so that it reserves.
-      const once = fleet(990, 200, 5000, 2970, services);
-      const twice = fleet(1980, 400, 10_000, 5940, services);
-      const placed = [once, twice].map(
+      // The queue head has more tasks than fit, so it gets a reservation.
+      const single = buildFleet(990, 200, 5000, 2970, services);
+      const doubled = buildFleet(1980, 400, 10_000, 5940, services);
+      const placed = [single, doubled].map(
         ({ state }) => runSchedulingRound(state, NOW as Instant).placed.length,
       );
       expect(Math.min(...placed)).toBeGreaterThan(1000);
-      for (const { state } of [once, twice]) expect(state.shadowTime).not.toBeNull();
-      expect(twice.visits()).toBeLessThan(2.6 * once.visits());
-      // Far from every waiting task with every machine.
-      expect(once.visits()).toBeLessThan(60 * 990);
+      for (const { state } of [single, doubled]) expect(state.shadowTime).not.toBeNull();
+      expect(doubled.visits()).toBeLessThan(2.6 * single.visits());
+      // Far below one visit per waiting task and machine.
+      expect(single.visits()).toBeLessThan(60 * 990);
     },
   );
 
-  it('keeps the queue head until it has started, whatever arrives', () => {
+  it('keeps the queue head until it has started, whatever jobs arrive', () => {
     const state = core();
     state.types.set('c8' as MachineTypeName, type('c8'));
-    const at = { endpoint: '', type: 'c8' as MachineTypeName, zone: 'a' as ZoneName, spot: false };
-    const machine = createMachine('n-1' as MachineId, at, 0 as Instant, 0 as Instant);
+    const location = {
+      endpoint: '',
+      type: 'c8' as MachineTypeName,
+      zone: 'a' as ZoneName,
+      spot: false,
+    };
+    const machine = createMachine('n-1' as MachineId, location, 0 as Instant, 0 as Instant);
     machine.isReady = true;
     state.machines.set(machine.id, machine);
-    const add = (id: string, change: JobChange) => {
-      const spec = job(id, change);
+    const addJob = (id: string, changes: JobChange) => {
+      const spec = job(id, changes);
       state.jobs.set(spec.id, createJob(spec, 0 as Instant));
     };
-    add('job-1', { cpus: 6, estimateS: 50 });
+    addJob('job-1', { cpus: 6, estimateS: 50 });
     runSchedulingRound(state, 0 as Instant);
-    add('job-2', { cpus: 4, estimateS: 20 });
+    addJob('job-2', { cpus: 4, estimateS: 20 });
     runSchedulingRound(state, 0 as Instant);
     expect(state.queueHead).toBe('job-2');
-    // Shorter, so it scores higher; still it may neither take the head's rank nor outlast its
-    // reservation.
-    add('job-3', { cpus: 1, estimateS: 1 });
-    add('job-4', { cpus: 1, estimateS: 400, tasks: 4 });
+    // job-3 is shorter and scores higher, but must neither replace the head nor delay its start.
+    addJob('job-3', { cpus: 1, estimateS: 1 });
+    addJob('job-4', { cpus: 1, estimateS: 400, tasks: 4 });
     const round = runSchedulingRound(state, 0 as Instant);
     expect(state.queueHead).toBe('job-2');
     expect(state.shadowTime).toBe(50_000);
@@ -335,48 +339,53 @@
     expect(placed.filter((id) => id === 'job-4')).toHaveLength(1);
   });
 
-  it('preempts lower-priority tasks that write checkpoints, no more than an urgent head needs', () => {
-    const at = { endpoint: '', type: 'c8' as MachineTypeName, zone: 'a' as ZoneName, spot: false };
-    const preemptedBy = (
-      victim: JobChange,
-      urgent: JobChange,
+  it('preempts only checkpointing tasks of lower priority, no more than the head needs', () => {
+    const location = {
+      endpoint: '',
+      type: 'c8' as MachineTypeName,
+      zone: 'a' as ZoneName,
+      spot: false,
+    };
+    const runPreemption = (
+      victimChanges: JobChange,
+      headChanges: JobChange,
       startedAt = 0,
       policy: Partial<Policy> = {},
     ) => {
       const state = core({}, policy);
       state.types.set('c8' as MachineTypeName, type('c8'));
-      const machine = createMachine('n-1' as MachineId, at, 0 as Instant, 0 as Instant);
+      const machine = createMachine('n-1' as MachineId, location, 0 as Instant, 0 as Instant);
       machine.isReady = true;
       machine.lastHeartbeatAt = 64_000 as Instant;
       state.machines.set(machine.id, machine);
-      const array = job('job-1', {
+      const victimJob = job('job-1', {
         priority: 'best_effort',
         tasks: 4,
         cpus: 2,
         estimateS: 500,
-        ...victim,
+        ...victimChanges,
       });
-      state.jobs.set(array.id, createJob(array, 0 as Instant));
+      state.jobs.set(victimJob.id, createJob(victimJob, 0 as Instant));
       for (const placement of runSchedulingRound(state, 0 as Instant).placed) {
         placement.phase = 'running';
         placement.startedAt = startedAt as Instant;
       }
-      const head = job('job-2', { priority: 'urgent', cpus: 3, ...urgent });
-      state.jobs.set(head.id, createJob(head, 50_000 as Instant));
-      // Small enough for every gap, it must not take the capacity that is freed for the head.
-      const small = job('job-3', { priority: 'standard', tasks: 20, estimateS: 100 });
-      state.jobs.set(small.id, createJob(small, 50_000 as Instant));
+      const headJob = job('job-2', { priority: 'urgent', cpus: 3, ...headChanges });
+      state.jobs.set(headJob.id, createJob(headJob, 50_000 as Instant));
+      // This job fits any gap, but must not take the capacity freed for the head.
+      const smallJob = job('job-3', { priority: 'standard', tasks: 20, estimateS: 100 });
+      state.jobs.set(smallJob.id, createJob(smallJob, 50_000 as Instant));
       const round = runSchedulingRound(state, 60_000 as Instant);
       expect(round.placed).toEqual([]);
       const stopped = () =>
         [...machine.placements.values()].filter((placement) => placement.stopRequest);
-      const first = stopped().length;
+      const firstStopCount = stopped().length;
       runSchedulingRound(state, 60_100 as Instant);
-      expect(stopped().length).toBe(first);
+      expect(stopped().length).toBe(firstStopCount);
       return { state, stopped: stopped() };
     };
     const checkpointing = { checkpointIntervalS: 10, checkpointWriteS: 3 };
-    const { state, stopped } = preemptedBy(checkpointing, {});
+    const { state, stopped } = runPreemption(checkpointing, {});
     expect(stopped).toHaveLength(2);
     expect(stopped[0]?.stopRequest?.graceS).toBeGreaterThan(3);
     for (const placement of stopped) releasePlacement(state, placement, 64_000 as Instant);
@@ -384,23 +393,25 @@
       (placement) => placement.entry.job as string,
     );
     expect(placed.filter((id) => id === 'job-2')).toHaveLength(1);
-    // Not: tasks that lose their work, of equal priority, hardly begun; nor for a head of lower
-    // priority, nor where the policy forbids it.
-    expect(preemptedBy({ checkpointIntervalS: 0 }, {}).stopped).toEqual([]);
-    expect(preemptedBy({ ...checkpointing, priority: 'urgent' }, {}).stopped).toEqual([]);
-    expect(preemptedBy(checkpointing, {}, 40_000).stopped).toEqual([]);
-    expect(preemptedBy(checkpointing, { priority: 'standard', estimateS: 1 }).stopped).toEqual([]);
-    expect(preemptedBy(checkpointing, {}, 0, { preemptionMinPriority: 4 }).stopped).toEqual([]);
+    // Not preempted: tasks without checkpoints, of equal priority or just started; nor any task
+    // for a head of low priority, or where the policy forbids it.
+    expect(runPreemption({ checkpointIntervalS: 0 }, {}).stopped).toEqual([]);
+    expect(runPreemption({ ...checkpointing, priority: 'urgent' }, {}).stopped).toEqual([]);
+    expect(runPreemption(checkpointing, {}, 40_000).stopped).toEqual([]);
+    expect(runPreemption(checkpointing, { priority: 'standard', estimateS: 1 }).stopped).toEqual(
+      [],
+    );
+    expect(runPreemption(checkpointing, {}, 0, { preemptionMinPriority: 4 }).stopped).toEqual([]);
   });
 
-  it('never lets a job that fails everywhere head the queue', () => {
+  it('never selects a job that fails everywhere as the queue head', () => {
     const state = core();
     const spec = job('job-1', { cpus: 4 });
-    const failing = createJob(spec, 0 as Instant);
-    for (const id of ['n-1', 'n-2', 'n-3']) failing.failedMachines.add(id as MachineId);
-    state.jobs.set(spec.id, failing);
-    const other = job('job-2', { estimateS: 500 });
-    state.jobs.set(other.id, createJob(other, 9_000_000 as Instant));
+    const failingJob = createJob(spec, 0 as Instant);
+    for (const id of ['n-1', 'n-2', 'n-3']) failingJob.failedMachines.add(id as MachineId);
+    state.jobs.set(spec.id, failingJob);
+    const nextJob = job('job-2', { estimateS: 500 });
+    state.jobs.set(nextJob.id, createJob(nextJob, 9_000_000 as Instant));
     runSchedulingRound(state, 9_000_000 as Instant);
     expect(state.queueHead).toBe('job-2');
   });
@@ -408,9 +419,15 @@
 
 describe('scoreDeadline', () => {
   const spec = job('job-1', { estimateS: 10, deadlineS: 100 });
-  const at = (s: number) =>
-    scoreDeadline({ spec, submittedAt: 0 as Instant }, (s * 1000) as Instant, DEFAULT_POLICY);
-  it('is the minimum before the threshold, grows to the maximum at the deadline, and is 0 after', () => {
-    expect([at(0), at(69), at(70), at(80), at(90), at(91)]).toEqual([1, 1, 1, 5.5, 10, 0]);
+  const scoreAt = (elapsedS: number) =>
+    scoreDeadline(
+      { spec, submittedAt: 0 as Instant },
+      (elapsedS * 1000) as Instant,
+      DEFAULT_POLICY,
+    );
+  it('rises from minimum to maximum as the estimated end nears the deadline, then is 0', () => {
+    expect([scoreAt(0), scoreAt(69), scoreAt(70), scoreAt(80), scoreAt(90), scoreAt(91)]).toEqual([
+      1, 1, 1, 5.5, 10, 0,
+    ]);
   });
 });
--- a/test/batch-writer.test.ts
+++ b/test/batch-writer.test.ts
@@ -1,4 +1,4 @@
-/** The batch writer against a stand-in of the key-value store that loses requests and answers. */
+/** BatchWriter against a stand-in for the key-value store that loses requests and responses. */
 import { afterEach, describe, expect, it } from 'vitest';
 import { KeyValueStoreClient } from '../src/adapters/key-value-store/key-value-store-client.js';
 import { Jitter } from '../src/adapters/runtime/random.js';
@@ -13,65 +13,65 @@
 
 const STORED = { kind: 'stored', refused: [] };
 
-describe('the batch writer', () => {
+describe('BatchWriter', () => {
   const RATES = { rps: 1000, writeRps: 1000 };
   const setUp = async () => {
-    const state = new KeyValueStoreServer();
-    cleanups.push(() => state.close());
-    const at = await state.listen();
-    const [host, port] = at.split(':');
+    const store = new KeyValueStoreServer();
+    cleanups.push(() => store.close());
+    const address = await store.listen();
+    const [host, port] = address.split(':');
     const client = new KeyValueStoreClient(
       { host: host!, port: Number(port) },
       { ...RATES, lowered: RATES },
     );
     cleanups.push(() => client.close());
-    state.commit({ Apply: [{ Write: 'leader', Data: {} }] });
-    const fencingToken = state.revision as FencingToken;
+    store.commit({ Apply: [{ Write: 'leader', Data: {} }] });
+    const fencingToken = store.revision as FencingToken;
     const writer = new BatchWriter({ store: client, fencingToken, log, jitter: new Jitter(3) });
-    return { state, writer };
+    return { store, writer };
   };
-  const key = (n: number) => segmentKey(7 as FencingToken, n);
+  const keyOf = (n: number) => segmentKey(7 as FencingToken, n);
   const segment = (n: number, bits = n): StoreOperation => ({
     kind: 'write-segment',
-    key: key(n),
+    key: keyOf(n),
     machines: [],
     progress: [{ job: 'job-1' as JobId, firstTask: 0, bits: Uint8Array.of(bits) }],
   });
 
-  it('finds out by reading back that an unanswered transaction was executed', async () => {
-    const { state, writer } = await setUp();
-    state.answersToLose = 1;
+  it('detects by reading back that an unanswered transaction was executed', async () => {
+    const { store, writer } = await setUp();
+    store.answersToLose = 1;
     expect(await writer.storeBatch([segment(1)])).toEqual(STORED);
-    expect(state.transactions).toBe(1);
-    const dropped: StoreOperation = { kind: 'delete-segment', key: key(1) };
-    expect(await writer.storeBatch([segment(3), dropped])).toEqual(STORED);
-    expect(state.keys.get(key(3))?.value).toMatchObject({ d: [['job-1', 0, 'Aw==']] });
-    expect(state.keys.has(key(1))).toBe(false);
+    expect(store.transactions).toBe(1);
+    const deletion: StoreOperation = { kind: 'delete-segment', key: keyOf(1) };
+    expect(await writer.storeBatch([segment(3), deletion])).toEqual(STORED);
+    expect(store.keys.get(keyOf(3))?.value).toMatchObject({ d: [['job-1', 0, 'Aw==']] });
+    expect(store.keys.has(keyOf(1))).toBe(false);
   });
 
-  it('retries what was not executed', async () => {
-    const { state, writer } = await setUp();
-    state.requestsToDrop = 2;
+  it('retries a transaction that was not executed', async () => {
+    const { store, writer } = await setUp();
+    store.requestsToDrop = 2;
     expect(await writer.storeBatch([segment(1)])).toEqual(STORED);
-    expect(state.transactions).toBe(3);
+    expect(store.transactions).toBe(3);
   });
 
-  it('gives up once another node leads, and changes nothing', async () => {
-    const { state, writer } = await setUp();
-    state.commit({ Apply: [{ Write: 'leader', Data: { node: 'other' } }] });
-    const gone: StoreOperation = { kind: 'delete-segment', key: key(9) };
-    expect(await writer.storeBatch([segment(1), gone])).toEqual({ kind: 'leadership-lost' });
-    expect(state.keys.has(key(1))).toBe(false);
+  it('reports lost leadership once another node leads, and writes nothing', async () => {
+    const { store, writer } = await setUp();
+    store.commit({ Apply: [{ Write: 'leader', Data: { node: 'other' } }] });
+    const deletion: StoreOperation = { kind: 'delete-segment', key: keyOf(9) };
+    expect(await writer.storeBatch([segment(1), deletion])).toEqual({ kind: 'leadership-lost' });
+    expect(store.keys.has(keyOf(1))).toBe(false);
   });
 
-  it('guards each key by its revision, so that a late copy of an older write fails', async () => {
-    const { state, writer } = await setUp();
+  it('guards each key by its revision, so that a late copy of a write fails', async () => {
+    const { store, writer } = await setUp();
     await writer.storeBatch([segment(1)]);
-    const late = {
-      Guards: [{ Path: key(1), Stamp: 0 as Revision }],
-      Apply: [{ Write: key(1), Data: 'old' }],
+    const lateCopy = {
+      Guards: [{ Path: keyOf(1), Stamp: 0 as Revision }],
+      Apply: [{ Write: keyOf(1), Data: 'old' }],
     };
     await writer.storeBatch([segment(3)]);
-    expect(state.commit(late).status).toBe(409);
+    expect(store.commit(lateCopy).status).toBe(409);
   });
 });
--- a/test/compound-failures.test.ts
+++ b/test/compound-failures.test.ts
@@ -1,4 +1,4 @@
-/** Two failures at once, as scenarios for the core; docs/compound-failures.md lists them. */
+/** Core scenarios in which two failures coincide; docs/compound-failures.md lists them. */
 import { describe, expect, it } from 'vitest';
 import { applyCommands } from '../src/core/apply-commands.js';
 import { segmentKey } from '../src/core/ledger/segments.js';
@@ -27,7 +27,7 @@
 const id = 'job-1' as JobId;
 const cancelCommand = { kind: 'cancel-job', job: id, ticket: 77 as ReplyTicket } as const;
 
-/** A core driven up to the last task of a job with two; what follows is stored only when asked. */
+/** Runs a job of two tasks up to its last; the test confirms the batches that `apply` stores. */
 const driveToLastTask = () => {
   const driver = new CoreDriver();
   driver.submit('job-1', { tasks: 2 });
@@ -35,99 +35,104 @@
   driver.sendHeartbeat('n-1', [ended(starts[0]!, 'done'), running(starts[1]!)]);
   driver.advance(2000);
   let seq = 100;
-  const send = (...commands: Parameters<typeof applyCommands>[1][number][]) =>
+  const apply = (...commands: Parameters<typeof applyCommands>[1][number][]) =>
     applyCommands(driver.state, commands, driver.now as Instant, 'lead');
-  const lastTaskEnded = () => {
+  const lastTaskHeartbeat = () => {
     seq += 1;
     const reported = heartbeatOf('n-1', seq, 7, [ended(starts[1]!, 'done')]);
     return { kind: 'heartbeat', heartbeat: reported, ticket: seq as ReplyTicket } as const;
   };
-  return { driver, send, lastTaskEnded };
+  return { driver, apply, lastTaskHeartbeat };
 };
-const batchStored = (effects: readonly Effect[]) => {
-  const save = effects.find((effect) => effect.kind === 'store-batch');
-  if (save?.kind !== 'store-batch') throw new Error('stores nothing');
-  return { kind: 'batch-stored', batch: save.batch } as const;
+const batchStoredCommand = (effects: readonly Effect[]) => {
+  const storeBatch = effects.find((effect) => effect.kind === 'store-batch');
+  if (storeBatch?.kind !== 'store-batch') throw new Error('no store-batch effect to confirm');
+  return { kind: 'batch-stored', batch: storeBatch.batch } as const;
 };
-const outcomes = (effects: readonly Effect[]) =>
+const outcomesIn = (effects: readonly Effect[]) =>
   effects.flatMap((effect) =>
     effect.kind === 'cancellation-settled' || effect.kind === 'job-ended' ? [effect.outcome] : [],
   );
 
-describe('cancellation as the last task of a job ends', () => {
-  it('completes the job when the task ends first, and answers once the end is stored', () => {
-    const { driver, send, lastTaskEnded } = driveToLastTask();
-    const decided = send(lastTaskEnded());
-    expect(outcomes([...decided, ...send(cancelCommand)])).toEqual([]);
+describe('cancelling a job as its last task ends', () => {
+  it('completes the job if the task ends first, and answers once the end is stored', () => {
+    const { driver, apply, lastTaskHeartbeat } = driveToLastTask();
+    const effects = apply(lastTaskHeartbeat());
+    expect(outcomesIn([...effects, ...apply(cancelCommand)])).toEqual([]);
     expect(viewJob(driver.state, id, driver.now as Instant)).toBeNull();
-    expect(outcomes(send(batchStored(decided)))).toEqual(['done', 'done']);
-    expect(outcomes(send({ ...cancelCommand, ticket: 78 as ReplyTicket }))).toEqual([null]);
+    expect(outcomesIn(apply(batchStoredCommand(effects)))).toEqual(['done', 'done']);
+    expect(outcomesIn(apply({ ...cancelCommand, ticket: 78 as ReplyTicket }))).toEqual([null]);
   });
 
-  it('cancels the job when the request comes first, and keeps that end', () => {
-    const { driver, send, lastTaskEnded } = driveToLastTask();
-    const decided = send(cancelCommand);
-    expect(outcomes([...decided, ...send(lastTaskEnded())])).toEqual([]);
+  it('cancels the job if the request comes first, and keeps that outcome', () => {
+    const { driver, apply, lastTaskHeartbeat } = driveToLastTask();
+    const effects = apply(cancelCommand);
+    expect(outcomesIn([...effects, ...apply(lastTaskHeartbeat())])).toEqual([]);
     expect(viewJob(driver.state, id, driver.now as Instant)).toBeNull();
-    expect(outcomes(send(batchStored(decided)))).toEqual(['cancelled', 'cancelled']);
+    expect(outcomesIn(apply(batchStoredCommand(effects)))).toEqual(['cancelled', 'cancelled']);
     expect(driver.state.jobs.size).toBe(0);
   });
 
-  it('gives repeated requests in one batch with it the same outcome', () => {
-    const { driver, send, lastTaskEnded } = driveToLastTask();
-    const decided = send(lastTaskEnded(), cancelCommand, {
+  it('gives repeated requests the same outcome if all come in one batch', () => {
+    const { driver, apply, lastTaskHeartbeat } = driveToLastTask();
+    const effects = apply(lastTaskHeartbeat(), cancelCommand, {
       ...cancelCommand,
       ticket: 78 as ReplyTicket,
     });
-    expect(new Set(outcomes(send(batchStored(decided))))).toEqual(new Set(['done']));
+    expect(new Set(outcomesIn(apply(batchStoredCommand(effects))))).toEqual(new Set(['done']));
     expect(driver.state.jobs.size).toBe(0);
   });
 });
 
 describe('a machine that boots within two seconds and gets work at once', () => {
-  it('is sent no start before its ledger entry is stored, so a failover knows all', () => {
+  it('is sent no start before its ledger entry is stored, so that a failover repeats none', () => {
     const state = core({ acquiredAt: 0 as Instant });
     let stored: StoreOperation[] = [];
-    const run = (now: number, ...commands: Parameters<typeof applyCommands>[1][number][]) =>
+    const apply = (now: number, ...commands: Parameters<typeof applyCommands>[1][number][]) =>
       applyCommands(state, commands, now as Instant, 'lead');
-    run(0, { kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
-    run(10, { kind: 'machines-listed', requestedAt: 0 as Instant, machines: [] });
-    const asked = run(3000, {
+    apply(0, { kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
+    apply(10, { kind: 'machines-listed', requestedAt: 0 as Instant, machines: [] });
+    const submitEffects = apply(3000, {
       kind: 'job',
       spec: job('job-1', { tasks: 4 }),
       submittedAt: 3000 as Instant,
     });
-    const more = [...asked, ...run(3600, { kind: 'tick' })];
-    const provision = more.find((effect) => effect.kind === 'provision');
-    if (provision?.kind !== 'provision') throw new Error('provisions nothing');
+    const provisionEffects = [...submitEffects, ...apply(3600, { kind: 'tick' })];
+    const provision = provisionEffects.find((effect) => effect.kind === 'provision');
+    if (provision?.kind !== 'provision') throw new Error('no provision effect after submission');
     const request = provision.request as ProvisionRequestId;
-    run(3700, { kind: 'provision-result', request, result: 'ok', machines: ['n-1' as MachineId] });
-    const first = run(4500, {
+    apply(3700, {
+      kind: 'provision-result',
+      request,
+      result: 'ok',
+      machines: ['n-1' as MachineId],
+    });
+    const firstEffects = apply(4500, {
       kind: 'heartbeat',
       heartbeat: heartbeatOf('n-1', 1, 0, []),
       ticket: 1 as ReplyTicket,
     });
-    const save = first.find((effect) => effect.kind === 'store-batch');
-    if (save?.kind !== 'store-batch') throw new Error('stores nothing');
-    stored = [...save.operations];
-    // The write lags: the reply that the worker waits for must not hold the starts.
-    const answers = [...first, ...run(5500, { kind: 'tick' })].filter(
+    const storeBatch = firstEffects.find((effect) => effect.kind === 'store-batch');
+    if (storeBatch?.kind !== 'store-batch') throw new Error('no store-batch effect for the starts');
+    stored = [...storeBatch.operations];
+    // While the write is pending, replies must not contain the starts.
+    const replies = [...firstEffects, ...apply(5500, { kind: 'tick' })].filter(
       (effect) => effect.kind === 'reply-to-heartbeat',
     );
-    expect(answers).toMatchObject([{ ticket: 1, commands: [] }]);
-    // The write is confirmed late: the next reply brings the starts.
-    run(6000, { kind: 'batch-stored', batch: save.batch });
-    const second = run(6100, {
+    expect(replies).toMatchObject([{ ticket: 1, commands: [] }]);
+    // The write is confirmed late; the next reply contains the starts.
+    apply(6000, { kind: 'batch-stored', batch: storeBatch.batch });
+    const secondEffects = apply(6100, {
       kind: 'heartbeat',
       heartbeat: heartbeatOf('n-1', 2, 7, []),
       ticket: 2 as ReplyTicket,
     });
-    const sent = second.flatMap((effect) =>
+    const sentCommands = secondEffects.flatMap((effect) =>
       effect.kind === 'reply-to-heartbeat' && effect.commands ? effect.commands : [],
     );
-    expect(sent.map((command) => command.op)).toEqual(['start', 'start', 'start', 'start']);
-    // The leader ends. Its successor knows all attempts from the ledger, and starts none again.
-    const next = core({ fencingToken: 8 as FencingToken, acquiredAt: 6200 as Instant });
+    expect(sentCommands.map((command) => command.op)).toEqual(['start', 'start', 'start', 'start']);
+    // The leader fails. Its successor recovers all attempts from the ledger and repeats none.
+    const successor = core({ fencingToken: 8 as FencingToken, acquiredAt: 6200 as Instant });
     const commands: Parameters<typeof applyCommands>[1][number][] = [
       { kind: 'machine-types', types: [type('c8')] },
       { kind: 'job', spec: job('job-1', { tasks: 4 }), submittedAt: 3000 as Instant },
@@ -137,14 +142,19 @@
       for (const row of op.machines)
         commands.push({ kind: 'recovered-attempts', segment: op.key, ...row });
     }
-    applyCommands(next, [...commands, { kind: 'recovery-completed' }], 6200 as Instant, 'lead');
-    expect(next.jobs.get(id)?.attemptsByTask.size).toBe(4);
+    applyCommands(
+      successor,
+      [...commands, { kind: 'recovery-completed' }],
+      6200 as Instant,
+      'lead',
+    );
+    expect(successor.jobs.get(id)?.attemptsByTask.size).toBe(4);
     let starts = 0;
-    // A second machine has capacity for all of them; the first sends no heartbeat.
+    // Another machine has capacity for all tasks; the first sends no heartbeats.
     for (let i = 1; i < 12; i += 1) {
       const reported = heartbeatOf('n-2', i, i < 2 ? 7 : 8, []);
       const effects = applyCommands(
-        next,
+        successor,
         [{ kind: 'heartbeat', heartbeat: reported, ticket: i as ReplyTicket }, { kind: 'tick' }],
         (6200 + i * 1000) as Instant,
         'lead',
@@ -205,8 +215,8 @@
       storeBatches(
         applyCommands(state, [...commands, { kind: 'recovery-completed' }], now as Instant, 'lead'),
       );
-      // With each fencing token one more has ended; ended ones are reported until they are reaped.
-      const ends = term - 7;
+      // One more task ends in each term; ended tasks are reported until reaped.
+      const endedCount = term - 7;
       for (let i = 0; i < 10; i += 1) {
         now += 2000;
         const tasks = [...attempts]
@@ -216,8 +226,8 @@
               'job-1',
               index,
               attempt,
-              index < ends ? 'ended' : 'running',
-              index < ends ? 'done' : null,
+              index < endedCount ? 'ended' : 'running',
+              index < endedCount ? 'done' : null,
             ),
           );
         const reported = heartbeatOf('n-1', term * 100 + i, i < 1 ? term - 1 : term, tasks);
@@ -247,11 +257,14 @@
   });
 });
 
-describe('a stale heartbeat that shows a task as done while another attempt of it runs', () => {
-  /** Recovered: attempt 2 of task 0 may be on n-2; a deleted machine had done it as attempt 1. */
-  const recoverWithStaleEnd = () => {
+describe('a task reported as done while another attempt of it runs', () => {
+  /**
+   * Recovers attempt 2 of task 0 on n-2; a stale heartbeat of n-1, a deleted machine, then reports
+   * attempt 1 as done.
+   */
+  const recoverWithStaleHeartbeat = () => {
     const state = core({ fencingToken: 8 as FencingToken });
-    const run = (now: number, ...commands: Parameters<typeof applyCommands>[1][number][]) => {
+    const apply = (now: number, ...commands: Parameters<typeof applyCommands>[1][number][]) => {
       const effects = applyCommands(state, commands, now as Instant, 'lead');
       for (const effect of [...effects])
         if (effect.kind === 'store-batch')
@@ -270,16 +283,20 @@
       machine: 'n-2' as MachineId,
       attributes: recordedAttributes,
     };
-    run(
+    apply(
       0,
       { kind: 'machine-types', types: [type('c8')] },
       { kind: 'job', spec: job('job-1', { tasks: 2 }), submittedAt: 0 as Instant },
       { kind: 'recovered-attempts', ...row, entries: [ledgerEntry(0, 7_000_002)] },
       { kind: 'recovery-completed' },
     );
-    const copy = heartbeatOf('n-1', 9, 7, [task('job-1', 0, 7_000_001, 'ended', 'done')]);
-    const effects = run(500, { kind: 'heartbeat', heartbeat: copy, ticket: 1 as ReplyTicket });
-    return { state, run, effects };
+    const staleHeartbeat = heartbeatOf('n-1', 9, 7, [task('job-1', 0, 7_000_001, 'ended', 'done')]);
+    const effects = apply(500, {
+      kind: 'heartbeat',
+      heartbeat: staleHeartbeat,
+      ticket: 1 as ReplyTicket,
+    });
+    return { state, apply, effects };
   };
   const progressOf = (effects: readonly Effect[]) =>
     effects.flatMap((effect) =>
@@ -288,33 +305,39 @@
         : [],
     );
 
-  it('does not store the progress until that attempt is proven absent', () => {
-    const { state, run, effects } = recoverWithStaleEnd();
-    for (let now = 1000; now < 6000; now += 500) effects.push(...run(now, { kind: 'tick' }));
+  it('has its progress stored only once the other attempt is proven absent', () => {
+    const { state, apply, effects } = recoverWithStaleHeartbeat();
+    for (let now = 1000; now < 6000; now += 500) effects.push(...apply(now, { kind: 'tick' }));
     expect(state.jobs.get(id)?.doneCount).toBe(1);
     expect(progressOf(effects)).toEqual([]);
-    // n-2 is told to kill it, and its authoritative heartbeat then shows that it has.
-    const tell = (now: number, seq: number, term: number, phase: 'running' | 'ended') => {
-      const shown = task('job-1', 0, 7_000_002, phase, phase === 'ended' ? 'stopped' : null);
-      return run(now, {
+    // n-2 is sent a kill; its authoritative heartbeat then reports the attempt as ended.
+    const reportFromWorker = (
+      now: number,
+      seq: number,
+      term: number,
+      phase: 'running' | 'ended',
+    ) => {
+      const reportedTask = task('job-1', 0, 7_000_002, phase, phase === 'ended' ? 'stopped' : null);
+      return apply(now, {
         kind: 'heartbeat',
-        heartbeat: heartbeatOf('n-2', seq, term, [shown]),
+        heartbeat: heartbeatOf('n-2', seq, term, [reportedTask]),
         ticket: (seq + 10) as ReplyTicket,
       });
     };
-    const heard = tell(6000, 1, 7, 'running');
-    expect(heard).toContainEqual(
+    const replyEffects = reportFromWorker(6000, 1, 7, 'running');
+    expect(replyEffects).toContainEqual(
       expect.objectContaining({
         kind: 'reply-to-heartbeat',
         commands: [expect.objectContaining({ op: 'kill', attempt: 7_000_002 })],
       }),
     );
-    const after = [...tell(8000, 2, 8, 'ended')];
-    for (let now = 8500; now < 12_000; now += 500) after.push(...run(now, { kind: 'tick' }));
-    expect(progressOf(after)).toHaveLength(1);
+    const laterEffects = [...reportFromWorker(8000, 2, 8, 'ended')];
+    for (let now = 8500; now < 12_000; now += 500)
+      laterEffects.push(...apply(now, { kind: 'tick' }));
+    expect(progressOf(laterEffects)).toHaveLength(1);
   });
 
-  it('kills attempts that workers still report after recovery knows the task as done', () => {
+  it('has the other attempt killed when a worker reports it after recovery', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 2 });
     const bits = new Uint8Array([1]);
