--- a/test/direct-commands.test.ts
+++ b/test/direct-commands.test.ts
@@ -1,4 +1,4 @@
-/** Commands sent straight to workers. */
+/** Commands sent to workers directly, outside of heartbeat replies. */
 import { createServer as createHttpServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
@@ -8,10 +8,10 @@
 
 afterEach(cleanUp);
 
-describe('direct commands', () => {
-  it('reach many machines at once, as when a large job is cancelled', async () => {
-    const count = 90;
-    const waiting: (() => void)[] = [];
+describe('WorkerClient', () => {
+  it('sends commands to many machines concurrently, as to cancel a large job', async () => {
+    const machineCount = 90;
+    const heldResponses: (() => void)[] = [];
     const heartbeat = JSON.stringify({
       Berth: 'n-1',
       Endpoint: '127.0.0.1:9',
@@ -22,13 +22,13 @@
       Baton: 7,
     });
     const servers = await Promise.all(
-      Array.from({ length: count }, async () => {
+      Array.from({ length: machineCount }, async () => {
         const server = createHttpServer((_, res) => {
-          waiting.push(() =>
+          heldResponses.push(() =>
             res.writeHead(200, { 'content-type': 'application/json' }).end(heartbeat),
           );
-          // Nobody is answered before all have received theirs.
-          if (waiting.length === count) for (const answer of waiting) answer();
+          // No request is answered before all have arrived.
+          if (heldResponses.length === machineCount) for (const respond of heldResponses) respond();
         });
         await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
         cleanups.push(
@@ -38,28 +38,30 @@
         return server;
       }),
     );
-    const client = new WorkerClient(count);
-    const answers = await Promise.all(
+    const client = new WorkerClient(machineCount);
+    const responses = await Promise.all(
       servers.map((server) => {
         const { port } = server.address() as AddressInfo;
         return client.sendCommands(`127.0.0.1:${port}`, 7 as FencingToken, 1, []);
       }),
     );
-    expect(answers.filter((heartbeat) => heartbeat?.machine === 'n-1')).toHaveLength(count);
+    expect(responses.filter((heartbeat) => heartbeat?.machine === 'n-1')).toHaveLength(
+      machineCount,
+    );
   });
 
-  it('use no more sockets than allowed, and are all sent', async () => {
-    let open = 0;
-    let maxOpen = 0;
-    let received = 0;
+  it('opens no more sockets than allowed, and sends all commands', async () => {
+    let openSockets = 0;
+    let maxOpenSockets = 0;
+    let receivedRequests = 0;
     const server = createHttpServer((_, res) => {
-      received += 1;
+      receivedRequests += 1;
       setImmediate(() => res.writeHead(409).end('{}'));
     });
     server.on('connection', (socket) => {
-      open += 1;
-      maxOpen = Math.max(maxOpen, open);
-      socket.on('close', () => (open -= 1));
+      openSockets += 1;
+      maxOpenSockets = Math.max(maxOpenSockets, openSockets);
+      socket.on('close', () => (openSockets -= 1));
     });
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     cleanups.push(
@@ -72,7 +74,7 @@
       client.sendCommands(`127.0.0.1:${port}`, 7 as FencingToken, 1, []),
     );
     await Promise.all(requests);
-    expect(received).toBe(40);
-    expect(maxOpen).toBeLessThanOrEqual(5);
+    expect(receivedRequests).toBe(40);
+    expect(maxOpenSockets).toBeLessThanOrEqual(5);
   });
 });
--- a/test/duplicated-messages.test.ts
+++ b/test/duplicated-messages.test.ts
@@ -1,4 +1,4 @@
-/** Late and repeated copies of messages to the core. */
+/** Late and repeated messages to the core. */
 import { describe, expect, it } from 'vitest';
 import { applyCommands } from '../src/core/apply-commands.js';
 import { segmentKey } from '../src/core/ledger/segments.js';
@@ -27,22 +27,22 @@
     (effect) => effect.kind === 'delete-machines' && effect.machines.includes(id as MachineId),
   );
 
-describe('late copies of messages', () => {
-  it('prove and release nothing when heartbeats are stale or of deleted machines', () => {
+describe('applyCommands', () => {
+  it('releases no attempt on stale heartbeats, and ignores those of deleted machines', () => {
     const driver = new CoreDriver();
     driver.bringUp('n-1');
     driver.submit('job-1', { tasks: 3 });
     const starts = driver.startsIn(driver.sendHeartbeat('n-1'));
     driver.sendHeartbeat('n-1', starts.map(running));
     const { teamUsage: usage } = driver.state;
-    for (const copy of [
+    for (const staleHeartbeat of [
       heartbeatOf('n-1', 1, 7, []),
       heartbeatOf('n-1', 2, 6, []),
       heartbeatOf('n-1', 99, 7, [], { agentEpoch: 0 }),
     ]) {
       const lastSeen = driver.state.machines.get('n-1' as MachineId)!.lastHeartbeatAt;
       driver.now += 3000;
-      driver.send({ kind: 'heartbeat', heartbeat: copy, ticket: 500 as ReplyTicket });
+      driver.send({ kind: 'heartbeat', heartbeat: staleHeartbeat, ticket: 500 as ReplyTicket });
       expect(usage.get('blue' as TeamName)?.cpus).toBe(3);
       expect(driver.state.machines.get('n-1' as MachineId)!.lastHeartbeatAt).toBe(lastSeen);
     }
@@ -56,7 +56,7 @@
     expect(driver.state.jobs.get('job-1' as JobId)?.pendingTasks).toBe(3);
   });
 
-  it('release no recovered attempt when they show a new leader a machine first', () => {
+  it('releases no recovered attempt if a new leader first gets stale heartbeats', () => {
     const state = core();
     const send = (now: number, ...commands: Command[]) =>
       applyCommands(state, commands, now as Instant, 'lead');
@@ -91,20 +91,24 @@
     expect(deleted).toBe(true);
   });
 
-  it('change nothing when they repeat a provision result, a deletion or a submission', () => {
+  it('ignores a repeated provision result, deletion result or submission', () => {
     const driver = new CoreDriver();
     driver.submit('job-1');
     const provision = driver.effects.find((effect) => effect.kind === 'provision');
-    if (provision?.kind !== 'provision') throw new Error('nothing provisioned');
-    const answer: Command = {
+    if (provision?.kind !== 'provision') throw new Error('no provision effect after submission');
+    const provisionResult: Command = {
       kind: 'provision-result',
       request: provision.request,
       result: 'ok',
       machines: ['n-1' as MachineId],
     };
-    driver.send(answer);
+    driver.send(provisionResult);
     driver.send({ kind: 'deletion-result', machines: ['n-1' as MachineId], ok: true });
-    driver.send(answer, { kind: 'deletion-result', machines: ['n-1' as MachineId], ok: true });
+    driver.send(provisionResult, {
+      kind: 'deletion-result',
+      machines: ['n-1' as MachineId],
+      ok: true,
+    });
     expect(driver.state.machines.size).toBe(0);
     driver.send({ kind: 'job', spec: job('job-1', { tasks: 9 }), submittedAt: 0 as Instant });
     expect(driver.state.jobs.get('job-1' as JobId)?.spec.tasks).toBe(1);
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -1,4 +1,4 @@
-/** The election against a key-value store stand-in that answers late, on a fake clock. */
+/** Leader election against a stand-in for a slow key-value store, on a fake clock. */
 import pino from 'pino';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { steadyNow } from '../src/adapters/runtime/clock.js';
@@ -14,25 +14,22 @@
 
 const LEASE_MS = 3000;
 
-/** What an election asks of the key-value store. */
+/** The key-value store methods that an election calls. */
 type ElectionRequests = Pick<
   KeyValueStore,
   'get' | 'grantLease' | 'renewLease' | 'revokeLease' | 'compareAndSwap' | 'watch'
 >;
 
-/**
- * One leader key, leases, and a delay each way. Requests under way when a process ends are still
- * carried out.
- */
+/** A slow store of one leader key and leases. It executes requests even of stopped clients. */
 class SlowKeyValueStore {
   delayMs = 0;
   revision = 0;
   key: { value: unknown; revision: Revision; lease: number } | null = null;
-  private readonly leaseEnds = new Map<number, number>();
+  private readonly leaseExpiries = new Map<number, number>();
   private nextLease = 1;
   private watchers: (() => void)[] = [];
 
-  private async carryOut<T>(request: () => T | Promise<T>): Promise<T> {
+  private async execute<T>(request: () => T | Promise<T>): Promise<T> {
     await new Promise((resolve) => setTimeout(resolve, this.delayMs));
     this.expireLeases();
     const result = request();
@@ -41,9 +38,9 @@
   }
 
   private expireLeases(): void {
-    for (const [lease, end] of this.leaseEnds) {
-      if (steadyNow() <= end) continue;
-      this.leaseEnds.delete(lease);
+    for (const [lease, expiry] of this.leaseExpiries) {
+      if (steadyNow() <= expiry) continue;
+      this.leaseExpiries.delete(lease);
       if (this.key?.lease === lease) this.writeLeaderKey(null);
     }
   }
@@ -51,13 +48,13 @@
   private writeLeaderKey(key: { value: unknown; lease: number } | null): void {
     this.revision += 1;
     this.key = key && { ...key, revision: this.revision as Revision };
-    for (const wake of this.watchers.splice(0)) wake();
+    for (const notify of this.watchers.splice(0)) notify();
   }
 
   client(): KeyValueStore {
     const client: ElectionRequests = {
       get: () =>
-        this.carryOut(() =>
+        this.execute(() =>
           this.key
             ? {
                 kind: 'found',
@@ -66,33 +63,33 @@
             : { kind: 'absent' },
         ),
       grantLease: (lifeMs: number) =>
-        this.carryOut(() => {
+        this.execute(() => {
           const lease = this.nextLease++ as LeaseId;
-          this.leaseEnds.set(lease, steadyNow() + lifeMs);
+          this.leaseExpiries.set(lease, steadyNow() + lifeMs);
           return { kind: 'granted', lease };
         }),
       renewLease: (lease: LeaseId) =>
-        this.carryOut(() => {
-          if (!this.leaseEnds.has(lease)) return { kind: 'lease-expired' };
-          this.leaseEnds.set(lease, steadyNow() + LEASE_MS);
+        this.execute(() => {
+          if (!this.leaseExpiries.has(lease)) return { kind: 'lease-expired' };
+          this.leaseExpiries.set(lease, steadyNow() + LEASE_MS);
           return { kind: 'renewed' };
         }),
       revokeLease: (lease: LeaseId) =>
-        this.carryOut(() => {
-          this.leaseEnds.delete(lease);
+        this.execute(() => {
+          this.leaseExpiries.delete(lease);
           if (this.key?.lease === lease) this.writeLeaderKey(null);
         }),
       compareAndSwap: (preconditions: Precondition[], writes: Mutation[]) =>
-        this.carryOut(() => {
+        this.execute(() => {
           const write = writes[0]!;
           if (!('put' in write) || preconditions[0]!.revision !== (this.key?.revision ?? 0))
             return { kind: 'conflict' };
-          if (!this.leaseEnds.has(write.lease!)) return { kind: 'lease-expired' };
+          if (!this.leaseExpiries.has(write.lease!)) return { kind: 'lease-expired' };
           this.writeLeaderKey({ value: write.value, lease: write.lease! });
           return { kind: 'committed', revision: this.revision as Revision };
         }),
       watch: (_: string, since: Revision, holdMs: number) =>
-        this.carryOut(async () => {
+        this.execute(async () => {
           if (this.revision <= since) {
             await Promise.race([
               new Promise<void>((resolve) => this.watchers.push(resolve)),
@@ -115,7 +112,12 @@
     vi.useRealTimers();
   });
 
-  const start = (store: SlowKeyValueStore, node: string, tokens: FencingToken[], seed: number) => {
+  const startElection = (
+    store: SlowKeyValueStore,
+    node: string,
+    tokens: FencingToken[],
+    seed: number,
+  ) => {
     const election = new LeaderElection({
       node: node as NodeId,
       store: store.client(),
@@ -137,7 +139,7 @@
     const store = new SlowKeyValueStore();
     store.delayMs = 1000;
     const tokens: FencingToken[] = [];
-    const election = start(store, 'node-0', tokens, 1);
+    const election = startElection(store, 'node-0', tokens, 1);
     await vi.advanceTimersByTimeAsync(12_000);
     expect(tokens).toHaveLength(1);
     for (let i = 0; i < 300; i += 1) {
@@ -148,18 +150,18 @@
     election.stop();
   });
 
-  it('gives each leader a new fencing token, and never has two at once, as nodes restart', async () => {
+  it('elects one leader at a time, each with a new fencing token, as nodes restart', async () => {
     const store = new SlowKeyValueStore();
     store.delayMs = 3;
     const tokens: FencingToken[] = [];
     const elections = ['node-0', 'node-1', 'node-2'].map((node, i) =>
-      start(store, node, tokens, i + 1),
+      startElection(store, node, tokens, i + 1),
     );
-    const draw = new Jitter(77);
+    const jitter = new Jitter(77);
     for (let i = 0; i < 200; i += 1) {
-      await vi.advanceTimersByTimeAsync(draw.apply(300));
+      await vi.advanceTimersByTimeAsync(jitter.apply(300));
       expect(elections.filter(isLeading).length).toBeLessThanOrEqual(1);
-      // One ends, the leader most often, also in mid-election, and is back within 250 ms.
+      // Stops one node, mostly the leader, even mid-election, and restarts it within 250 ms.
       const index =
         i % 3 === 0
           ? i % elections.length
@@ -170,7 +172,7 @@
       elections[index]!.stop();
       elections[index]!.stepDown();
       await vi.advanceTimersByTimeAsync(i % 250);
-      elections[index] = start(store, `node-${index}`, tokens, 100 + i);
+      elections[index] = startElection(store, `node-${index}`, tokens, 100 + i);
     }
     await vi.advanceTimersByTimeAsync(10_000);
     expect(elections.filter(isLeading)).toHaveLength(1);
--- a/test/extensions.test.ts
+++ b/test/extensions.test.ts
@@ -1,4 +1,4 @@
-/** The extension host: without an extension nothing changes, and a faulty one stops nothing. */
+/** The extension host: an idle extension changes no decision, and a faulty one stops nothing. */
 import { describe, expect, it } from 'vitest';
 import { drainModule } from '../packages/drain/src/index.js';
 import { settingsOf } from '../packages/drain/test/support/settings.js';
@@ -18,8 +18,8 @@
 import { core } from './support/builders.js';
 import { CoreDriver, ended, running } from './support/core-driver.js';
 
-/** An extension that does nothing but what a test overrides. */
-const extension = (change: Partial<Extension>): Extension => ({
+/** A no-op extension, apart from the methods that a test overrides. */
+const stubExtension = (change: Partial<Extension>): Extension => ({
   name: 'probe',
   load: () => {},
   observe: () => {},
@@ -36,8 +36,8 @@
   return new CoreDriver(state);
 };
 
-/** Two machines, tasks that end, one that fails, a reclaim notice: every effect of that day. */
-const playDay = (driver: CoreDriver): Effect[] => {
+/** Runs tasks, some failing, on two machines, with a reclaim notice; returns all effects. */
+const runScenario = (driver: CoreDriver): Effect[] => {
   for (const id of ['n-1', 'n-2']) driver.bringUp(id);
   driver.submit('job-1', { tasks: 6, cpus: 2 });
   driver.submit('job-2', { shape: 'service', tasks: 2, priority: 'critical', allowsSpot: false });
@@ -60,24 +60,24 @@
   return driver.effects;
 };
 
-describe('without an extension', () => {
-  it('decides and stores the same as with an idle one, and no step has more effects', () => {
-    const off = new CoreDriver();
-    const on = new CoreDriver(core());
-    on.state.extensions = new ExtensionHost(on.state, [
+describe('the core without an extension', () => {
+  it('decides as with an idle one, which adds no effects but its record batches', () => {
+    const driverWithout = new CoreDriver();
+    const driverWithIdle = new CoreDriver(core());
+    driverWithIdle.state.extensions = new ExtensionHost(driverWithIdle.state, [
       drainModule(settingsOf('(drain (budgets (default (at-once 100))))')).create(),
     ]);
-    const plain = playDay(off);
-    const withIdle = playDay(on);
-    const extra = withIdle.filter(
+    const effectsWithout = runScenario(driverWithout);
+    const effectsWithIdle = runScenario(driverWithIdle);
+    const recordBatches = effectsWithIdle.filter(
       (effect) =>
         effect.kind === 'store-batch' &&
         effect.operations.some((op) => op.kind === 'write-extension-records'),
     );
-    expect(plain.length).toBeGreaterThan(100);
-    expect(plain.some((effect) => effect.kind === 'delete-machines')).toBe(true);
-    expect(plain.some((effect) => effect.kind === 'provision')).toBe(true);
-    // Only disruptions that nobody chose are written down by the package.
+    expect(effectsWithout.length).toBeGreaterThan(100);
+    expect(effectsWithout.some((effect) => effect.kind === 'delete-machines')).toBe(true);
+    expect(effectsWithout.some((effect) => effect.kind === 'provision')).toBe(true);
+    // The drain package records only involuntary disruptions.
     const comparable = (effects: readonly Effect[]) =>
       effects
         .filter(
@@ -88,24 +88,26 @@
             effect.kind === 'reply-to-heartbeat',
         )
         .map((effect) => JSON.stringify(effect));
-    expect(comparable(withIdle)).toEqual(comparable(plain));
-    expect(withIdle.length - plain.length).toBeLessThanOrEqual(2 * extra.length);
+    expect(comparable(effectsWithIdle)).toEqual(comparable(effectsWithout));
+    expect(effectsWithIdle.length - effectsWithout.length).toBeLessThanOrEqual(
+      2 * recordBatches.length,
+    );
   });
 
   it('holds no extension host, so that no hook runs', () => {
     const driver = new CoreDriver();
-    playDay(driver);
+    runScenario(driver);
     expect(driver.state.extensions).toBeNull();
   });
 });
 
 describe('an extension that throws', () => {
-  it('is logged and left out for that step; placement goes on, and it is called again in the next', () => {
-    let asked = 0;
+  it('is logged and skipped for one step; placement continues, and the next step calls it', () => {
+    let decideCalls = 0;
     const driver = driverWith(
-      extension({
+      stubExtension({
         decide: () => {
-          asked += 1;
+          decideCalls += 1;
           throw new Error('broken');
         },
         observe: () => {
@@ -122,16 +124,16 @@
       starts.map((command) => ended(command, 'done')),
     );
     expect(driver.effects.some((effect) => effect.kind === 'job-ended')).toBe(true);
-    expect(asked).toBeGreaterThan(3);
-    const notes = driver.effects.filter(
+    expect(decideCalls).toBeGreaterThan(3);
+    const failureLogs = driver.effects.filter(
       (effect) => effect.kind === 'log' && effect.text.startsWith('extension failed'),
     );
-    expect(notes.length).toBeGreaterThan(3);
+    expect(failureLogs.length).toBeGreaterThan(3);
   });
 
-  it('gives no consent to disruptions: replicas stay, idle machines are kept', () => {
+  it('gives no consent to evictions: replicas on a draining machine stay', () => {
     const driver = driverWith(
-      extension({
+      stubExtension({
         mayEvictReplica: () => {
           throw new Error('broken');
         },
@@ -139,21 +141,21 @@
     );
     for (const id of ['n-1', 'n-2']) driver.bringUp(id);
     driver.submit('job-1', { shape: 'service', priority: 'critical' });
-    const holder = ['n-1', 'n-2'].find((id) => {
+    const holderId = ['n-1', 'n-2'].find((id) => {
       const starts = driver.startsIn(driver.sendHeartbeat(id));
       if (starts.length > 0) driver.sendHeartbeat(id, starts.map(running));
       return starts.length > 0;
     })!;
-    const machine = driver.state.machines.get(holder as MachineId)!;
+    const machine = driver.state.machines.get(holderId as MachineId)!;
     machine.isDraining = true;
-    const held = [...machine.placements.values()][0]!;
+    const replica = [...machine.placements.values()][0]!;
     driver.advance(4000);
-    expect(held.stopRequest).toBeNull();
+    expect(replica.stopRequest).toBeNull();
   });
 
-  it('answers a call with 503', () => {
+  it('answers an operator call with 503', () => {
     const driver = driverWith(
-      extension({
+      stubExtension({
         call: () => {
           throw new Error('broken');
         },
@@ -171,16 +173,16 @@
 describe('records of extensions', () => {
   it('take a bounded share of each batch, in order, and are reported as stored', () => {
     const stored: string[] = [];
-    let left = 40;
+    let remaining = 40;
     const driver = driverWith(
-      extension({
+      stubExtension({
         decide: (): ExtensionRequest[] => {
-          if (left === 0) return [];
+          if (remaining === 0) return [];
           const requests: ExtensionRequest[] = [];
-          for (; left > 0; left -= 1)
+          for (; remaining > 0; remaining -= 1)
             requests.push({
               kind: 'write',
-              writes: [{ key: `k-${String(left).padStart(2, '0')}`, value: 1 }],
+              writes: [{ key: `k-${String(remaining).padStart(2, '0')}`, value: 1 }],
             });
           return requests;
         },
@@ -194,20 +196,20 @@
       effect.kind === 'store-batch' ? [effect.operations] : [],
     );
     const sizes = batches.map(
-      (ops) => ops.filter((op) => op.kind === 'write-extension-records').length,
+      (operations) => operations.filter((op) => op.kind === 'write-extension-records').length,
     );
     expect(Math.max(...sizes)).toBeLessThanOrEqual(6);
     expect(stored).toHaveLength(40);
     expect(stored).toEqual([...stored].sort().reverse());
   });
 
-  it('are guarded by the leader key and their own revisions; deleting an absent one is left out', async () => {
-    const sent: unknown[] = [];
+  it('are guarded by leader key and revision; deletions of absent ones are skipped', async () => {
+    const transactions: unknown[] = [];
     const STORED = { kind: 'stored', refused: [] };
     const store: Pick<KeyValueStore, 'isDown' | 'compareAndSwap'> = {
       isDown: false,
       compareAndSwap: async (guards, writes) => {
-        sent.push({ guards, writes });
+        transactions.push({ guards, writes });
         return { kind: 'committed', revision: 9 as Revision };
       },
     };
@@ -218,7 +220,7 @@
       log,
       jitter: jitter as Jitter,
     });
-    const ops: StoreOperation[] = [
+    const operations: StoreOperation[] = [
       {
         kind: 'write-extension-records',
         extension: 'drain',
@@ -233,7 +235,7 @@
         writes: [{ key: 'gone', value: null }],
       },
     ];
-    expect(await writer.storeBatch(ops)).toEqual(STORED);
+    expect(await writer.storeBatch(operations)).toEqual(STORED);
     expect(
       await writer.storeBatch([
         {
@@ -243,7 +245,7 @@
         },
       ]),
     ).toEqual(STORED);
-    expect(sent).toEqual([
+    expect(transactions).toEqual([
       {
         guards: [
           { key: 'leader', revision: 7 },
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -1,4 +1,4 @@
-/** What a new leader may do, and what a leader without a lease may still do for its workers. */
+/** Limits on a new leader, and on a leader that has lost its lease but not its workers. */
 import { describe, expect, it } from 'vitest';
 import { applyCommands } from '../src/core/apply-commands.js';
 import { segmentKey } from '../src/core/ledger/segments.js';
@@ -16,7 +16,7 @@
 import { CoreDriver, running } from './support/core-driver.js';
 
 describe('a leader that has lost the key-value store and its peers, but not its workers', () => {
-  it('sends no commands; its successor starts nothing twice, in time for cancelled jobs too', () => {
+  it('sends no commands; its successor restarts tasks once their worker leases expire', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 2 });
     const starts = driver.startsIn(driver.bringUp('n-1'));
@@ -26,7 +26,7 @@
     for (let i = 0; i < 3; i += 1)
       expect(driver.sendHeartbeat('n-1', runningAttempts, {}, 'keep-alive')).toEqual([]);
     expect(driver.sendHeartbeat('n-1', runningAttempts, {}, 'none')).toBeNull();
-    // The successor gets no heartbeat from n-1, and the cloud does not answer its deletion.
+    // The successor gets no heartbeat from n-1, and the cloud does not confirm its deletion.
     const successor = core({ fencingToken: 8 as FencingToken });
     const apply = (now: number, ...commands: Command[]) =>
       applyCommands(successor, commands, now as Instant, 'lead');
@@ -66,17 +66,18 @@
           if (!firstSentAt.has(start.attempt)) firstSentAt.set(start.attempt, now);
       }
     }
-    const startedAt = [...firstSentAt.values()];
-    expect(startedAt).toHaveLength(2);
-    // Longer than the old leader may answer and its answers count; shorter than a cancellation has.
-    for (const at of startedAt) expect(at).toBeGreaterThan(graceAfterLeaseLossMs + workerLeaseMs);
-    for (const at of startedAt)
-      expect(at).toBeLessThan(graceAfterLeaseLossMs + workerLeaseMs + 5000);
+    const startTimes = [...firstSentAt.values()];
+    expect(startTimes).toHaveLength(2);
+    // After the last reply of the former leader has expired, but before a cancellation is due.
+    for (const sentAt of startTimes)
+      expect(sentAt).toBeGreaterThan(graceAfterLeaseLossMs + workerLeaseMs);
+    for (const sentAt of startTimes)
+      expect(sentAt).toBeLessThan(graceAfterLeaseLossMs + workerLeaseMs + 5000);
   });
 });
 
 describe('a new leader', () => {
-  it('keeps machines known from the ledger alone for two leases while none reports', () => {
+  it('keeps silent machines known only from the ledger for two worker leases', () => {
     const state = core();
     const apply = (now: number, ...commands: Command[]) =>
       applyCommands(state, commands, now as Instant, 'lead');
--- a/test/fault-handling.test.ts
+++ b/test/fault-handling.test.ts
@@ -1,4 +1,4 @@
-/** Faulty machines, failing jobs, malformed messages, and what a leader does about each. */
+/** How a leader handles faulty machines, failing jobs and malformed messages. */
 import { describe, expect, it } from 'vitest';
 import { applyCommands } from '../src/core/apply-commands.js';
 import { segmentKey } from '../src/core/ledger/segments.js';
@@ -27,7 +27,7 @@
 const SEGMENT = segmentKey(6 as FencingToken, 1);
 
 describe('faulty machines', () => {
-  it('are replaced when they fail tasks of several jobs', () => {
+  it('are drained and deleted when they fail tasks of several jobs', () => {
     const driver = new CoreDriver();
     driver.submit('job-1');
     driver.submit('job-2');
@@ -49,15 +49,15 @@
     ).toBe(true);
   });
 
-  it('are not blamed for a job that fails on all of them, which backs off', () => {
+  it('are not drained for a job that fails on all of them; that job backs off', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 1 });
-    let tries = 0;
+    let startCount = 0;
     for (const id of ['n-1', 'n-2', 'n-3']) driver.bringUp(id);
     for (let round = 0; round < 40; round += 1) {
       for (const id of ['n-1', 'n-2', 'n-3']) {
         const starts = driver.startsIn(driver.sendHeartbeat(id));
-        tries += starts.length;
+        startCount += starts.length;
         if (starts.length > 0)
           driver.sendHeartbeat(
             id,
@@ -65,10 +65,10 @@
           );
       }
     }
-    expect(tries).toBeGreaterThan(3);
-    expect(tries).toBeLessThan(14);
+    expect(startCount).toBeGreaterThan(3);
+    expect(startCount).toBeLessThan(14);
     for (const machine of driver.state.machines.values()) expect(machine.isDraining).toBe(false);
-    // It does not block the queue: another job gets the machines at once.
+    // The failing job does not block the queue: another gets the machines at once.
     driver.submit('job-2', { tasks: 8 });
     expect(driver.state.queueHead).not.toBe('job-1');
     expect(explainJob(driver.state, 'job-1' as JobId, driver.now as Instant)?.failsEverywhere).toBe(
@@ -88,23 +88,23 @@
       driver.advance(2500);
       for (const id of others) expect(driver.startsIn(driver.sendHeartbeat(id))).toEqual([]);
     }
-    const asked = driver.effects.flatMap((effect) =>
+    const deletionRequests = driver.effects.flatMap((effect) =>
       effect.kind === 'delete-machines' ? effect.machines : [],
     );
-    expect(asked).toContain(holder);
+    expect(deletionRequests).toContain(holder);
     driver.send({ kind: 'deletion-result', machines: [holder as MachineId], ok: true });
-    const again = others.flatMap((id) => driver.startsIn(driver.sendHeartbeat(id)));
-    expect(again).toHaveLength(1);
+    const restarts = others.flatMap((id) => driver.startsIn(driver.sendHeartbeat(id)));
+    expect(restarts).toHaveLength(1);
     // Late heartbeats of the deleted machine change nothing.
     expect(driver.sendHeartbeat(holder, [])).toBeNull();
     expect(driver.state.machines.has(holder as MachineId)).toBe(false);
   });
 
-  it('are not deleted at once when most fall silent together', () => {
+  it('are not deleted at once when most stop sending heartbeats together', () => {
     const driver = new CoreDriver();
     const ids = ['n-1', 'n-2', 'n-3', 'n-4'];
     for (const id of ids) driver.bringUp(id);
-    // Their last heartbeats come a moment apart.
+    // Their last heartbeats arrive 400 ms apart.
     for (const id of ids) {
       driver.send({
         kind: 'heartbeat',
@@ -121,7 +121,7 @@
     ).not.toEqual([]);
   });
 
-  it('are drained on a reclaim notice: tasks are checkpointed, or killed if too long', () => {
+  it('are drained on a reclaim notice: long tasks write a checkpoint or are killed', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', {
       tasks: 1,
@@ -148,7 +148,7 @@
     expect(kills.get('job-2')).toMatchObject({ graceS: 0 });
   });
 
-  it('are not assumed to have failed to boot when a new leader learns of them late', () => {
+  it('are not deleted as failed boots when a new leader lists them long after boot', () => {
     const driver = new CoreDriver();
     const machines = [
       {
@@ -167,11 +167,11 @@
     );
   });
 
-  it('are replaced when they never come up', () => {
+  it('are deleted when they have not booted within the time limit', () => {
     const driver = new CoreDriver();
     driver.submit('job-1');
     const provision = driver.effects.find((effect) => effect.kind === 'provision');
-    if (provision?.kind !== 'provision') throw new Error('nothing provisioned');
+    if (provision?.kind !== 'provision') throw new Error('no provision effect after submission');
     driver.send({
       kind: 'provision-result',
       request: provision.request,
@@ -189,8 +189,8 @@
   });
 });
 
-describe('malformed input', () => {
-  it('kills a reported task that its job does not have, and does not count it for the job', () => {
+describe('applyCommands on malformed input', () => {
+  it('kills a reported task that its job does not have, and does not count it', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 2 });
     const starts = driver.startsIn(driver.bringUp('n-1'));
@@ -204,7 +204,7 @@
     ).toBe(true);
   });
 
-  it('ignores a progress record that cannot be the job’s', () => {
+  it('ignores recovered progress whose first task is invalid for the job', () => {
     const state = core();
     applyCommands(
       state,
@@ -212,7 +212,7 @@
       0 as Instant,
       'lead',
     );
-    for (const from of [-8, 8, 4, 8192, Number.NaN, 0.5]) {
+    for (const firstTask of [-8, 8, 4, 8192, Number.NaN, 0.5]) {
       const bits = Uint8Array.of(255);
       applyCommands(
         state,
@@ -221,7 +221,7 @@
             kind: 'recovered-progress',
             segment: SEGMENT,
             job: 'job-1' as JobId,
-            firstTask: from,
+            firstTask,
             bits,
           },
         ],
@@ -236,7 +236,7 @@
 describe('a leader', () => {
   it('provisions nothing before it has read the machine list, and reuses no request id', () => {
     const state = core();
-    const tick = (at: number) => applyCommands(state, [{ kind: 'tick' }], at as Instant, 'lead');
+    const tick = (now: number) => applyCommands(state, [{ kind: 'tick' }], now as Instant, 'lead');
     applyCommands(
       state,
       [{ kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' }],
@@ -252,33 +252,33 @@
       3000 as Instant,
       'lead',
     );
-    const names: string[] = [];
-    for (let at = 4000; at < 90_000; at += 500) {
-      for (const effect of tick(at)) {
+    const requestIds: string[] = [];
+    for (let now = 4000; now < 90_000; now += 500) {
+      for (const effect of tick(now)) {
         if (effect.kind !== 'provision') continue;
-        names.push(effect.request);
+        requestIds.push(effect.request);
         applyCommands(
           state,
           [{ kind: 'provision-result', request: effect.request, result: 'refused', machines: [] }],
-          at as Instant,
+          now as Instant,
           'lead',
         );
       }
     }
-    expect(names.length).toBeGreaterThan(5);
-    expect(new Set(names).size).toBe(names.length);
-    for (const name of names) expect(name).toMatch(/^r-7-/);
+    expect(requestIds.length).toBeGreaterThan(5);
+    expect(new Set(requestIds).size).toBe(requestIds.length);
+    for (const requestId of requestIds) expect(requestId).toMatch(/^r-7-/);
   });
 
-  it('keeps workers alive with empty replies without a lease, and then turns them away', () => {
+  it('sends empty replies while it may only keep workers alive, and none after that', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 4 });
     const starts = driver.startsIn(driver.bringUp('n-1'));
     expect(starts).toHaveLength(4);
     driver.submit('job-2', { tasks: 4 });
     expect(driver.sendHeartbeat('n-1', starts.map(running), {}, 'keep-alive')).toEqual([]);
-    const silent = driver.run('keep-alive', [{ kind: 'tick' }]);
-    expect(silent.filter((effect) => effect.kind !== 'log')).toEqual([]);
+    const tickEffects = driver.run('keep-alive', [{ kind: 'tick' }]);
+    expect(tickEffects.filter((effect) => effect.kind !== 'log')).toEqual([]);
     expect(driver.sendHeartbeat('n-1', starts.map(running), {}, 'none')).toBeNull();
   });
 
@@ -307,7 +307,7 @@
     const driver = new CoreDriver(state);
     driver.bringUp('n-2');
     expect(driver.startsIn(driver.sendHeartbeat('n-2'))).toEqual([]);
-    // A heartbeat with an older fencing token and a direct response prove no absence.
+    // Neither a heartbeat with an older fencing token nor a direct response proves absence.
     driver.send({
       kind: 'heartbeat',
       heartbeat: heartbeatOf('n-1', 1, 6),
@@ -333,7 +333,7 @@
     driver.submit('job-1', { tasks: 2 });
     const starts = driver.startsIn(driver.bringUp('n-1'));
     const reported = [ended(starts[0]!, 'done'), running(starts[1]!)];
-    const held: Effect[] = applyCommands(
+    const effects: Effect[] = applyCommands(
       driver.state,
       [
         {
@@ -345,17 +345,17 @@
       driver.now as Instant,
       'lead',
     );
-    const answer = held.find((effect) => effect.kind === 'reply-to-heartbeat');
-    expect(answer).toMatchObject({ commands: [] });
+    const reply = effects.find((effect) => effect.kind === 'reply-to-heartbeat');
+    expect(reply).toMatchObject({ commands: [] });
     driver.advance(2000);
-    const later = driver.state.machines.get('n-1' as MachineId)!;
-    later.heartbeatSequence = 0;
+    const machine = driver.state.machines.get('n-1' as MachineId)!;
+    machine.heartbeatSequence = 0;
     expect(driver.sendHeartbeat('n-1', reported)).toMatchObject([
       { op: 'reap', index: starts[0]!.index },
     ]);
   });
 
-  it('kills a cancelled job at once, also starts under way, and confirms it once stored', () => {
+  it('kills a cancelled job, unconfirmed starts included, and confirms once it is stored', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 2 });
     const starts = driver.startsIn(driver.bringUp('n-1'));
@@ -370,7 +370,7 @@
     expect(effects.find((effect) => effect.kind === 'send-commands')).toMatchObject({
       commands: [{ op: 'kill' }, { op: 'kill' }],
     });
-    // The worker received the second start after all: the kills are sent again.
+    // The worker received the second start: both kills are sent again.
     expect(driver.sendHeartbeat('n-1', starts.map(running))).toMatchObject([
       { op: 'kill' },
       { op: 'kill' },
