--- a/test/heartbeat-http.test.ts
+++ b/test/heartbeat-http.test.ts
@@ -1,4 +1,4 @@
-/** Heartbeats over HTTP: framing, what is left to the HTTP server, and the parser's memory. */
+/** Heartbeats over HTTP: framing, requests left to the HTTP server, and the parser's cache. */
 import { connect, type Socket } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
 import { parseSettings } from '../src/adapters/configuration/settings.js';
@@ -20,58 +20,60 @@
 
 const MAX_BODY = 1000;
 
-const request = (
+const requestText = (
   body: string,
   headers: readonly string[] = [],
-  line = 'POST /checkin HTTP/1.1',
+  requestLine = 'POST /checkin HTTP/1.1',
 ): string =>
-  `${[line, 'Host: 10.0.0.1', `Content-Length: ${body.length}`, ...headers].join('\r\n')}\r\n\r\n${body}`;
+  `${[requestLine, 'Host: 10.0.0.1', `Content-Length: ${body.length}`, ...headers].join('\r\n')}\r\n\r\n${body}`;
 
-const kindOf = (text: string): Framing['kind'] => frameHeartbeat(Buffer.from(text), MAX_BODY).kind;
+const framingKindOf = (text: string): Framing['kind'] =>
+  frameHeartbeat(Buffer.from(text), MAX_BODY).kind;
 
 describe('frameHeartbeat', () => {
-  it('reports a request as incomplete until its last byte has come', () => {
-    const whole = request('{"a":1}');
-    for (let n = 1; n < whole.length; n += 1) expect(kindOf(whole.slice(0, n))).toBe('incomplete');
-    const framing = frameHeartbeat(Buffer.from(`${whole}POST`), MAX_BODY);
+  it('reports a request as incomplete until its last byte has arrived', () => {
+    const message = requestText('{"a":1}');
+    for (let n = 1; n < message.length; n += 1)
+      expect(framingKindOf(message.slice(0, n))).toBe('incomplete');
+    const framing = frameHeartbeat(Buffer.from(`${message}POST`), MAX_BODY);
     if (framing.kind !== 'request') throw new Error(framing.kind);
-    expect(whole.slice(framing.bodyStart, framing.bodyEnd)).toBe('{"a":1}');
+    expect(message.slice(framing.bodyStart, framing.bodyEnd)).toBe('{"a":1}');
     expect(framing.close).toBe(false);
   });
 
-  it('leaves all but plain heartbeats to the HTTP server', () => {
-    const others = [
-      request('{}', [], 'GET /checkin HTTP/1.1'),
-      request('{}', [], 'POST /checkin?x=1 HTTP/1.1'),
-      request('{}', [], 'POST /checkin HTTP/1.0'),
-      request('{}', [], 'POST /api/jobs HTTP/1.1'),
-      request('{}', ['Transfer-Encoding: chunked']),
-      request('{}', ['transfer-encoding : chunked']),
-      request('{}', ['Expect: 100-continue']),
-      request('{}', ['Upgrade: websocket']),
-      request('{}', ['Content-Length: 2']),
-      request('{}', ['Content-Length: 3']),
-      request('{}', ['Connection: close', 'Connection: keep-alive']),
-      request('{}', ['Connection: upgrade']),
-      request('x'.repeat(MAX_BODY + 1)),
+  it('reports all requests but plain heartbeats as unsupported', () => {
+    const unsupported = [
+      requestText('{}', [], 'GET /checkin HTTP/1.1'),
+      requestText('{}', [], 'POST /checkin?x=1 HTTP/1.1'),
+      requestText('{}', [], 'POST /checkin HTTP/1.0'),
+      requestText('{}', [], 'POST /api/jobs HTTP/1.1'),
+      requestText('{}', ['Transfer-Encoding: chunked']),
+      requestText('{}', ['transfer-encoding : chunked']),
+      requestText('{}', ['Expect: 100-continue']),
+      requestText('{}', ['Upgrade: websocket']),
+      requestText('{}', ['Content-Length: 2']),
+      requestText('{}', ['Content-Length: 3']),
+      requestText('{}', ['Connection: close', 'Connection: keep-alive']),
+      requestText('{}', ['Connection: upgrade']),
+      requestText('x'.repeat(MAX_BODY + 1)),
       `POST /checkin HTTP/1.1\r\nHost: a\r\n\r\n{}`,
       `POST /checkin HTTP/1.1\r\nContent-Length: -1\r\n\r\n{}`,
       `POST /checkin HTTP/1.1\r\nContent-Length: 2, 2\r\n\r\n{}`,
-      request('{}', [`X: ${'y'.repeat(9000)}`]),
+      requestText('{}', [`X: ${'y'.repeat(9000)}`]),
       'G',
     ];
-    for (const text of others)
-      expect([text.slice(0, 80), kindOf(text)]).toEqual([text.slice(0, 80), 'unsupported']);
+    for (const text of unsupported)
+      expect([text.slice(0, 80), framingKindOf(text)]).toEqual([text.slice(0, 80), 'unsupported']);
   });
 
-  it('recognizes that the client wants the connection closed', () => {
-    const framing = frameHeartbeat(Buffer.from(request('{}', ['Connection: Close'])), MAX_BODY);
+  it('recognizes a request to close the connection', () => {
+    const framing = frameHeartbeat(Buffer.from(requestText('{}', ['Connection: Close'])), MAX_BODY);
     expect(framing).toMatchObject({ kind: 'request', close: true });
   });
 });
 
-/** A connection that gathers what comes back. */
-const dial = async (
+/** Opens a connection that collects the received text. */
+const openConnection = async (
   port: number,
 ): Promise<{ socket: Socket; text: () => string; closed: () => boolean }> => {
   let text = '';
@@ -88,18 +90,18 @@
   return { socket, text: () => text, closed: () => closed };
 };
 
-const answersIn = (text: string): number => text.split('HTTP/1.1 ').length - 1;
+const countResponses = (text: string): number => text.split('HTTP/1.1 ').length - 1;
 
-/** An API that answers a heartbeat with its body; with `hold`, once its `waiting` is called. */
+/** An API that echoes heartbeats; with `holdsReplies`, only when `heldReplies` are called. */
 const echoServer = async () => {
   const port = await freePort();
   const settings = parseSettings(settingsText({ api_addr: `127.0.0.1:${port}` }));
   const bodies: string[] = [];
-  const waiting: (() => void)[] = [];
-  const control = { hold: false };
+  const heldReplies: (() => void)[] = [];
+  const control = { holdsReplies: false };
   const handleHeartbeat = async (body: string): Promise<HeartbeatReply> => {
     bodies.push(body);
-    if (control.hold) await new Promise<void>((resolve) => waiting.push(resolve));
+    if (control.holdsReplies) await new Promise<void>((resolve) => heldReplies.push(resolve));
     return { status: 200, body: { got: body } };
   };
   const controller: Pick<ControllerApi, 'isReady' | 'extensions'> = {
@@ -112,87 +114,87 @@
     () => server.close(),
     () => server.closeAllConnections(),
   );
-  /** Requests that Node's HTTP server has seen, of whatever kind. */
+  /** Requests of any kind that reached Node's HTTP server. */
   const httpRequests = { count: 0 };
   server.on('request', () => {
     httpRequests.count += 1;
   });
   await until(() => server.listening);
-  return { port, bodies, waiting, control, httpRequests };
+  return { port, bodies, heldReplies, control, httpRequests };
 };
 
 describe('heartbeat connections', () => {
-  it('answer one request after the other, cut into single bytes or sent at once', async () => {
+  it('answer requests in order, sent byte by byte or several at once', async () => {
     const { port, bodies, httpRequests } = await echoServer();
-    const { socket, text } = await dial(port);
-    for (const byte of request('{"n":1}')) socket.write(byte);
-    await until(() => answersIn(text()) === 1);
+    const { socket, text } = await openConnection(port);
+    for (const byte of requestText('{"n":1}')) socket.write(byte);
+    await until(() => countResponses(text()) === 1);
     socket.write(
-      request('{"n":2}') +
-        request('{"n":"\u00e4"}').replace('Content-Length: 9', 'Content-Length: 10'),
+      requestText('{"n":2}') +
+        requestText('{"n":"\u00e4"}').replace('Content-Length: 9', 'Content-Length: 10'),
     );
-    await until(() => answersIn(text()) === 3);
+    await until(() => countResponses(text()) === 3);
     expect(bodies).toEqual(['{"n":1}', '{"n":2}', '{"n":"\u00e4"}']);
     expect(httpRequests.count).toBe(0);
   });
 
-  it('hand all but plain heartbeats over to the HTTP server, without losing a byte', async () => {
+  it('hand all but plain heartbeats to the HTTP server without losing a byte', async () => {
     const { port, bodies, httpRequests } = await echoServer();
-    const { socket, text } = await dial(port);
-    socket.write(request('{"n":1}'));
-    await until(() => answersIn(text()) === 1);
-    // Chunked and cut in the middle of its head.
+    const { socket, text } = await openConnection(port);
+    socket.write(requestText('{"n":1}'));
+    await until(() => countResponses(text()) === 1);
+    // A chunked request split in its header.
     const chunked =
       'POST /checkin HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n7\r\n{"n":2}\r\n0\r\n\r\n';
     socket.write(chunked.slice(0, 40));
     await new Promise((resolve) => setTimeout(resolve, 30));
     socket.write(chunked.slice(40));
-    await until(() => answersIn(text()) === 2);
+    await until(() => countResponses(text()) === 2);
     socket.write('GET /up HTTP/1.1\r\nHost: a\r\n\r\n');
-    await until(() => answersIn(text()) === 3);
-    socket.write(request('{"n":3}'));
-    await until(() => answersIn(text()) === 4);
+    await until(() => countResponses(text()) === 3);
+    socket.write(requestText('{"n":3}'));
+    await until(() => countResponses(text()) === 4);
     expect(bodies).toEqual(['{"n":1}', '{"n":2}', '{"n":3}']);
     expect(httpRequests.count).toBe(3);
     expect(text()).toContain('{"ok":true}');
   });
 
-  it('close when asked to, and survive a worker that hangs up', async () => {
-    const { port, control, waiting, bodies } = await echoServer();
-    const asked = await dial(port);
-    asked.socket.write(request('{}', ['Connection: close']));
-    await until(() => asked.closed());
-    expect(asked.text()).toContain('Connection: close');
-    control.hold = true;
-    const gone = await dial(port);
-    gone.socket.write(request('{}'));
-    await until(() => waiting.length === 1);
-    gone.socket.destroy();
-    await until(() => gone.closed());
-    waiting[0]!();
-    // Half closed, it still gets its answer.
-    const half = await dial(port);
-    half.socket.end(request('{"half":1}'));
-    await until(() => waiting.length === 2);
-    waiting[1]!();
-    await until(() => half.closed());
-    expect(answersIn(half.text())).toBe(1);
+  it('close on request, and handle a worker that disconnects before its reply', async () => {
+    const { port, control, heldReplies, bodies } = await echoServer();
+    const closing = await openConnection(port);
+    closing.socket.write(requestText('{}', ['Connection: close']));
+    await until(() => closing.closed());
+    expect(closing.text()).toContain('Connection: close');
+    control.holdsReplies = true;
+    const aborted = await openConnection(port);
+    aborted.socket.write(requestText('{}'));
+    await until(() => heldReplies.length === 1);
+    aborted.socket.destroy();
+    await until(() => aborted.closed());
+    heldReplies[0]!();
+    // A half-closed connection still receives its reply.
+    const halfClosed = await openConnection(port);
+    halfClosed.socket.end(requestText('{"half":1}'));
+    await until(() => heldReplies.length === 2);
+    heldReplies[1]!();
+    await until(() => halfClosed.closed());
+    expect(countResponses(halfClosed.text())).toBe(1);
     expect(bodies).toHaveLength(3);
   });
 
-  it('are closed when the worker keeps sending while it waits for its answer', async () => {
-    const { port, control, waiting } = await echoServer();
-    control.hold = true;
-    const { socket, closed } = await dial(port);
+  it('are closed when the worker keeps sending while its reply is pending', async () => {
+    const { port, control, heldReplies } = await echoServer();
+    control.holdsReplies = true;
+    const { socket, closed } = await openConnection(port);
     socket.on('error', () => {});
-    socket.write(request('{}'));
-    await until(() => waiting.length === 1);
-    const part = 'x'.repeat(1024 * 1024);
-    for (let i = 0; i < 5; i += 1) socket.write(part);
+    socket.write(requestText('{}'));
+    await until(() => heldReplies.length === 1);
+    const chunk = 'x'.repeat(1024 * 1024);
+    for (let i = 0; i < 5; i += 1) socket.write(chunk);
     await until(() => closed());
   });
 
-  it('answer as the HTTP server does: 400 for malformed, 421, 503 with Retry-After', async () => {
+  it('answer with the same status, body and Retry-After as the HTTP server', async () => {
     const port = await freePort();
     const settings = parseSettings(settingsText({ api_addr: `127.0.0.1:${port}` }));
     let decision: HeartbeatDecision = { kind: 'unavailable' };
@@ -207,22 +209,22 @@
       () => server.close(),
       () => server.closeAllConnections(),
     );
-    const at = `127.0.0.1:${port}`;
-    const heartbeat = report(1, []);
+    const address = `127.0.0.1:${port}`;
+    const heartbeat = heartbeatBody(1, []);
     const answers: unknown[] = [];
-    const ask = async (body: unknown, viaHttpServer: boolean) => {
+    const recordResponse = async (body: unknown, viaHttpServer: boolean) => {
       const path = viaHttpServer ? '/checkin?' : '/checkin';
-      const reply = await post(at, path, body);
+      const reply = await post(address, path, body);
       answers.push([reply?.status, reply?.body, reply?.headers['retry-after']]);
     };
     for (const viaHttpServer of [false, true]) {
       decision = { kind: 'unavailable' };
-      await ask(heartbeat, viaHttpServer);
+      await recordResponse(heartbeat, viaHttpServer);
       decision = { kind: 'redirect', leader: 'node-1' as NodeId };
-      await ask(heartbeat, viaHttpServer);
+      await recordResponse(heartbeat, viaHttpServer);
       decision = { kind: 'redirect', leader: null };
-      await ask(heartbeat, viaHttpServer);
-      await ask('[1]', viaHttpServer);
+      await recordResponse(heartbeat, viaHttpServer);
+      await recordResponse('[1]', viaHttpServer);
       decision = {
         kind: 'commands',
         fencingToken: 7 as FencingToken,
@@ -235,7 +237,7 @@
           },
         ],
       };
-      await ask(heartbeat, viaHttpServer);
+      await recordResponse(heartbeat, viaHttpServer);
     }
     expect(answers.slice(0, 5)).toEqual([
       [503, { error: 'not now' }, '1'],
@@ -248,7 +250,7 @@
   });
 });
 
-interface Entry {
+interface TaskEntry {
   Piece: string;
   Try: number;
   Status: string;
@@ -256,7 +258,7 @@
   Stored?: boolean;
 }
 
-const report = (tick: number, Pieces: readonly Entry[]) => ({
+const heartbeatBody = (tick: number, Pieces: readonly TaskEntry[]) => ({
   Berth: 'n-000001',
   Endpoint: '10.1.0.1:9000',
   Hull: 'c8',
@@ -269,55 +271,62 @@
   Pieces,
 });
 
-const running = (n: number): Entry => ({ Piece: `job-1/${n}`, Try: 100 + n, Status: 'running' });
+const runningEntry = (n: number): TaskEntry => ({
+  Piece: `job-1/${n}`,
+  Try: 100 + n,
+  Status: 'running',
+});
 
-/** As it comes from the wire: nothing is shared between two reports. */
-const fresh = <T>(value: T): T => JSON.parse(JSON.stringify(value)) as T;
+/** Copies a value: two received heartbeats share no objects. */
+const cloneJson = <T>(value: T): T => JSON.parse(JSON.stringify(value)) as T;
 
 describe('HeartbeatParser', () => {
   it('validates only the attempts that differ from those of the last heartbeat', () => {
     const parser = new HeartbeatParser();
-    const tasks = Array.from({ length: 40 }, (_, n) => running(n));
-    parser.parse(fresh(report(1, tasks)));
+    const tasks = Array.from({ length: 40 }, (_, n) => runningEntry(n));
+    parser.parse(cloneJson(heartbeatBody(1, tasks)));
     expect(parser.decodedTaskCount).toBe(40);
-    for (let tick = 2; tick < 12; tick += 1) parser.parse(fresh(report(tick, tasks)));
+    for (let tick = 2; tick < 12; tick += 1) parser.parse(cloneJson(heartbeatBody(tick, tasks)));
     expect(parser.decodedTaskCount).toBe(40);
-    // One ends, one is gone, one is new.
+    // One task has ended, one is absent, one is new.
     const changed = tasks.map((t, n) => (n === 5 ? { ...t, Status: 'ended', Cause: 'done' } : t));
     changed.splice(20, 1);
-    changed.push(running(90));
-    parser.parse(fresh(report(12, changed)));
+    changed.push(runningEntry(90));
+    parser.parse(cloneJson(heartbeatBody(12, changed)));
     expect(parser.decodedTaskCount).toBe(42);
   });
 
-  it('parses with its memory as without it, and refuses malformed heartbeats alike', () => {
+  it('parses and rejects heartbeats with its cache exactly as without one', () => {
     const parser = new HeartbeatParser();
     let seed = 7;
-    const draw = (n: number): number => {
+    const drawBelow = (n: number): number => {
       seed = (seed * 1_103_515_245 + 12_345) % 2_147_483_648;
       return Math.floor(seed / 65_536) % n;
     };
-    let tasks: Entry[] = [];
-    let refused = 0;
+    let tasks: TaskEntry[] = [];
+    let rejectedCount = 0;
     for (let tick = 1; tick < 600; tick += 1) {
-      if (draw(2) === 0) tasks = [...tasks, running(tick)];
-      if (draw(3) === 0) tasks = tasks.filter((_, n) => n !== draw(tasks.length + 1));
-      if (draw(3) === 0) {
-        const at = draw(tasks.length + 1);
-        const status = (['pulling', 'running', 'saving', 'ended', 'odd'] as const)[draw(5)]!;
-        const cause = draw(2) === 0 ? {} : { Cause: 'done', Stored: draw(2) === 0 };
-        tasks = tasks.map((t, n) => (n === at ? { ...t, Status: status, ...cause } : t));
+      if (drawBelow(2) === 0) tasks = [...tasks, runningEntry(tick)];
+      if (drawBelow(3) === 0) tasks = tasks.filter((_, n) => n !== drawBelow(tasks.length + 1));
+      if (drawBelow(3) === 0) {
+        const changedIndex = drawBelow(tasks.length + 1);
+        const status = (['pulling', 'running', 'saving', 'ended', 'odd'] as const)[drawBelow(5)]!;
+        const cause = drawBelow(2) === 0 ? {} : { Cause: 'done', Stored: drawBelow(2) === 0 };
+        tasks = tasks.map((t, n) => (n === changedIndex ? { ...t, Status: status, ...cause } : t));
       }
-      if (draw(9) === 0) tasks = [...tasks].reverse();
-      const isMalformed = draw(12) === 0;
-      const body = report(tick, isMalformed ? [...tasks, { ...running(1), Try: -1 }] : tasks);
-      const alone: Heartbeat | null = parseHeartbeat(fresh(body));
-      expect(parser.parse(fresh(body))).toEqual(alone);
+      if (drawBelow(9) === 0) tasks = [...tasks].reverse();
+      const isMalformed = drawBelow(12) === 0;
+      const body = heartbeatBody(
+        tick,
+        isMalformed ? [...tasks, { ...runningEntry(1), Try: -1 }] : tasks,
+      );
+      const expected: Heartbeat | null = parseHeartbeat(cloneJson(body));
+      expect(parser.parse(cloneJson(body))).toEqual(expected);
       if (isMalformed) {
-        expect(alone).toBeNull();
-        refused += 1;
+        expect(expected).toBeNull();
+        rejectedCount += 1;
       }
     }
-    expect(refused).toBeGreaterThan(20);
+    expect(rejectedCount).toBeGreaterThan(20);
   });
 });
--- a/test/isolated-leader.test.ts
+++ b/test/isolated-leader.test.ts
@@ -1,4 +1,4 @@
-/** Leaders that are cut off from some of their surroundings, or that stood still. */
+/** Nodes cut off from the key-value store, peers or workers; paused leaders. */
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { CloudClient } from '../src/adapters/cloud/cloud-client.js';
 import { parseEndpoint } from '../src/adapters/configuration/settings.js';
@@ -20,38 +20,42 @@
 
 afterEach(cleanUp);
 
-describe('an isolated leader', () => {
+describe('an isolated node', () => {
   const leaderOf = (nodes: ClusterNode[]) => nodes.find((n) => n.controller.authority() === 'lead');
 
-  it('without the key-value store learns of the next leader from a peer, and keeps no workers', async () => {
-    // Machines count as silent after four heartbeat intervals: longer than a peer's word takes.
+  it('without the key-value store hands its workers to the leader that a peer names', async () => {
+    // Machines count as silent after four heartbeat intervals: longer than a peer's message takes.
     const { nodes, fronts, cloud } = await startCluster(3, { heartbeatIntervalS: 0.5 });
     cloud.taskMs = 10_000_000;
-    const old = leaderOf(nodes)!;
-    await post(old.at, '/api/jobs', body('job-31'));
-    await until(async () => (await status(old.at, 'job-31'))?.body.running === 3);
-    fronts[nodes.indexOf(old)]!.refuse = true;
-    const next = await until(() => leaderOf(nodes.filter((n) => n !== old)));
-    // It cannot read this from the key-value store: only a peer can have told it.
-    await until(() => old.controller.election.leaderNode === `node-${nodes.indexOf(next)}`);
-    expect(old.controller.authority()).toBe('none');
-    await until(async () => (await status(next.at, 'job-31'))?.body.running === 3);
+    const formerLeader = leaderOf(nodes)!;
+    await post(formerLeader.at, '/api/jobs', body('job-31'));
+    await until(async () => (await status(formerLeader.at, 'job-31'))?.body.running === 3);
+    fronts[nodes.indexOf(formerLeader)]!.refuse = true;
+    const successor = await until(() => leaderOf(nodes.filter((n) => n !== formerLeader)));
+    // The former leader cannot read the store, so a peer must have sent this.
+    await until(
+      () => formerLeader.controller.election.leaderNode === `node-${nodes.indexOf(successor)}`,
+    );
+    expect(formerLeader.controller.authority()).toBe('none');
+    await until(async () => (await status(successor.at, 'job-31'))?.body.running === 3);
     expect(cloud.starts).toHaveLength(3);
   });
 
-  it('without the key-value store has a peer admit and look up jobs, and says no more', async () => {
+  it('without the key-value store has a peer admit jobs and look up their status', async () => {
     const { nodes, fronts, state } = await startCluster(3);
-    const isolated = nodes.find((n) => n !== leaderOf(nodes))!;
-    fronts[nodes.indexOf(isolated)]!.refuse = true;
-    await until(async () => (await post(isolated.at, '/api/jobs', body('job-34')))?.status === 201);
+    const isolatedNode = nodes.find((n) => n !== leaderOf(nodes))!;
+    fronts[nodes.indexOf(isolatedNode)]!.refuse = true;
+    await until(
+      async () => (await post(isolatedNode.at, '/api/jobs', body('job-34')))?.status === 201,
+    );
     expect(state.keys.has('j/job-34') || state.keys.has('f/job-34')).toBe(true);
-    expect((await post(isolated.at, '/api/jobs', body('job-34')))?.status).toBe(200);
-    expect((await status(isolated.at, 'job-34'))?.status).toBe(200);
-    expect((await status(isolated.at, 'job-35'))?.status).toBe(404);
-    expect((await post(isolated.at, '/up', undefined, 'GET'))?.status).toBe(200);
+    expect((await post(isolatedNode.at, '/api/jobs', body('job-34')))?.status).toBe(200);
+    expect((await status(isolatedNode.at, 'job-34'))?.status).toBe(200);
+    expect((await status(isolatedNode.at, 'job-35'))?.status).toBe(404);
+    expect((await post(isolatedNode.at, '/up', undefined, 'GET'))?.status).toBe(200);
   });
 
-  it('without the key-value store and all peers is not ready until either is back', async () => {
+  it('without the key-value store and peers is not ready until the store is back', async () => {
     const { nodes, fronts } = await startCluster(2);
     nodes[1]!.stop();
     fronts[0]!.refuse = true;
@@ -65,78 +69,80 @@
     );
   });
 
-  it('without the key-value store and its peers redirects its workers to the next leader', async () => {
+  it('without the key-value store and peers leaves its workers to the next leader', async () => {
     const { nodes, fronts, cloud } = await startCluster(2, {
       isolatedNode: 0,
       heartbeatIntervalS: 2,
     });
-    const [old, next] = nodes as [ClusterNode, ClusterNode];
-    if (next.controller.authority() === 'lead') next.controller.election.resign(2000);
-    await until(() => old.controller.authority() === 'lead');
+    const [formerLeader, successor] = nodes as [ClusterNode, ClusterNode];
+    if (successor.controller.authority() === 'lead') successor.controller.election.resign(2000);
+    await until(() => formerLeader.controller.authority() === 'lead');
     cloud.taskMs = 10_000_000;
-    // With heartbeats every 2 s no machine is silent for too long while it finds the next leader.
+    // With heartbeats every 2 s, no machine counts as silent before it finds the next leader.
     await until(
-      async () => (await post(old.at, '/api/jobs', body('job-37', { Cpus: 8 })))?.status === 201,
+      async () =>
+        (await post(formerLeader.at, '/api/jobs', body('job-37', { Cpus: 8 })))?.status === 201,
     );
-    await until(async () => (await status(old.at, 'job-37'))?.body.running === 3);
+    await until(async () => (await status(formerLeader.at, 'job-37'))?.body.running === 3);
     fronts[0]!.refuse = true;
-    await until(() => next.controller.authority() === 'lead');
-    // Well before the 21 s for which it may keep workers alive without a lease.
-    await until(async () => (await status(next.at, 'job-37'))?.body.running === 3);
-    expect(old.controller.authority()).not.toBe('lead');
+    await until(() => successor.controller.authority() === 'lead');
+    // Well before the 21 s for which a leader may keep workers alive without a lease.
+    await until(async () => (await status(successor.at, 'job-37'))?.body.running === 3);
+    expect(formerLeader.controller.authority()).not.toBe('lead');
     expect(cloud.starts).toHaveLength(3);
   });
 
-  it('without its workers resigns for a peer that hears from them', async () => {
+  it('without its workers resigns in favour of a peer that gets their heartbeats', async () => {
     const { nodes, cloud } = await startCluster(2);
-    const old = leaderOf(nodes)!;
-    const next = nodes.find((n) => n !== old)!;
-    await post(old.at, '/api/jobs', body('job-32'));
-    await until(async () => (await status(old.at, 'job-32'))?.body.Status === 'done');
-    cloud.nodes[nodes.indexOf(old)] = `127.0.0.1:${await freePort()}`;
-    await until(() => next.controller.authority() === 'lead');
-    await post(old.at, '/api/jobs', body('job-33'));
-    await until(async () => (await status(old.at, 'job-33'))?.body.Status === 'done');
+    const formerLeader = leaderOf(nodes)!;
+    const successor = nodes.find((n) => n !== formerLeader)!;
+    await post(formerLeader.at, '/api/jobs', body('job-32'));
+    await until(async () => (await status(formerLeader.at, 'job-32'))?.body.Status === 'done');
+    cloud.nodes[nodes.indexOf(formerLeader)] = `127.0.0.1:${await freePort()}`;
+    await until(() => successor.controller.authority() === 'lead');
+    await post(formerLeader.at, '/api/jobs', body('job-33'));
+    await until(async () => (await status(formerLeader.at, 'job-33'))?.body.Status === 'done');
   });
 });
 
-/** Private parts of a leader; bracket access, so that the compiler knows of a renamed one. */
+/** Private members, by bracket access, so that the compiler checks their names. */
 const internalsOf = (controller: Controller) => {
-  // biome-ignore lint/complexity/useLiteralKeys: the compiler allows private members by brackets only
+  // biome-ignore lint/complexity/useLiteralKeys: private members are accessible by brackets only
   const leaderTerm = controller['leaderTerm']!;
   // biome-ignore lint/complexity/useLiteralKeys: likewise
   return { leaderTerm, effectRunner: leaderTerm['effectRunner'] };
 };
 
-describe('a leader that stood still after a decision', () => {
-  it('sends no start it decided before: its authority is checked as the reply goes out', async () => {
+describe('a leader that was paused after a decision', () => {
+  it('sends no start decided before, as each reply checks the authority again', async () => {
     const { nodes, cloud } = await startCluster(1);
     const { at, controller } = nodes[0]!;
     const { leaderTerm, effectRunner } = internalsOf(controller);
-    let frozen = false;
-    let decided = 0;
+    let isPaused = false;
+    let decidedStarts = 0;
     const authority = leaderTerm.authority.bind(leaderTerm);
     vi.spyOn(leaderTerm, 'authority').mockImplementation(() =>
-      frozen ? 'keep-alive' : authority(),
+      isPaused ? 'keep-alive' : authority(),
     );
     const runEffect = effectRunner.run.bind(effectRunner);
     vi.spyOn(effectRunner, 'run').mockImplementation((effect) => {
       runEffect(effect);
-      if (effect.kind !== 'reply-to-heartbeat' || !effect.commands?.length || decided > 0) return;
-      decided = effect.commands.length;
-      frozen = true;
+      if (effect.kind !== 'reply-to-heartbeat' || !effect.commands?.length || decidedStarts > 0)
+        return;
+      decidedStarts = effect.commands.length;
+      isPaused = true;
     });
     expect((await post(at, '/api/jobs', body('job-1')))?.status).toBe(201);
-    await until(() => decided > 0);
+    await until(() => decidedStarts > 0);
     await new Promise((resolve) => setTimeout(resolve, 300));
     expect(cloud.starts).toEqual([]);
-    frozen = false;
+    isPaused = false;
     await until(async () => (await status(at, 'job-1'))?.body.Status === 'done');
     expect(new Set(cloud.starts.map((s) => s.split('#')[0])).size).toBe(3);
     expect(cloud.starts).toHaveLength(3);
   });
 
-  it('neither provisions nor deletes machines without the authority', async () => {
+  it('neither provisions nor deletes machines without authority', async () => {
     const cloud = new Cloud(3);
     cloud.nodes = ['127.0.0.1:9'];
     cleanups.push(() => cloud.close());
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet of 4,200 machines: no fixed limit lies below it, and the work of each step is counted,
- * not timed.
+ * Guards against fixed limits below 4,200 machines and against excessive work per step, which is
+ * counted, not timed.
  */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -17,16 +17,16 @@
 import { CoreDriver, running } from './support/core-driver.js';
 import { CountingMap } from './support/counting-map.js';
 
-const FLEET = 4200;
-const names = Array.from({ length: FLEET }, (_, i) => `n-${String(i).padStart(6, '0')}`);
+const FLEET_SIZE = 4200;
+const machineIds = Array.from({ length: FLEET_SIZE }, (_, i) => `n-${String(i).padStart(6, '0')}`);
 
 afterEach(cleanUp);
 
 describe('a fleet of 4,200 machines', () => {
   it('is cached whole by the heartbeat parser: unchanged tasks are decoded once', () => {
     const parser = new HeartbeatParser();
-    const body = (name: string, sequence: number) => ({
-      Berth: name,
+    const heartbeatBody = (machineId: string, sequence: number) => ({
+      Berth: machineId,
       Endpoint: '127.0.0.1:9',
       Hull: 'c8',
       Yard: 'a',
@@ -41,15 +41,15 @@
       ],
     });
     for (let sequence = 1; sequence <= 20; sequence += 1)
-      for (const name of names) parser.parse(body(name, sequence));
-    expect(parser.decodedTaskCount).toBe(2 * FLEET);
-    expect(parser.cachedMachineCount).toBe(FLEET);
+      for (const machineId of machineIds) parser.parse(heartbeatBody(machineId, sequence));
+    expect(parser.decodedTaskCount).toBe(2 * FLEET_SIZE);
+    expect(parser.cachedMachineCount).toBe(FLEET_SIZE);
   });
 
-  it('leaves no machine in the cache of the heartbeat parser that no longer sends any', () => {
+  it('has machines without heartbeats evicted from the cache of the heartbeat parser', () => {
     const parser = new HeartbeatParser();
-    const body = (name: string) => ({
-      Berth: name,
+    const heartbeatBody = (machineId: string) => ({
+      Berth: machineId,
       Endpoint: 'e',
       Hull: 'c8',
       Yard: 'a',
@@ -57,14 +57,14 @@
       Tick: 1,
       Baton: 1,
     });
-    for (const name of names) parser.parse(body(name));
-    for (let i = 0; i < 12 * FLEET; i += 1) parser.parse(body(names[i % 100]!));
+    for (const machineId of machineIds) parser.parse(heartbeatBody(machineId));
+    for (let i = 0; i < 12 * FLEET_SIZE; i += 1) parser.parse(heartbeatBody(machineIds[i % 100]!));
     expect(parser.cachedMachineCount).toBe(100);
   });
 
-  it('is scheduled with work linear in the machines, and heartbeats walk over none of them', () => {
+  it('is scheduled with work linear in its size, and a heartbeat iterates over no machine', () => {
     const teams = new Map([team('blue', 80_000)].map((t) => [t.name, t]));
-    const s = new CoreDriver(
+    const driver = new CoreDriver(
       core({
         teams,
         storeWritesPerSecond: 4000,
@@ -72,64 +72,66 @@
         maxValueBytes: 16_384,
       }),
     );
-    const counting = new CountingMap(s.state.machines);
-    Object.assign(s.state, { machines: counting });
-    s.sendHeartbeats(new Map(names.map((name) => [name, []])));
-    s.sendHeartbeats(new Map(names.map((name) => [name, []])));
-    expect(s.state.machines.size).toBe(FLEET);
-    for (let i = 0; i < 100; i += 1) s.submit(`job-${i}`, { tasks: 500, cpus: 1 });
-    const told = new Map(names.map((name): [string, TaskStatus[]] => [name, []]));
+    const countingMachines = new CountingMap(driver.state.machines);
+    Object.assign(driver.state, { machines: countingMachines });
+    driver.sendHeartbeats(new Map(machineIds.map((machineId) => [machineId, []])));
+    driver.sendHeartbeats(new Map(machineIds.map((machineId) => [machineId, []])));
+    expect(driver.state.machines.size).toBe(FLEET_SIZE);
+    for (let i = 0; i < 100; i += 1) driver.submit(`job-${i}`, { tasks: 500, cpus: 1 });
+    const tasksByMachine = new Map(
+      machineIds.map((machineId): [string, TaskStatus[]] => [machineId, []]),
+    );
     let started = 0;
-    for (let round = 0; round < 40 && started < FLEET * 8; round += 1) {
-      for (const [name, orders] of s.sendHeartbeats(told)) {
-        const starts = s.startsIn(orders);
-        told.get(name)!.push(...starts.map(running));
+    for (let round = 0; round < 40 && started < FLEET_SIZE * 8; round += 1) {
+      for (const [machineId, commands] of driver.sendHeartbeats(tasksByMachine)) {
+        const starts = driver.startsIn(commands);
+        tasksByMachine.get(machineId)!.push(...starts.map(running));
         started += starts.length;
       }
     }
-    expect(started).toBe(FLEET * 8);
-    // A tick and a round look at each machine a bounded number of times (16 when this was written).
-    counting.visited = 0;
-    s.advance(2000);
-    expect(counting.visited / (4 * FLEET)).toBeLessThan(24);
-    counting.visited = 0;
-    s.send({
+    expect(started).toBe(FLEET_SIZE * 8);
+    // A tick and a scheduling round visit each machine a bounded number of times (16 when written).
+    countingMachines.visited = 0;
+    driver.advance(2000);
+    expect(countingMachines.visited / (4 * FLEET_SIZE)).toBeLessThan(24);
+    countingMachines.visited = 0;
+    driver.send({
       kind: 'heartbeat',
-      heartbeat: { ...s.currentHeartbeat('n-000001'), sequence: 1_000_000 },
+      heartbeat: { ...driver.currentHeartbeat('n-000001'), sequence: 1_000_000 },
       ticket: null,
     });
-    expect(counting.visited).toBe(0);
+    expect(countingMachines.visited).toBe(0);
   }, 60_000);
 
-  it('does not run out of attempt numbers: revisions stored under the token add theirs', () => {
-    const s = new CoreDriver();
-    s.bringUp('n-1');
-    s.state.nextAttemptOffset = ATTEMPTS_PER_REVISION - 1;
-    s.submit('job-1', { tasks: 3 });
-    const first = s.startsIn(s.sendHeartbeat('n-1'));
+  it('does not run out of attempt numbers: each revision written by the leader adds some', () => {
+    const driver = new CoreDriver();
+    driver.bringUp('n-1');
+    driver.state.nextAttemptOffset = ATTEMPTS_PER_REVISION - 1;
+    driver.submit('job-1', { tasks: 3 });
+    const first = driver.startsIn(driver.sendHeartbeat('n-1'));
     expect(first).toHaveLength(1);
-    const term = s.state.config.fencingToken;
-    s.send({ kind: 'batch-stored', batch: -1, revision: (term + 3) as Revision });
-    s.advance(2500);
-    const more = s.startsIn(s.sendHeartbeat('n-1', first.map(running)));
+    const fencingToken = driver.state.config.fencingToken;
+    driver.send({ kind: 'batch-stored', batch: -1, revision: (fencingToken + 3) as Revision });
+    driver.advance(2500);
+    const more = driver.startsIn(driver.sendHeartbeat('n-1', first.map(running)));
     expect(more).toHaveLength(2);
     for (const { attempt } of more) {
-      expect(attempt).toBeGreaterThanOrEqual((term + 1) * ATTEMPTS_PER_REVISION);
-      expect(attempt).toBeLessThan((term + 4) * ATTEMPTS_PER_REVISION);
+      expect(attempt).toBeGreaterThanOrEqual((fencingToken + 1) * ATTEMPTS_PER_REVISION);
+      expect(attempt).toBeLessThan((fencingToken + 4) * ATTEMPTS_PER_REVISION);
     }
   });
 
-  it('is listed in pages, with pauses that leave most of the rate to provisioning and deletions', async () => {
+  it('is listed in pages, leaving half the rate to provisioning and deletions', async () => {
     let pages = 0;
     const server = createServer((req, res) => {
       const url = new URL(req.url ?? '/', 'http://x');
-      const since = url.searchParams.get('Since') ?? '';
-      const rest = names.filter((name) => name > since);
+      const lastId = url.searchParams.get('Since') ?? '';
+      const remaining = machineIds.filter((machineId) => machineId > lastId);
       pages += 1;
-      const Berths = rest
+      const Berths = remaining
         .slice(0, 500)
         .map((Ref) => ({ Ref, Endpoint: 'e', Hull: 'c8', Yard: 'a', Status: 'running' }));
-      res.end(JSON.stringify({ Berths, More: rest.length > 500 }));
+      res.end(JSON.stringify({ Berths, More: remaining.length > 500 }));
     });
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     cleanups.push(() => server.close());
@@ -140,22 +142,25 @@
     );
     cleanups.push(() => cloud.close());
     const listed = await cloud.listMachines();
-    expect(listed?.map((m) => m.id)).toEqual(names as MachineId[]);
+    expect(listed?.map((m) => m.id)).toEqual(machineIds as MachineId[]);
     expect(pages).toBe(9);
     expect((pages / cloud.listPauseMs) * 1000).toBeLessThan(rps / 2);
   });
 
-  it('may change more than one answer of a watch holds: then all is read again in pages', async () => {
-    const large = 'x'.repeat(9 * 1024 * 1024);
+  it('makes a watch return too-old when its changes exceed the size of a response', async () => {
+    const oversizedValue = 'x'.repeat(9 * 1024 * 1024);
     const server = createServer((_, res) =>
-      res.end(JSON.stringify({ Epoch: 5, News: [{ Write: 'j/1', Data: large, Stamp: 5 }] })),
+      res.end(
+        JSON.stringify({ Epoch: 5, News: [{ Write: 'j/1', Data: oversizedValue, Stamp: 5 }] }),
+      ),
     );
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     cleanups.push(() => server.close());
     const rates = { rps: 100, writeRps: 100 };
-    const at = parseEndpoint(`127.0.0.1:${(server.address() as AddressInfo).port}`);
-    const state = new KeyValueStoreClient(at, { ...rates, lowered: rates });
-    cleanups.push(() => state.close());
-    expect(await state.watch('j/', 1 as Revision, 100)).toEqual({ kind: 'too-old' });
+    const endpoint = parseEndpoint(`127.0.0.1:${(server.address() as AddressInfo).port}`);
+    const client = new KeyValueStoreClient(endpoint, { ...rates, lowered: rates });
+    cleanups.push(() => client.close());
+    // Callers then list all keys in pages.
+    expect(await client.watch('j/', 1 as Revision, 100)).toEqual({ kind: 'too-old' });
   });
 });
--- a/test/ledger.test.ts
+++ b/test/ledger.test.ts
@@ -1,4 +1,4 @@
-/** The placement ledger: what its segments hold, and when they become obsolete. */
+/** The placement ledger: what its segments contain, and when they become obsolete. */
 import { describe, expect, it } from 'vitest';
 import { applyCommands } from '../src/core/apply-commands.js';
 import { segmentKey } from '../src/core/ledger/segments.js';
@@ -30,7 +30,7 @@
   const storeOperations = (effects: readonly Effect[]): StoreOperation[] =>
     effects.flatMap((effect) => (effect.kind === 'store-batch' ? [...effect.operations] : []));
 
-  it('enters the attempts of many machines in few segments, each within the size of a value', () => {
+  it('packs attempts of many machines into few segments, each within the value size', () => {
     const driver = new CoreDriver(
       core({ maxValueBytes: 2048, teams: new Map([['blue' as TeamName, team('blue', 800)]]) }),
     );
@@ -51,17 +51,17 @@
     driver.effects = [];
     driver.submit('job-1', { tasks: 480 });
     driver.advance(1000);
-    const records = storeOperations(driver.effects).filter((op) => op.kind === 'write-segment');
+    const segments = storeOperations(driver.effects).filter((op) => op.kind === 'write-segment');
     expect(
-      records.flatMap((segment) => segment.machines.flatMap((machine) => machine.entries)).length,
+      segments.flatMap((segment) => segment.machines.flatMap((machine) => machine.entries)).length,
     ).toBe(480);
-    expect(records.length).toBeLessThan(16);
-    for (const segment of records)
+    expect(segments.length).toBeLessThan(16);
+    for (const segment of segments)
       expect(JSON.stringify(encodeSegment(segment)).length).toBeLessThanOrEqual(2048);
   });
 
-  it('enters replicas first where one batch cannot hold all attempts', () => {
-    // Four mutations a batch, small values, and far more starts than fit.
+  it('stores replicas first when one batch cannot hold all attempts', () => {
+    // At most four mutations a batch, small values, and far more starts than fit.
     const limits = { maxValueBytes: 700, maxTransactionOperations: 4, storeWritesPerSecond: 4 };
     const state = core({ ...limits, teams: new Map([['blue' as TeamName, team('blue', 800)]]) });
     const run = (now: number, ...commands: Command[]) =>
@@ -78,35 +78,39 @@
       }
     }
     run(3000, { kind: 'tick' });
-    const array = {
+    const arrayJob = {
       kind: 'job',
       spec: job('job-1', { tasks: 400 }),
       submittedAt: 3000 as Instant,
     } as const;
-    const replicas = job('job-2', {
+    const serviceSpec = job('job-2', {
       shape: 'service',
       tasks: 6,
       estimateS: 0,
       priority: 'standard',
     });
-    const effects = run(3500, array, { kind: 'job', spec: replicas, submittedAt: 3500 as Instant });
-    const first = storeOperations(effects).flatMap((op) =>
+    const effects = run(3500, arrayJob, {
+      kind: 'job',
+      spec: serviceSpec,
+      submittedAt: 3500 as Instant,
+    });
+    const firstBatchJobs = storeOperations(effects).flatMap((op) =>
       op.kind === 'write-segment'
-        ? op.machines.flatMap((machine) => machine.entries.map((e) => e.job))
+        ? op.machines.flatMap((machine) => machine.entries.map((entry) => entry.job))
         : [],
     );
     expect(state.awaitingLedgerEntry.size).toBeGreaterThan(100);
-    expect(first.filter((id) => id === 'job-2')).toHaveLength(6);
-    expect(first.slice(0, 6)).toEqual(Array(6).fill('job-2'));
+    expect(firstBatchJobs.filter((id) => id === 'job-2')).toHaveLength(6);
+    expect(firstBatchJobs.slice(0, 6)).toEqual(Array(6).fill('job-2'));
   });
 
-  it('stores progress when it is due, and before that only in a segment that is written anyway', () => {
+  it('stores progress when due, or earlier in a segment that is written anyway', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 4 });
     driver.submit('job-2', { tasks: 4 });
     const starts = driver.startsIn(driver.bringUp('n-1'));
     driver.sendHeartbeat('n-1', starts.map(running));
-    const progress = () =>
+    const storedProgress = () =>
       storeOperations(driver.effects).flatMap((op) =>
         op.kind === 'write-segment' ? op.progress : [],
       );
@@ -116,21 +120,27 @@
     driver.send({ kind: 'heartbeat', heartbeat, ticket: 900 as ReplyTicket });
     driver.now += 300;
     driver.send({ kind: 'tick' });
-    expect(progress()).toEqual([]);
+    expect(storedProgress()).toEqual([]);
     driver.advance(1000);
-    expect(progress()).toHaveLength(1);
-    // The segment of a start has room left: the next end is stored with it at once.
+    expect(storedProgress()).toHaveLength(1);
+    // The segment of a start has space left, so the next progress is stored with it.
     driver.effects = [];
-    const more = starts.map((command, i) => (i <= 1 ? ended(command, 'done') : running(command)));
+    const laterTasks = starts.map((command, i) =>
+      i <= 1 ? ended(command, 'done') : running(command),
+    );
     driver.send(
-      { kind: 'heartbeat', heartbeat: heartbeatOf('n-1', 51, 7, more), ticket: 901 as ReplyTicket },
+      {
+        kind: 'heartbeat',
+        heartbeat: heartbeatOf('n-1', 51, 7, laterTasks),
+        ticket: 901 as ReplyTicket,
+      },
       { kind: 'job', spec: job('job-3'), submittedAt: driver.now as Instant },
     );
-    expect(progress()).toHaveLength(1);
+    expect(storedProgress()).toHaveLength(1);
   });
 
-  it('decodes a segment as it was encoded, and refuses a malformed one whole', () => {
-    const given = {
+  it('decodes a segment as it was encoded, and rejects malformed segments', () => {
+    const segment = {
       machines: [
         {
           machine: 'n-1' as MachineId,
@@ -140,17 +150,17 @@
       ],
       progress: [{ job: 'job-1' as JobId, firstTask: 0, bits: Uint8Array.of(5, 1) }],
     };
-    const text = JSON.stringify(encodeSegment(given));
-    expect(decodeSegment(JSON.parse(text))).toEqual(given);
+    const encoded = JSON.stringify(encodeSegment(segment));
+    expect(decodeSegment(JSON.parse(encoded))).toEqual(segment);
     const malformed = [null, 7, [], {}, { j: [], m: [], d: [['job-1', -1, '']] }];
     malformed.push(
-      { ...JSON.parse(text), j: [] } as never,
-      { ...JSON.parse(text), m: [['n-1']] } as never,
+      { ...JSON.parse(encoded), j: [] } as never,
+      { ...JSON.parse(encoded), m: [['n-1']] } as never,
     );
     for (const value of malformed) expect(decodeSegment(value)).toBeNull();
   });
 
-  it('starts nothing before every worker lease has expired when a segment cannot be read', () => {
+  it('delays all starts until every worker lease has expired if a segment is unreadable', () => {
     const driver = new CoreDriver();
     const state = core();
     const send = (now: number, ...commands: Command[]) =>
@@ -167,7 +177,7 @@
     );
     const starts: number[] = [];
     let seq = 0;
-    let dropped = 0;
+    let deletedSegments = 0;
     for (let now = 500; now < 40_000; now += 500) {
       seq += 1;
       const heartbeat = heartbeatOf('n-1', seq, seq < 3 ? 6 : 7, []);
@@ -177,67 +187,67 @@
         ticket: seq as ReplyTicket,
       })) {
         if (effect.kind === 'store-batch') {
-          dropped += effect.operations.filter((op) => op.kind === 'delete-segment').length;
+          deletedSegments += effect.operations.filter((op) => op.kind === 'delete-segment').length;
           send(now, { kind: 'batch-stored', batch: effect.batch });
         }
         if (effect.kind === 'reply-to-heartbeat')
           starts.push(...driver.startsIn(effect.commands).map(() => now));
       }
     }
-    // Grace after lease loss 10 s, worker lease 16 s, and the margins of both.
+    // Grace after lease loss (10 s) plus worker lease (16 s), each with a margin.
     expect(Math.min(...starts)).toBeGreaterThan(26_000);
-    expect(dropped).toBe(1);
+    expect(deletedSegments).toBe(1);
   });
 
   it('keeps few segments while a few long tasks outlive many short ones', () => {
     const driver = new CoreDriver();
-    const records = new Set<string>();
+    const segmentKeys = new Set<string>();
     for (const id of ['n-1', 'n-2']) driver.bringUp(id);
     driver.submit('job-999', { tasks: 1, estimateS: 9999 });
-    const held = new Map<string, ReturnType<CoreDriver['startsIn']>>([
+    const startsByMachine = new Map<string, ReturnType<CoreDriver['startsIn']>>([
       ['n-1', []],
       ['n-2', []],
     ]);
     for (let i = 0; i < 60; i += 1) {
       driver.submit(`job-${i}`, { tasks: 6 });
-      for (const [id, now] of held) {
-        const tasks = now.map((command) =>
+      for (const [id, starts] of startsByMachine) {
+        const tasks = starts.map((command) =>
           command.job === 'job-999' ? running(command) : ended(command, 'done'),
         );
         const commands = driver.sendHeartbeat(id, tasks) ?? [];
-        held.set(id, [
-          ...now.filter((command) => command.job === 'job-999'),
+        startsByMachine.set(id, [
+          ...starts.filter((command) => command.job === 'job-999'),
           ...driver.startsIn(commands),
         ]);
       }
       driver.advance(500);
     }
     for (const op of storeOperations(driver.effects)) {
-      if (op.kind === 'write-segment') records.add(op.key);
-      if (op.kind === 'delete-segment') records.delete(op.key);
+      if (op.kind === 'write-segment') segmentKeys.add(op.key);
+      if (op.kind === 'delete-segment') segmentKeys.delete(op.key);
     }
-    expect(records.size).toBeLessThan(15);
-    // A new leader that reads what is left learns of the long task.
+    expect(segmentKeys.size).toBeLessThan(15);
+    // A new leader recovers the long task from the remaining segments.
     expect(driver.state.jobs.get('job-999' as JobId)?.attemptsByTask.size).toBe(1);
     const placement = [
       ...driver.state.jobs.get('job-999' as JobId)!.attemptsByTask.values(),
     ][0]![0]!;
-    expect(records.has(placement.segment!.key)).toBe(true);
+    expect(segmentKeys.has(placement.segment!.key)).toBe(true);
   });
 });
 
 describe('the ledger entry of a reported attempt', () => {
-  it('is written where this leader never placed it, so that the next leader knows of it', () => {
+  it('is written even if this leader did not place the attempt, so a successor recovers it', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 1 });
     driver.advance(100);
     const unknownTask = task('job-1', 0, 123);
     driver.sendHeartbeat('n-9', [unknownTask]);
     driver.advance(500);
-    const ops = driver.effects.flatMap((effect) =>
+    const operations = driver.effects.flatMap((effect) =>
       effect.kind === 'store-batch' ? [...effect.operations] : [],
     );
-    const rows = ops.flatMap((op) => (op.kind === 'write-segment' ? op.machines : []));
+    const rows = operations.flatMap((op) => (op.kind === 'write-segment' ? op.machines : []));
     expect(rows.find((row) => row.machine === 'n-9')?.entries).toMatchObject([{ attempt: 123 }]);
   });
 });
