--- a/.ci/unit-tests.mjs
+++ b/.ci/unit-tests.mjs
@@ -1,6 +1,6 @@
 // Runs the unit tests for CI. Failures of tests listed in KNOWN-RED.txt are printed and ignored;
 // any other test failure, and any error outside a test, fails the run.
-// Format of each line: FILE > TEST NAME | cause | issue
+// Format of each line: FILE > TEST NAME | command and seed | what was seen | issue
 import { spawnSync } from 'node:child_process';
 import { existsSync, mkdtempSync, readFileSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
