--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -1,4 +1,4 @@
-/** Limits of the key-value store: announced by the settings, and fallen below them. */
+/** Limits of the key-value store that fall: as the settings announce, and without notice. */
 import pino from 'pino';
 import { afterEach, describe, expect, it } from 'vitest';
 import { SettingsError } from '../src/adapters/configuration/configuration-file.js';
@@ -39,15 +39,16 @@
   for (const clean of cleanups.splice(0).reverse()) clean();
 });
 
-describe('the settings of the key-value store', () => {
+describe('parseSettings', () => {
   const params = (state: object) => {
     const base = JSON.parse(settingsText()) as { params: { state: object } };
     return settingsText({ params: { ...base.params, state: { ...base.params.state, ...state } } });
   };
 
-  it('bound sizes by the smaller of the present and the announced limit, and keep both rates', () => {
-    const now = { rps: 150, write_rps: 40, value_kb: 8, txn_ops: 32 };
-    const limits = (next?: object) => parseSettings(params({ ...now, next })).keyValueStoreLimits;
+  it('takes the lower of the current and announced size limits, and keeps both rate limits', () => {
+    const current = { rps: 150, write_rps: 40, value_kb: 8, txn_ops: 32 };
+    const limits = (next?: object) =>
+      parseSettings(params({ ...current, next })).keyValueStoreLimits;
     expect(limits({ value_kb: 2, txn_ops: 10, write_rps: 28 })).toEqual({
       rps: 150,
       nextRps: 150,
@@ -61,139 +62,150 @@
   });
 
   it.each([
-    ['no number', { write_rps: 'few' }, /state\.next\.write_rps/],
-    ['zero', { value_kb: 0 }, /state\.next\.value_kb/],
-    ['half a change', { txn_ops: 1.5 }, /state\.next\.txn_ops/],
-    ['no object', 7, /state\.next/],
-  ])('are refused by name for %s', (_, next, message) => {
+    ['text for a number', { write_rps: 'few' }, /state\.next\.write_rps/],
+    ['zero for a size', { value_kb: 0 }, /state\.next\.value_kb/],
+    ['a fraction for a count', { txn_ops: 1.5 }, /state\.next\.txn_ops/],
+    ['a number for the object', 7, /state\.next/],
+  ])('rejects announced limits with %s, and names the field', (_, next, message) => {
     expect(() => parseSettings(params({ next }))).toThrow(SettingsError);
     expect(() => parseSettings(params({ next }))).toThrow(message);
   });
 });
 
-/** Runs a leader whose batches go to `store`; no other effect is answered. */
-const drive = (
+/** Runs a leader whose batches are stored in `segmentTexts`; it gets no answer to other effects. */
+const runLeader = (
   state: CoreState,
-  store: Map<SegmentKey, string>,
+  segmentTexts: Map<SegmentKey, string>,
   commands: Command[],
   now: number,
 ): void => {
   for (const effect of applyCommands(state, commands, now as Instant, 'lead')) {
     if (effect.kind !== 'store-batch') continue;
     for (const op of effect.operations) {
-      if (op.kind === 'write-segment') store.set(op.key, JSON.stringify(encodeSegment(op)));
-      if (op.kind === 'delete-segment') store.delete(op.key);
+      if (op.kind === 'write-segment') segmentTexts.set(op.key, JSON.stringify(encodeSegment(op)));
+      if (op.kind === 'delete-segment') segmentTexts.delete(op.key);
     }
-    drive(state, store, [{ kind: 'batch-stored', batch: effect.batch }], now);
+    runLeader(state, segmentTexts, [{ kind: 'batch-stored', batch: effect.batch }], now);
   }
 };
 
-describe('progress of the largest job', () => {
+describe('the stored progress of the largest job', () => {
   it.each([
     [2048, 3],
     [1024, 3],
     [500, 1],
   ])(
-    'fits values of %i bytes, %i mutations at a time, and a new leader recovers all of it',
+    'fits values of %i bytes and batches of %i mutations, and new leaders recover all of it',
     (bytes, txnOps) => {
-      const small = {
+      const limitedConfig = {
         maxValueBytes: bytes,
         maxTransactionOperations: txnOps,
         teams: new Map([['blue' as TeamName, team('blue', 1e6)]]),
       };
       const spec = job('job-1', { tasks: 100_000 });
-      const add: Command = { kind: 'job', spec, submittedAt: 0 as Instant };
-      const state = core(small);
-      const store = new Map<SegmentKey, string>();
-      drive(
+      const submission: Command = { kind: 'job', spec, submittedAt: 0 as Instant };
+      const state = core(limitedConfig);
+      const segmentTexts = new Map<SegmentKey, string>();
+      runLeader(
         state,
-        store,
-        [{ kind: 'machine-types', types: [type('c8')] }, add, { kind: 'recovery-completed' }],
+        segmentTexts,
+        [
+          { kind: 'machine-types', types: [type('c8')] },
+          submission,
+          { kind: 'recovery-completed' },
+        ],
         0,
       );
-      const done = Array.from({ length: 300 }, (_, i) => (i * 331) % 100_000);
+      const doneIndexes = Array.from({ length: 300 }, (_, i) => (i * 331) % 100_000);
       let now = 0;
-      for (const [i, index] of done.entries()) {
+      for (const [i, index] of doneIndexes.entries()) {
         const ended = [task('job-1', index, i + 1, 'ended', 'done')];
         now += 200;
-        drive(
+        runLeader(
           state,
-          store,
+          segmentTexts,
           [{ kind: 'heartbeat', heartbeat: heartbeatOf(`n-${i}`, 1, 7, ended), ticket: null }],
           now,
         );
       }
       for (const end = now + 50_000; now < end; now += 250)
-        drive(state, store, [{ kind: 'tick' }], now);
-      for (const text of store.values()) expect(text.length).toBeLessThanOrEqual(bytes);
-      // Leaders of the same limits, of larger ones and of the same again: each recovers what the
-      // former one has compacted.
+        runLeader(state, segmentTexts, [{ kind: 'tick' }], now);
+      for (const text of segmentTexts.values()) expect(text.length).toBeLessThanOrEqual(bytes);
+      // Leaders with the same limits, larger ones and the same again: each recovers the segments
+      // that its predecessor compacted.
       for (const [i, limits] of [
         {},
         { maxValueBytes: 8192, maxTransactionOperations: 16 },
         {},
       ].entries()) {
-        const next = core({ ...small, ...limits, fencingToken: (8 + i) as FencingToken });
-        const read: Command[] = [add];
-        for (const [segment, text] of store) {
+        const next = core({ ...limitedConfig, ...limits, fencingToken: (8 + i) as FencingToken });
+        const recoveryCommands: Command[] = [submission];
+        for (const [segment, text] of segmentTexts) {
           const record = decodeSegment(JSON.parse(text))!;
           for (const row of record.progress)
-            read.push({ kind: 'recovered-progress', segment, ...row });
+            recoveryCommands.push({ kind: 'recovered-progress', segment, ...row });
         }
-        drive(next, store, [...read, { kind: 'recovery-completed' }], 0);
-        expect(next.jobs.get(spec.id)?.doneCount).toBe(done.length);
-        for (let now = 250; now < 10_000; now += 250) drive(next, store, [{ kind: 'tick' }], now);
+        runLeader(next, segmentTexts, [...recoveryCommands, { kind: 'recovery-completed' }], 0);
+        expect(next.jobs.get(spec.id)?.doneCount).toBe(doneIndexes.length);
+        for (let now = 250; now < 10_000; now += 250)
+          runLeader(next, segmentTexts, [{ kind: 'tick' }], now);
       }
     },
   );
 });
 
-describe('a batch', () => {
+describe('a store batch', () => {
   it.each([
     [4, 4],
     [20, 10],
     [1000, 32],
-  ])('holds no more than half a second’s mutations (at %i a second: %i)', (writeRps, most) => {
-    const state = core({
-      storeWritesPerSecond: writeRps,
-      maxTransactionOperations: 32,
-      maxValueBytes: 300,
-    });
-    const sizes: number[] = [];
-    const run = (...commands: Command[]): void => {
-      for (const effect of applyCommands(state, commands, 0 as Instant, 'lead')) {
-        if (effect.kind !== 'store-batch') continue;
-        sizes.push(effect.operations.length);
-        run({ kind: 'batch-stored', batch: effect.batch });
-      }
-    };
-    const unknownTaskOn = (n: number): Command => ({
-      kind: 'heartbeat',
-      heartbeat: heartbeatOf(`n-${n}`, 1, 7, [task(`job-${n}`, 0, n)]),
-      ticket: null,
-    });
-    run({ kind: 'recovery-completed' }, ...Array.from({ length: 100 }, (_, n) => unknownTaskOn(n)));
-    expect(Math.max(...sizes)).toBe(most);
-  });
+  ])(
+    'holds at most half a second of mutations, with a floor of four (%i a second: %i)',
+    (writeRps, most) => {
+      const state = core({
+        storeWritesPerSecond: writeRps,
+        maxTransactionOperations: 32,
+        maxValueBytes: 300,
+      });
+      const sizes: number[] = [];
+      const run = (...commands: Command[]): void => {
+        for (const effect of applyCommands(state, commands, 0 as Instant, 'lead')) {
+          if (effect.kind !== 'store-batch') continue;
+          sizes.push(effect.operations.length);
+          run({ kind: 'batch-stored', batch: effect.batch });
+        }
+      };
+      const unknownTaskOn = (n: number): Command => ({
+        kind: 'heartbeat',
+        heartbeat: heartbeatOf(`n-${n}`, 1, 7, [task(`job-${n}`, 0, n)]),
+        ticket: null,
+      });
+      run(
+        { kind: 'recovery-completed' },
+        ...Array.from({ length: 100 }, (_, n) => unknownTaskOn(n)),
+      );
+      expect(Math.max(...sizes)).toBe(most);
+    },
+  );
 });
 
-describe('a leader whose batch is refused as too large', () => {
+describe('a leader whose batch is rejected as too large', () => {
   const log = pino({ level: 'silent' });
-  const STORED = { kind: 'stored', refused: [] };
+  const ALL_STORED = { kind: 'stored', refused: [] };
   const setUp = async () => {
-    const state = new KeyValueStoreServer();
-    cleanups.push(() => state.close());
-    const [host, port] = (await state.listen()).split(':');
+    const store = new KeyValueStoreServer();
+    cleanups.push(() => store.close());
+    const [host, port] = (await store.listen()).split(':');
     const rates = { rps: 1000, writeRps: 1000 };
     const client = new KeyValueStoreClient(
       { host: host!, port: Number(port) },
       { ...rates, lowered: rates },
     );
     cleanups.push(() => client.close());
-    state.commit({ Apply: [{ Write: 'leader', Data: {} }] });
-    const fencingToken = state.revision as FencingToken;
+    store.commit({ Apply: [{ Write: 'leader', Data: {} }] });
+    const fencingToken = store.revision as FencingToken;
     const writer = new BatchWriter({ store: client, fencingToken, log, jitter: new Jitter(3) });
-    return { state, writer };
+    return { store, writer };
   };
   const key = (n: number) => segmentKey(7 as FencingToken, n);
   const segment = (
@@ -209,10 +221,10 @@
     })),
     progress: [{ job: 'job-2' as JobId, firstTask: 0, bits: Uint8Array.of(n) }],
   });
-  const stored = (state: KeyValueStoreServer) => {
+  const storedContents = (store: KeyValueStoreServer) => {
     const attempts: number[] = [];
     let progress = 0;
-    for (const [k, { value: data }] of state.keys) {
+    for (const [k, { value: data }] of store.keys) {
       if (!k.startsWith('l/')) continue;
       const record = decodeSegment(JSON.parse(JSON.stringify(data)))!;
       for (const { entries } of record.machines) attempts.push(...entries.map((e) => e.attempt));
@@ -226,28 +238,31 @@
     ['smaller values', { valueBytes: 300 }],
     ['both', { txnOps: 2, valueBytes: 300 }],
   ])(
-    'splits it until it fits (%s), loses nothing, resends nothing unchanged, and deletes all pieces',
+    'splits it to fit (%s), stores all of it, repeats no rejected part, and deletes all parts',
     async (_, limits) => {
-      const { state, writer } = await setUp();
-      Object.assign(state.limits, limits);
+      const { store, writer } = await setUp();
+      Object.assign(store.limits, limits);
       const ops = [1, 2, 3, 4].map((n) => segment(n, 12));
-      expect(await writer.storeBatch(ops)).toEqual(STORED);
-      const wanted = ops.flatMap((op) =>
+      expect(await writer.storeBatch(ops)).toEqual(ALL_STORED);
+      const expected = ops.flatMap((op) =>
         op.machines.flatMap((machine) => machine.entries.map((e) => e.attempt as number)),
       );
-      expect(stored(state)).toEqual({ attempts: wanted.sort((a, b) => a - b), progress: 4 });
-      expect(state.refused.length).toBeGreaterThan(0);
-      expect(new Set(state.refused).size).toBe(state.refused.length);
-      const gone = ops.map(({ key }): StoreOperation => ({ kind: 'delete-segment', key }));
-      expect(await writer.storeBatch([segment(9, 1), ...gone])).toEqual(STORED);
-      expect(stored(state).attempts).toEqual([9000, 9100, 9200]);
+      expect(storedContents(store)).toEqual({
+        attempts: expected.sort((a, b) => a - b),
+        progress: 4,
+      });
+      expect(store.refused.length).toBeGreaterThan(0);
+      expect(new Set(store.refused).size).toBe(store.refused.length);
+      const deletions = ops.map(({ key }): StoreOperation => ({ kind: 'delete-segment', key }));
+      expect(await writer.storeBatch([segment(9, 1), ...deletions])).toEqual(ALL_STORED);
+      expect(storedContents(store).attempts).toEqual([9000, 9100, 9200]);
     },
   );
 
-  it('stores all the rest when an operation is refused in any size', async () => {
-    const { state, writer } = await setUp();
-    state.limits.txnOps = 1;
-    // A completion is two mutations or none.
+  it('stores the other operations when one is rejected even alone', async () => {
+    const { store, writer } = await setUp();
+    store.limits.txnOps = 1;
+    // A job completion takes two mutations in one transaction.
     const completion: StoreOperation = {
       kind: 'job-completion',
       job: 'job-5' as JobId,
@@ -257,18 +272,19 @@
     };
     const result = await writer.storeBatch([completion, segment(1, 2)]);
     expect(result).toEqual({ kind: 'stored', refused: [completion] });
-    expect(stored(state).attempts).toHaveLength(6);
-    expect(state.keys.has('f/job-5')).toBe(false);
+    expect(storedContents(store).attempts).toHaveLength(6);
+    expect(store.keys.has('f/job-5')).toBe(false);
   });
 
-  it('does not start what could not be entered in the ledger, and retries it later', () => {
+  it('starts no task whose ledger entry was rejected, and retries later', () => {
     const state = core();
-    const sent: number[] = [];
+    const startTimes: number[] = [];
     let refusals = 0;
     const send = (now: number, ...commands: Command[]): void => {
       for (const effect of applyCommands(state, commands, now as Instant, 'lead')) {
         if (effect.kind === 'reply-to-heartbeat')
-          for (const command of effect.commands ?? []) if (command.op === 'start') sent.push(now);
+          for (const command of effect.commands ?? [])
+            if (command.op === 'start') startTimes.push(now);
         if (effect.kind !== 'store-batch') continue;
         const refused = now < 20_000 ? effect.operations : [];
         refusals += refused.length;
@@ -285,7 +301,7 @@
       });
     }
     expect(refusals).toBe(1);
-    expect(sent.length).toBeGreaterThan(0);
-    expect(Math.min(...sent)).toBeGreaterThan(20_000);
+    expect(startTimes.length).toBeGreaterThan(0);
+    expect(Math.min(...startTimes)).toBeGreaterThan(20_000);
   });
 });
--- a/test/monotonic-reads.test.ts
+++ b/test/monotonic-reads.test.ts
@@ -1,7 +1,7 @@
 /**
- * Monotonic reads: users ask at all nodes, again and again within milliseconds, and repeat the
- * submission, right after a job was accepted, ended or confirmed as cancelled. No node may then
- * answer something older, whatever the key-value store and the controllers do meanwhile.
+ * Monotonic reads: despite faults of the key-value store and of controllers, no node may return an
+ * older state of a job than any node returned before. Users query all nodes within milliseconds of
+ * a job's acceptance, end or confirmed cancellation, and repeat the submission.
  */
 import { afterEach, describe, expect, it } from 'vitest';
 import { type ClusterNode, cleanUp, startCluster, until } from './stand-ins/cluster.js';
@@ -12,18 +12,18 @@
 const leaderOf = (nodes: readonly ClusterNode[]) =>
   nodes.find((n) => n.controller.authority() === 'lead');
 
-/** Follows a job by frequent queries: accepted, cancelled or not, ended, and long after. */
+/** Queries a job at all nodes from its submission until after its end; cancels it if asked to. */
 const followJob = async (users: Recorder, id: string, cancel: boolean): Promise<void> => {
   await users.untilAnswered((at) => users.submit(id, at));
-  const looks = users.askEverywhere(id);
+  const queries = users.askEverywhere(id);
   if (cancel) {
     await users.untilAnswered((at) => users.cancel(id, at));
     await users.askEverywhere(id);
   }
-  await looks;
+  await queries;
   await until(async () => {
-    const told = await users.untilAnswered((at) => users.lookUp(id, at));
-    return told === 'done' || told === 'withdrawn';
+    const status = await users.untilAnswered((at) => users.lookUp(id, at));
+    return status === 'done' || status === 'withdrawn';
   });
   await users.askEverywhere(id);
   await users.untilAnswered((at) => users.cancel(id, at));
@@ -38,8 +38,8 @@
     }),
   );
 
-describe('reads are monotonic across all nodes', () => {
-  it('while transactions lose their answers, or are executed late and after newer ones', async () => {
+describe('reads across all nodes', () => {
+  it('are monotonic while transactions lose replies or run late, after newer ones', async () => {
     const { nodes, state } = await startCluster(3);
     const users = new Recorder(() => nodes.map((n) => n.at));
     state.loseEvery = 3;
@@ -57,18 +57,18 @@
     ).toBeGreaterThan(50);
   });
 
-  it('while leaders change, controllers restart, and the key-value store refuses one of them', async () => {
+  it('are monotonic while leaders restart, or are refused by the key-value store', async () => {
     const { nodes, fronts, start, cloud } = await startCluster(3);
     cloud.taskMs = 60;
     const users = new Recorder(() => nodes.map((n) => n.at));
-    let changes = 0;
+    let leaderChanges = 0;
     let isFinished = false;
     const faults = (async () => {
       while (!isFinished) {
         const leader = await until(() => leaderOf(nodes) ?? isFinished);
         if (isFinished || leader === true) return;
         const i = nodes.indexOf(leader);
-        if (changes % 2 === 0) {
+        if (leaderChanges % 2 === 0) {
           leader.stop();
           nodes[i] = start(i);
         } else {
@@ -80,7 +80,7 @@
           await new Promise((resolve) => setTimeout(resolve, 150));
           fronts[i]!.refuse = false;
         }
-        changes += 1;
+        leaderChanges += 1;
         await new Promise((resolve) => setTimeout(resolve, 300));
       }
     })();
@@ -88,7 +88,7 @@
     isFinished = true;
     await faults;
     expect(users.problems).toEqual([]);
-    expect(changes).toBeGreaterThan(1);
+    expect(leaderChanges).toBeGreaterThan(1);
     expect(users.answersByStatus.done).toBeGreaterThan(100);
     expect(users.answersByStatus.withdrawn).toBeGreaterThan(50);
   });
