--- a/test/one-way-partitions.test.ts
+++ b/test/one-way-partitions.test.ts
@@ -11,10 +11,10 @@
   );
 
 describe('a machine whose heartbeats arrive while replies do not reach it', () => {
-  /** The replies are lost: the machine goes on reporting that it has no tasks. */
-  const loseReplies = (driver: CoreDriver, id: string, reports: number) => {
+  /** Sends heartbeats without tasks, as from a machine that receives no replies. */
+  const sendEmptyHeartbeats = (driver: CoreDriver, id: string, count: number) => {
     const effects: Effect[] = [];
-    for (let i = 0; i < reports; i += 1) {
+    for (let i = 0; i < count; i += 1) {
       driver.sendHeartbeat(id);
       effects.push(...driver.advance(500));
     }
@@ -29,37 +29,37 @@
       (id) => driver.startsIn(driver.sendHeartbeat(id)).length > 0,
     )!;
     const others = ['n-1', 'n-2', 'n-3'].filter((id) => id !== holder);
-    const effects = loseReplies(driver, holder, 6);
+    const effects = sendEmptyHeartbeats(driver, holder, 6);
     expect(hasRequestedDeletion(effects, holder)).toBe(true);
     driver.submit('job-2', { tasks: 1 });
     expect(driver.startsIn(driver.sendHeartbeat(holder))).toEqual([]);
-    const meanwhile = others
+    const startedBeforeDeletion = others
       .flatMap((id) => driver.startsIn(driver.sendHeartbeat(id)))
       .map((command) => command.job);
-    expect(meanwhile).toEqual(['job-2']);
+    expect(startedBeforeDeletion).toEqual(['job-2']);
     driver.send({ kind: 'deletion-result', machines: [holder as MachineId], ok: true });
-    const after = others
+    const startedAfterDeletion = others
       .flatMap((id) => driver.startsIn(driver.sendHeartbeat(id)))
       .map((command) => command.job);
-    expect(after).toContain('job-1');
+    expect(startedAfterDeletion).toContain('job-1');
   });
 
-  it('is detected by rising agent epochs, and gets no start of an ended epoch again', () => {
+  it('is detected by its rising agent epoch, and is not sent an earlier attempt again', () => {
     const driver = new CoreDriver();
     for (const id of ['n-1', 'n-2', 'n-3', 'n-4', 'n-5']) driver.bringUp(id);
     driver.submit('job-1', { tasks: 40 });
-    const first = driver.startsIn(driver.sendHeartbeat('n-1'));
-    expect(first.length).toBeGreaterThan(0);
-    const attempts = new Set(first.map((command) => command.attempt));
-    // Its lease ran out though it was replied to: heartbeats of the new epoch list nothing.
+    const firstStarts = driver.startsIn(driver.sendHeartbeat('n-1'));
+    expect(firstStarts.length).toBeGreaterThan(0);
+    const attempts = new Set(firstStarts.map((command) => command.attempt));
+    // Its lease expired despite the replies: heartbeats of the new epoch list no tasks.
     driver.sendHeartbeat('n-1', [], { agentEpoch: 2 });
-    const again = driver.startsIn(driver.sendHeartbeat('n-1', [], { agentEpoch: 2 }));
-    for (const command of again) expect(attempts.has(command.attempt)).toBe(false);
+    const laterStarts = driver.startsIn(driver.sendHeartbeat('n-1', [], { agentEpoch: 2 }));
+    for (const command of laterStarts) expect(attempts.has(command.attempt)).toBe(false);
     for (const agentEpoch of [3, 4, 5, 6]) driver.sendHeartbeat('n-1', [], { agentEpoch });
     expect(driver.state.machines.get('n-1' as MachineId)?.isUnreachable).toBe(true);
   });
 
-  it('gets work again a lease later when no more replies are lost', () => {
+  it('gets work again one lease after replies reach it again', () => {
     const driver = new CoreDriver();
     driver.bringUp('n-1');
     driver.submit('job-1', { tasks: 1 });
@@ -81,7 +81,7 @@
     });
   });
 
-  it('counts a cancelled task until a heartbeat proves it absent', () => {
+  it('keeps a cancelled task in its team’s usage until a heartbeat lists it no more', () => {
     const driver = new CoreDriver();
     driver.bringUp('n-1');
     driver.submit('job-1', { tasks: 8 });
@@ -115,22 +115,22 @@
 describe('machines whose heartbeats stop', () => {
   const coreWithLargeQuota = () =>
     core({ teams: new Map([['blue' as TeamName, team('blue', 400)]]) });
-  /** Fifty machines with a task each; of those named no heartbeat arrives, the others go on. */
-  const playFleet = (
-    names: readonly string[],
+  /** Runs fifty machines with a task each for `ms`; those in `silentIds` send no heartbeats. */
+  const runFleet = (
+    silentIds: readonly string[],
     ms: number,
     driver = new CoreDriver(coreWithLargeQuota()),
   ) => {
     const ids = Array.from({ length: 50 }, (_, i) => `n-${i}`);
     if (driver.state.machines.size === 0) {
-      for (const [seq, term] of [
+      for (const [seq, token] of [
         [1, 6],
         [2, 7],
       ] as const) {
         for (const [i, id] of ids.entries())
           driver.send({
             kind: 'heartbeat',
-            heartbeat: heartbeatOf(id, seq, term),
+            heartbeat: heartbeatOf(id, seq, token),
             ticket: (seq * 100 + i) as ReplyTicket,
           });
         driver.advance(1500);
@@ -141,9 +141,9 @@
     let seq = 1000 + driver.now;
     for (const end = driver.now + ms; driver.now < end; ) {
       for (const [i, id] of ids.entries()) {
-        if (names.includes(id) || !driver.state.machines.has(id as MachineId)) continue;
-        const held = [...driver.state.machines.get(id as MachineId)!.placements.values()];
-        const reported = held
+        if (silentIds.includes(id) || !driver.state.machines.has(id as MachineId)) continue;
+        const placements = [...driver.state.machines.get(id as MachineId)!.placements.values()];
+        const reported = placements
           .filter((placement) => placement.phase !== 'persisting')
           .map((placement) => running(placement.entry));
         seq += 1;
@@ -160,39 +160,41 @@
     }
     return { driver, effects };
   };
-  const deletedBy = (effects: readonly Effect[]) =>
+  const deletedMachines = (effects: readonly Effect[]) =>
     new Set(
       effects.flatMap((effect) => (effect.kind === 'delete-machines' ? effect.machines : [])),
     );
 
   it('are not replaced within two leases when many stop at once', () => {
-    const { driver } = playFleet([], 4000);
-    const many = Array.from({ length: 15 }, (_, i) => `n-${i}`);
+    const { driver } = runFleet([], 4000);
+    const silentIds = Array.from({ length: 15 }, (_, i) => `n-${i}`);
     const leaseMs = driver.state.config.workerLeaseMs;
     expect(driver.state.teamUsage.get('blue' as TeamName)?.cpus).toBeGreaterThan(0);
-    const hang = playFleet(many, leaseMs - 2000, driver);
-    expect(deletedBy(hang.effects).size).toBe(0);
+    const withinLease = runFleet(silentIds, leaseMs - 2000, driver);
+    expect(deletedMachines(withinLease.effects).size).toBe(0);
     expect(
       [...driver.state.machines.values()].filter((machine) => machine.lostAt !== null),
     ).toEqual([]);
-    const longer = playFleet(many, leaseMs - 2000, driver);
-    expect(deletedBy(longer.effects).size).toBe(0);
-    // Their leases have expired: nothing is counted on them, and they are not ready.
-    for (const id of many)
+    const pastLease = runFleet(silentIds, leaseMs - 2000, driver);
+    expect(deletedMachines(pastLease.effects).size).toBe(0);
+    // Their leases have expired: they hold no attempts and are not ready.
+    for (const id of silentIds)
       expect(driver.state.machines.get(id as MachineId)).toMatchObject({
         attemptCount: 0,
         isReady: false,
       });
-    const after = playFleet(many, 8000, driver);
-    expect(deletedBy(after.effects).size).toBe(15);
+    const pastTwoLeases = runFleet(silentIds, 8000, driver);
+    expect(deletedMachines(pastTwoLeases.effects).size).toBe(15);
   });
 
   it('are replaced after four heartbeat intervals when few stop', () => {
-    const few = ['n-3', 'n-4', 'n-5', 'n-6', 'n-7'];
-    const { driver } = playFleet([], 4000);
-    const { heartbeatIntervalMs: reportMs } = driver.state.config;
-    expect(deletedBy(playFleet(few, 3 * reportMs, driver).effects).size).toBe(0);
-    expect([...deletedBy(playFleet(few, 2 * reportMs + 1000, driver).effects)]).toEqual(few);
+    const silentIds = ['n-3', 'n-4', 'n-5', 'n-6', 'n-7'];
+    const { driver } = runFleet([], 4000);
+    const { heartbeatIntervalMs: intervalMs } = driver.state.config;
+    expect(deletedMachines(runFleet(silentIds, 3 * intervalMs, driver).effects).size).toBe(0);
+    expect([
+      ...deletedMachines(runFleet(silentIds, 2 * intervalMs + 1000, driver).effects),
+    ]).toEqual(silentIds);
   });
 
   it('get no more work until the next heartbeat, and then at once', () => {
--- a/test/peer-connections.test.ts
+++ b/test/peer-connections.test.ts
@@ -9,7 +9,7 @@
 afterEach(cleanUp);
 
 describe('connections between controllers', () => {
-  it('decode messages however the stream is cut', () => {
+  it('decode messages from a stream split at every byte', () => {
     const frames = Buffer.concat([
       encodeFrame({ n: 1 }),
       encodeFrame({ n: 2, is: 'x'.repeat(500) }),
@@ -20,7 +20,7 @@
     expect(messages).toEqual([{ n: 1 }, { n: 2, is: 'x'.repeat(500) }]);
   });
 
-  it('drop messages that are too large or of no known form, and answer the others', async () => {
+  it('drop messages that are too large or malformed, and answer the others', async () => {
     const port = await freePort();
     const dropped: string[] = [];
     const server = servePeers(
--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -1,4 +1,4 @@
-/** The messages between controllers: their names on the link, and what counts as no answer. */
+/** Messages between controllers: their encoding, and how malformed answers are decoded. */
 import { describe, expect, it } from 'vitest';
 import type { FencingToken, JobId, NodeId, TeamName } from '../src/core/model/ids.js';
 import type { JobView, SubmissionResult } from '../src/ports/user-api.js';
@@ -18,14 +18,14 @@
 const job: JobView = { id, team: 'blue' as TeamName, status: 'running', done: 1, running: 2 };
 const unavailable = { kind: 'unavailable', reason: 'state service away' } as const;
 
-describe('a look-up between controllers', () => {
-  it('is the view itself, or one of two words', () => {
+describe('the result of a look-up between controllers', () => {
+  it('is encoded as the job view, "absent" or "later"', () => {
     expect(encodeLookup({ kind: 'found', job })).toBe(job);
     expect(encodeLookup({ kind: 'not-found' })).toBe('absent');
     expect(encodeLookup(unavailable)).toBe('later');
   });
 
-  it('counts as no answer unless it is of the job that was asked for', () => {
+  it('is decoded as null unless it is well-formed and concerns the requested job', () => {
     expect(decodeLookup(job, id)).toEqual({ kind: 'found', job });
     expect(decodeLookup('absent', id)).toEqual({ kind: 'not-found' });
     for (const answer of ['later', null, undefined, {}, { ...job, status: 'ended' }])
@@ -33,10 +33,10 @@
     expect(decodeLookup(job, otherId)).toBeNull();
   });
 
-  it('reads views of the first version, and drops fields of later ones', () => {
+  it('is decoded from an older version’s view, and without a newer version’s fields', () => {
     expect(decodeJobView({ ...job, later: 1 })).toEqual(job);
-    const whole = { ...job, shape: 'service', tasks: 3, waiting: 'next round' };
-    expect(decodeJobView(whole)).toEqual(whole);
+    const fullView = { ...job, shape: 'service', tasks: 3, waiting: 'next round' };
+    expect(decodeJobView(fullView)).toEqual(fullView);
     expect(decodeJobView('later')).toBeNull();
   });
 });
@@ -60,11 +60,11 @@
       { kind: 'impossible', reason: 'x' },
     ],
     [unavailable, { kind: 'later', reason: unavailable.reason }],
-  ])('sends %j as %j', (result, sent) => {
-    expect(encodeAdmission(result)).toEqual(sent);
+  ])('with the result %j is encoded as %j', (result, encoded) => {
+    expect(encodeAdmission(result)).toEqual(encoded);
     const isAdmitted = result.kind === 'accepted' || result.kind === 'already-known';
-    expect(decodeAdmission(sent, id)).toEqual(isAdmitted ? result : null);
-    expect(decodeAdmission(sent, otherId)).toBeNull();
+    expect(decodeAdmission(encoded, id)).toEqual(isAdmitted ? result : null);
+    expect(decodeAdmission(encoded, otherId)).toBeNull();
   });
 });
 
@@ -76,13 +76,13 @@
     reachesStore: true,
   };
 
-  it('travels under the names of the first version', () => {
+  it('is encoded under the protocol’s field names', () => {
     const sent = { leader: 'node-1', term: 41, workers: 3, state: true };
     expect(encodeHealth(health)).toEqual(sent);
     expect(decodeHealth(sent)).toEqual(health);
   });
 
-  it('counts as out of reach of the store unless it says otherwise, and malformed as none', () => {
+  it('is decoded as unable to reach the store by default, and as null if malformed', () => {
     expect(decodeHealth({ leader: null, term: 41, workers: 3 })?.reachesStore).toBe(false);
     expect(decodeHealth({ leader: 'node-1', term: 4.1, workers: 3 })).toBeNull();
     expect(decodeHealth(undefined)).toBeNull();
@@ -90,7 +90,7 @@
 });
 
 describe("an extension's answer between controllers", () => {
-  it('counts as none unless it is an HTTP status and an object', () => {
+  it('is decoded as null unless it has an HTTP status and an object', () => {
     const answer = { status: 409, body: { error: 'x' } };
     expect(decodeOperatorAnswer(answer)).toEqual(answer);
     for (const malformed of [{ ...answer, status: 700 }, { status: 200 }, null])
--- a/test/pinned-commands.test.ts
+++ b/test/pinned-commands.test.ts
@@ -1,6 +1,6 @@
 /**
- * What operators type and read, as commit 90313a6 has it: the requests, output and exit codes of the
- * commands, and the names in `policy.scm`, `drain.scm` and the platform's settings file.
+ * The operators' interface as pinned at commit 90313a6: requests, output and exit codes of the
+ * commands, and the field names of `policy.scm`, `drain.scm` and the platform's settings file.
  */
 import { readFileSync } from 'node:fs';
 import { afterEach, describe, expect, it, vi } from 'vitest';
@@ -22,8 +22,8 @@
   process.exitCode = undefined;
 });
 
-/** Runs a command in this process, up to its end or exit. */
-const command = async (args: readonly string[]) => {
+/** Runs a command in this process until it returns or calls `exit`. */
+const runCommand = async (args: readonly string[]) => {
   let out = '';
   let error = '';
   let code: unknown = 0;
@@ -51,7 +51,7 @@
   return { code, out, error };
 };
 
-const details = {
+const drainDetails = {
   name: 'os-update',
   status: 'stalled',
   total: 30,
@@ -86,15 +86,15 @@
   { scope: 'team green', disrupted: 0, atOnce: null },
 ];
 
-describe('the commands', () => {
-  it('ask, print and exit as pinned', async () => {
+describe('the operator commands', () => {
+  it('send, print and exit as pinned', async () => {
     let answer: readonly [number, unknown] | null = null;
     const { sent, at } = await startRecordingServer(({ method, path }) => {
       if (answer) return answer;
       if (path === '/api/drains/plan') return [200, plan];
       if (path === '/api/budgets') return [200, { budgets }];
-      if (path === '/api/drains' && method === 'GET') return [200, { drains: [details] }];
-      if (path.startsWith('/api/drains')) return [201, details];
+      if (path === '/api/drains' && method === 'GET') return [200, { drains: [drainDetails] }];
+      if (path.startsWith('/api/drains')) return [201, drainDetails];
       if (path.endsWith('/explain')) return [200, { id: 'job-1', waiting: 'team limit' }];
       return [200, { jobs: [{ Ref: 'job-1', Status: 'queued' }] }];
     });
@@ -113,12 +113,12 @@
     ];
     const check = async (name: string, ...args: string[]) => {
       sent.splice(0);
-      const result = await command([...args, ...target]);
+      const result = await runCommand([...args, ...target]);
       pins.check(name, { sent, ...result });
     };
     await check('explain', 'explain', 'job-1');
     await check('jobs', 'jobs', '--team', 'blue');
-    const rest = [
+    const otherOptions = [
       '--spot',
       '--min-age',
       '60',
@@ -128,7 +128,7 @@
       '600',
       '--no-replace',
     ];
-    await check('drain start', 'drain', 'start', 'os-update', ...selection, ...rest);
+    await check('drain start', 'drain', 'start', 'os-update', ...selection, ...otherOptions);
     await check(
       'drain start of a share',
       'drain',
@@ -155,19 +155,23 @@
       await check(`drain status answered ${status} as JSON`, 'drain', 'status', 'x', '--json');
       await check(`jobs answered ${status}`, 'jobs', '--team', 'blue');
     }
-    const nobody = `127.0.0.1:${await freePort()}`;
-    const { code } = await command(['drain', 'list', '--at', nobody]);
-    const asked = await command(['jobs', '--team', 'blue', '--at', nobody]);
-    pins.check('exit codes without an answer', [code, asked.code]);
+    const closedAddress = `127.0.0.1:${await freePort()}`;
+    const { code } = await runCommand(['drain', 'list', '--at', closedAddress]);
+    const jobsResult = await runCommand(['jobs', '--team', 'blue', '--at', closedAddress]);
+    pins.check('exit codes without an answer', [code, jobsResult.code]);
   });
 
-  it('check files, and exit with 2 for one that cannot be read', async () => {
-    const { code, out, error } = await command(['check-config', '--config', '/nonexistent.json']);
+  it('report a settings file that cannot be read, and exit with 2', async () => {
+    const { code, out, error } = await runCommand([
+      'check-config',
+      '--config',
+      '/nonexistent.json',
+    ]);
     pins.check('check-config', { code, out, error });
   });
 });
 
-describe('answers on drains', () => {
+describe('answers of the drain API', () => {
   it('are in the pinned form', () => {
     const fleet = new DrainFleet(inZone(3));
     fleet.submit('job-1', {
@@ -194,17 +198,17 @@
   });
 });
 
-const faultOf = (read: () => unknown): string => {
+const errorMessageOf = (parse: () => unknown): string => {
   try {
-    read();
+    parse();
     return 'none';
   } catch (error) {
     return (error as Error).message;
   }
 };
 
-/** Name, a value that is allowed, and the least and most that are. */
-const POLICY: readonly (readonly [string, number, number, number])[] = [
+/** Fields of the policy file: name, default, minimum and maximum. */
+const POLICY_FIELDS: readonly (readonly [string, number, number, number])[] = [
   ['age-factor', 1, 0, 1e6],
   ['deadline-weight', 1, 0, 1e6],
   ['scarcity-weight', 1, 0, 1e6],
@@ -225,50 +229,58 @@
 ];
 
 describe('the policy file', () => {
-  it.each(POLICY)('knows %s with its pinned default and bounds', (name, initial, least, most) => {
-    const other =
-      name === 'deadline-min' ? 7.5 : name === 'deadline-max' ? 8.5 : (initial + most) / 2;
-    const changed = Object.entries(parsePolicy(`(policy (${name} ${other}))`)).filter(
-      ([key, value]) => value !== DEFAULT_POLICY[key as keyof typeof DEFAULT_POLICY],
-    );
-    expect(changed).toHaveLength(1);
-    const [key, value] = changed[0]!;
-    expect([DEFAULT_POLICY[key as keyof typeof DEFAULT_POLICY], value]).toEqual([initial, other]);
-    for (const beyond of [least - 1e-3, most + 1]) {
-      expect(faultOf(() => parsePolicy(`(policy (${name} ${beyond}))`))).toBe(
-        `policy: field ${name} must be one number from ${least} to ${most}`,
+  it.each(POLICY_FIELDS)(
+    'accepts %s with its pinned default and bounds',
+    (name, initial, least, most) => {
+      const otherValue =
+        name === 'deadline-min' ? 7.5 : name === 'deadline-max' ? 8.5 : (initial + most) / 2;
+      const changed = Object.entries(parsePolicy(`(policy (${name} ${otherValue}))`)).filter(
+        ([key, value]) => value !== DEFAULT_POLICY[key as keyof typeof DEFAULT_POLICY],
       );
-    }
-  });
+      expect(changed).toHaveLength(1);
+      const [key, value] = changed[0]!;
+      expect([DEFAULT_POLICY[key as keyof typeof DEFAULT_POLICY], value]).toEqual([
+        initial,
+        otherValue,
+      ]);
+      for (const beyond of [least - 1e-3, most + 1]) {
+        expect(errorMessageOf(() => parsePolicy(`(policy (${name} ${beyond}))`))).toBe(
+          `policy: field ${name} must be one number from ${least} to ${most}`,
+        );
+      }
+    },
+  );
 
-  it('knows no other name', () => {
-    expect(Object.keys(DEFAULT_POLICY)).toHaveLength(POLICY.length);
-    expect(faultOf(() => parsePolicy('(policy (what 1))'))).toBe('policy: unknown field what');
+  it('accepts no other field', () => {
+    expect(Object.keys(DEFAULT_POLICY)).toHaveLength(POLICY_FIELDS.length);
+    expect(errorMessageOf(() => parsePolicy('(policy (what 1))'))).toBe(
+      'policy: unknown field what',
+    );
   });
 });
 
-describe('the file of drains', () => {
+describe('the drain settings file', () => {
   const teams = new Set(['blue', 'green']);
   it.each([
     ['let-end-s', 60, 0],
     ['ready-timeout-s', 300, 1],
     ['stalled-after-s', 60, 1],
-  ] as const)('knows %s with its pinned default and bounds', (name, initial, least) => {
-    const plain = parseDrainSettings('(drain)', teams) as unknown as Record<string, unknown>;
-    const read = parseDrainSettings(`(drain (${name} 77))`, teams) as unknown as Record<
+  ] as const)('accepts %s with its pinned default and bounds', (name, initial, least) => {
+    const defaults = parseDrainSettings('(drain)', teams) as unknown as Record<string, unknown>;
+    const changedSettings = parseDrainSettings(`(drain (${name} 77))`, teams) as unknown as Record<
       string,
       unknown
     >;
-    const changed = Object.keys(read).filter(
-      (key) => typeof read[key] === 'number' && read[key] !== plain[key],
+    const changed = Object.keys(changedSettings).filter(
+      (key) => typeof changedSettings[key] === 'number' && changedSettings[key] !== defaults[key],
     );
-    expect(changed.map((key) => [plain[key], read[key]])).toEqual([[initial, 77]]);
+    expect(changed.map((key) => [defaults[key], changedSettings[key]])).toEqual([[initial, 77]]);
     expect(parseDrainSettings(`(drain (${name} ${least - 1}))`, teams)).toEqual({
       fault: `drain: field ${name}: must be a number from ${least} to 86400`,
     });
   });
 
-  it('is accepted as deployed, with budgets of every form', () => {
+  it('is valid as deployed, and with budgets of every form', () => {
     const deployed = readFileSync(new URL('../deploy/drain.scm', import.meta.url), 'utf8');
     const full = `(drain (budgets (default (at-once 3)) (team blue (at-once 2) (at-once-share 0.25)
       (within 600 10) (class settle (at-once 1) (at-once-share 0.5) (within 60 1)))))`;
@@ -278,25 +290,27 @@
 });
 
 describe("the platform's settings", () => {
-  it('name each field that is missing, or do without it, as pinned', () => {
-    const told: Record<string, string> = {};
-    const strike = (path: readonly string[], value: unknown): void => {
+  it('are accepted, or rejected by name, as pinned for each missing field', () => {
+    const messages: Record<string, string> = {};
+    const removeFields = (path: readonly string[], value: unknown): void => {
       if (typeof value !== 'object' || value === null) return;
       for (const [key, inner] of Object.entries(value)) {
-        const here = [...path, key];
-        const whole = JSON.parse(settingsText());
-        let at = whole;
-        for (const step of path) at = at[step];
-        if (Array.isArray(value)) strike(here, inner);
+        const fieldPath = [...path, key];
+        const settings = JSON.parse(settingsText());
+        let parent = settings;
+        for (const step of path) parent = parent[step];
+        if (Array.isArray(value)) removeFields(fieldPath, inner);
         else {
-          delete at[key];
-          told[here.join('.')] = faultOf(() => parseSettings(JSON.stringify(whole)));
-          strike(here, inner);
+          delete parent[key];
+          messages[fieldPath.join('.')] = errorMessageOf(() =>
+            parseSettings(JSON.stringify(settings)),
+          );
+          removeFields(fieldPath, inner);
         }
       }
     };
-    strike([], JSON.parse(settingsText()));
-    pins.check('settings without a field', told);
+    removeFields([], JSON.parse(settingsText()));
+    pins.check('settings without a field', messages);
   });
 });
 
