--- a/test/pinned-http.test.ts
+++ b/test/pinned-http.test.ts
@@ -1,7 +1,7 @@
 /**
- * HTTP answers to users, operators and workers, and the messages between controllers, as commit
- * 90313a6 gives them: status, headers and body byte for byte. A follower is asked, beside a stand-in
- * of the leader that answers in pinned forms; then a leader is asked the pinned questions.
+ * HTTP answers to users, operators and workers, and messages between controllers, as pinned at
+ * commit 90313a6: status, headers and body byte for byte. The follower under test has a stand-in
+ * leader that answers in the pinned forms; the leader under test is sent the pinned requests.
  */
 import { request } from 'node:http';
 import { type AddressInfo, connect, createServer, type Socket } from 'node:net';
@@ -42,46 +42,52 @@
   readonly text: string;
 }
 
-/** An answer as it came, without the headers that change from one moment to the next. */
-const call = (
-  at: string,
+/** Sends a request; returns the answer without the headers that differ from run to run. */
+const sendRequest = (
+  address: string,
   method: string,
   path: string,
-  sent?: unknown,
+  payload?: unknown,
   chunked = false,
 ): Promise<Answer> =>
   new Promise((resolve, reject) => {
-    const [host, port] = at.split(':');
-    const text = sent === undefined ? '' : typeof sent === 'string' ? sent : JSON.stringify(sent);
+    const [host, port] = address.split(':');
+    const text =
+      payload === undefined ? '' : typeof payload === 'string' ? payload : JSON.stringify(payload);
     const headers = chunked
       ? { 'transfer-encoding': 'chunked' }
       : { 'content-length': Buffer.byteLength(text) };
     const req = request(
       { host, port: Number(port), path, method, headers, agent: false },
       async (res) => {
-        let answer = '';
-        for await (const part of res) answer += part;
+        let responseText = '';
+        for await (const part of res) responseText += part;
         const {
           date: _date,
           connection: _connection,
           'keep-alive': _keepAlive,
           ...kept
         } = res.headers;
-        resolve({ status: res.statusCode ?? 0, headers: kept, text: answer });
+        resolve({ status: res.statusCode ?? 0, headers: kept, text: responseText });
       },
     );
     req.on('error', reject);
     req.end(text);
   });
 
-type Question = { n: number; ask: string; job?: string; call?: { subject: string; route: string } };
+type PeerRequest = {
+  n: number;
+  ask: string;
+  job?: string;
+  call?: { subject: string; route: string };
+};
 
-/** A leader that answers in the pinned forms, and keeps the frames that came, numbered 1 each. */
-const standInLeader = async () => {
+/** A leader that answers in the pinned forms and records each frame it receives, with `n` = 1. */
+const startLeaderStandIn = async () => {
   const frames: string[] = [];
-  const asked: Question[] = [];
+  const received: PeerRequest[] = [];
   const control = { silent: new Set<string>(), admit: 'admit' };
-  const answerTo = ({ ask, job = '' }: Question): unknown => {
+  const answerTo = ({ ask, job = '' }: PeerRequest): unknown => {
     if (ask === 'admit') return answers.get(control.admit);
     const pinned = answers.get<Record<string, unknown>>(ask);
     if (ask === 'status' || ask === 'abort' || ask === 'look')
@@ -95,10 +101,10 @@
     socket.on('error', () => {});
     socket.on('data', (bytes: Buffer) => {
       for (const message of decoder.decode(bytes)) {
-        const question = message as Question;
+        const question = message as PeerRequest;
         if (question.ask !== 'health') {
           frames.push(encodeFrame({ ...question, n: 1 }).toString('base64'));
-          asked.push(question);
+          received.push(question);
         }
         const is = control.silent.has(question.ask) ? null : answerTo(question);
         socket.write(encodeFrame({ n: question.n, is }));
@@ -113,27 +119,27 @@
     },
   );
   const { port } = server.address() as AddressInfo;
-  return { at: `127.0.0.1:${port}`, frames, asked, control };
+  return { at: `127.0.0.1:${port}`, frames, received, control };
 };
 
 const startNode = async (peer: string | null, capacity = 0) => {
-  const state = new KeyValueStoreServer();
+  const store = new KeyValueStoreServer();
   const cloud = new Cloud(capacity);
   cleanups.push(
-    () => state.close(),
+    () => store.close(),
     () => cloud.close(),
   );
   const api = `127.0.0.1:${await freePort()}`;
   const back = `127.0.0.1:${await freePort()}`;
-  const outside = { cloud: await cloud.listen(), state: await state.listen() };
+  const outside = { cloud: await cloud.listen(), state: await store.listen() };
   if (peer)
-    state.commit({ Apply: [{ Write: 'leader', Data: { node: 'node-1', life: 'x', lease: 1 } }] });
+    store.commit({ Apply: [{ Write: 'leader', Data: { node: 'node-1', life: 'x', lease: 1 } }] });
   const seeds = peer ? [{ node: 'node-1', zone: 'a', endpoint: peer }] : [];
   const { params } = JSON.parse(settingsText()) as { params: object };
-  // Frequent reports: a new leader waits for a few of them.
-  const quick = { ...params, workers: { report_s: 0.2, lease_s: 16, cancel_s: 40 } };
+  // Short heartbeat intervals: a new leader waits for a few heartbeats.
+  const quickParams = { ...params, workers: { report_s: 0.2, lease_s: 16, cancel_s: 40 } };
   const settings = parseSettings(
-    settingsText({ api_addr: api, back, seeds, outside, params: quick }),
+    settingsText({ api_addr: api, back, seeds, outside, params: quickParams }),
   );
   const drains = drainModule(settingsOf('(drain (budgets (team blue (at-once 2) (within 60 3))))'));
   const controller = new Controller({
@@ -159,10 +165,10 @@
   await until(async () => (await post(api, '/up', undefined, 'GET'))?.status === 200);
   if (peer) await until(() => controller.election.leaderNode === 'node-1');
   else await until(() => controller.authority() === 'lead');
-  return { state, cloud, api, back, controller };
+  return { store, cloud, api, back, controller };
 };
 
-/** Everything that users may send wrongly, and what is right. */
+/** Submissions with each kind of fault, and valid ones. */
 const submissions: Record<string, unknown> = {
   'not JSON': '{',
   'an array': '[]',
@@ -188,19 +194,19 @@
 };
 
 describe('a follower', () => {
-  it('answers users, and asks the leader, in the pinned forms', async () => {
-    const leader = await standInLeader();
-    const { state, api } = await startNode(leader.at);
+  it('answers users and queries the leader in the pinned forms', async () => {
+    const leader = await startLeaderStandIn();
+    const { store, api } = await startNode(leader.at);
     const check = async (name: string, method: string, path: string, sent?: unknown) =>
-      pins.check(`follower: ${name}`, await call(api, method, path, sent));
+      pins.check(`follower: ${name}`, await sendRequest(api, method, path, sent));
     await check('up', 'GET', '/up');
     await check('no path', 'GET', '/nowhere');
     for (const id of ['job-1', 'job-2', 'job-3', 'job-4', 'job-5', 'job-900', 'nonsense'])
       await check(id, 'GET', `/api/jobs/${id}`);
     await check('own team', 'GET', '/api/jobs/job-2?team=green');
     await check('other team', 'GET', '/api/jobs/job-2?team=blue');
-    // Known from the state service alone.
-    state.commit({
+    // Jobs known only by their stored records.
+    store.commit({
       Apply: [
         { Write: 'j/job-000412', Data: records.get('job array') },
         { Write: 'j/job-413', Data: records.get('job service') },
@@ -222,9 +228,9 @@
     for (const [name, sent] of Object.entries(submissions))
       await check(name, 'POST', '/api/jobs', sent);
     pins.check('stored by a submission', [
-      Object.keys(state.keys.get('j/job-10')!.value as object),
-      (state.keys.get('j/job-10')!.value as { spec: unknown }).spec,
-      (state.keys.get('j/job-11')!.value as { service: unknown }).service,
+      Object.keys(store.keys.get('j/job-10')!.value as object),
+      (store.keys.get('j/job-10')!.value as { spec: unknown }).spec,
+      (store.keys.get('j/job-11')!.value as { service: unknown }).service,
     ]);
     await check('start a drain', 'POST', '/api/drains', inputs.get('drain'));
     await check('plan a drain', 'POST', '/api/drains/plan', inputs.get('drain of all'));
@@ -236,12 +242,14 @@
     await check('a drain that is not JSON', 'POST', '/api/drains', '{');
     pins.check(
       'questions',
-      leader.asked.map(({ n: _, ...question }) => question).filter(({ ask }) => ask !== 'status'),
+      leader.received
+        .map(({ n: _, ...question }) => question)
+        .filter(({ ask }) => ask !== 'status'),
     );
     pins.check('frames', [...new Set(leader.frames)]);
-    for (const question of leader.asked)
+    for (const question of leader.received)
       expect(v.parse(pinnedSchemas.question, question)).toEqual(question);
-    // A leader that says nothing of use.
+    // The leader answers these with null.
     for (const ask of ['list', 'explain', 'operate']) leader.control.silent.add(ask);
     await check('list without a leader', 'GET', '/api/jobs?team=blue');
     await check('explain without a leader', 'GET', '/api/jobs/job-1/explain');
@@ -250,22 +258,22 @@
     await check('malformed check-in', 'POST', '/checkin', {});
   });
 
-  it('has a peer write and look while the state service is away, in the pinned forms', async () => {
-    const leader = await standInLeader();
-    const { state, api } = await startNode(leader.at);
+  it('has a peer submit and look up in the pinned forms while the store is down', async () => {
+    const leader = await startLeaderStandIn();
+    const { store, api } = await startNode(leader.at);
     const check = async (name: string, method: string, path: string, sent?: unknown) =>
-      pins.check(`cut off: ${name}`, await call(api, method, path, sent));
-    state.isDown = true;
+      pins.check(`cut off: ${name}`, await sendRequest(api, method, path, sent));
+    store.isDown = true;
     await until(async () => (await post(api, '/api/jobs', body('job-20')))?.status === 201);
-    leader.asked.splice(0);
+    leader.received.splice(0);
     leader.control.silent.add('status');
     leader.control.silent.add('explain');
     await check('submission', 'POST', '/api/jobs', body('job-20'));
-    const { record } = leader.asked.find(({ ask }) => ask === 'admit') as unknown as {
+    const { record } = leader.received.find(({ ask }) => ask === 'admit') as unknown as {
       record: { at: number };
     };
     pins.check('admit question', {
-      ...leader.asked.find(({ ask }) => ask === 'admit'),
+      ...leader.received.find(({ ask }) => ask === 'admit'),
       n: 1,
       record: { ...record, at: 1 },
     });
@@ -276,41 +284,41 @@
     for (const id of ['job-30', 'job-31', 'job-32']) await check(id, 'GET', `/api/jobs/${id}`);
     await check('explain', 'GET', '/api/jobs/job-30/explain');
     await check('abort', 'POST', '/api/jobs/job-30/abort');
-    const looks = leader.asked
+    const lookRequests = leader.received
       .filter(({ ask }) => ask === 'look')
       .map((question) => ({ ...question, n: 1 }));
-    pins.check('look questions', looks.slice(0, 3));
-    for (const question of leader.asked)
+    pins.check('look questions', lookRequests.slice(0, 3));
+    for (const question of leader.received)
       expect(v.parse(pinnedSchemas.question, question)).toEqual(question);
   });
 });
 
-/** Asks a controller as its peers do. */
-const peerOf = async (back: string) => {
-  const [host, port] = back.split(':');
+/** Connects as a peer; returns a function that sends a request and resolves with the answer. */
+const connectAsPeer = async (address: string) => {
+  const [host, port] = address.split(':');
   const socket = connect(Number(port), host);
   cleanups.push(() => socket.destroy());
   const decoder = new FrameDecoder();
-  const waiting = new Map<number, (is: unknown) => void>();
+  const pending = new Map<number, (is: unknown) => void>();
   socket.on('data', (bytes: Buffer) => {
     for (const message of decoder.decode(bytes)) {
       const { n, is } = v.parse(pinnedSchemas.answer, message);
-      waiting.get(n)?.(is);
+      pending.get(n)?.(is);
     }
   });
   await new Promise<void>((resolve) => socket.once('connect', resolve));
-  let next = 0;
+  let lastNumber = 0;
   return (question: object): Promise<unknown> =>
     new Promise((resolve) => {
-      next += 1;
-      waiting.set(next, resolve);
-      socket.write(encodeFrame({ n: next, ...question }));
+      lastNumber += 1;
+      pending.set(lastNumber, resolve);
+      socket.write(encodeFrame({ n: lastNumber, ...question }));
     });
 };
 
-/** What depends on the moment is left out of an explanation. */
-const steady = (told: unknown): unknown =>
-  JSON.parse(JSON.stringify(told), (key, value) =>
+/** An answer without the values of an explanation that differ from run to run. */
+const withoutVolatileValues = (answer: unknown): unknown =>
+  JSON.parse(JSON.stringify(answer), (key, value) =>
     key === 'scores' && value
       ? Object.keys(value as object)
       : key === 'headShadowInS'
@@ -320,14 +328,14 @@
 
 describe('a leader', () => {
   it('answers its peers and operators in the pinned forms', async () => {
-    const { state, api, back } = await startNode(null);
-    const ask = await peerOf(back);
-    const told = async (name: string, question: object, schema?: v.GenericSchema) => {
-      const is = steady(await ask(question));
-      pins.check(`leader: ${name}`, is);
-      if (schema) expect(v.parse(schema, is)).toEqual(is);
+    const { store, api, back } = await startNode(null);
+    const ask = await connectAsPeer(back);
+    const checkAnswer = async (name: string, question: object, schema?: v.GenericSchema) => {
+      const answer = withoutVolatileValues(await ask(question));
+      pins.check(`leader: ${name}`, answer);
+      if (schema) expect(v.parse(schema, answer)).toEqual(answer);
     };
-    const leaderRecord = state.keys.get('leader')!;
+    const leaderRecord = store.keys.get('leader')!;
     pins.check('leader record', Object.keys(leaderRecord.value as object));
     expect(leaderRecord.value).toMatchObject({
       node: 'node-0',
@@ -335,14 +343,14 @@
       lease: leaderRecord.lease,
     });
     const record = { ...records.get<{ at: number; spec: object }>('job array') };
-    const plain = {
+    const plainRecord = {
       ...record,
       spec: { ...record.spec, id: 'job-1', cpus: 1, gpus: 0, types: null },
     };
-    await told('admit', { ask: 'admit', record: plain }, pinnedSchemas.admitted);
-    await told('admit again', { ask: 'admit', record: plain }, pinnedSchemas.admitted);
-    await told('admit of no record', { ask: 'admit', record: { odd: true } });
-    await told(
+    await checkAnswer('admit', { ask: 'admit', record: plainRecord }, pinnedSchemas.admitted);
+    await checkAnswer('admit again', { ask: 'admit', record: plainRecord }, pinnedSchemas.admitted);
+    await checkAnswer('admit of no record', { ask: 'admit', record: { odd: true } });
+    await checkAnswer(
       'admit of a service',
       { ask: 'admit', record: records.get('job service') },
       pinnedSchemas.admitted,
@@ -351,20 +359,20 @@
       const view = (await ask({ ask: 'status', job: 'job-1' })) as { waiting?: string } | null;
       return view?.waiting?.startsWith('no machine');
     });
-    await told('status', { ask: 'status', job: 'job-1' }, pinnedSchemas.view);
-    await told('status of a service', { ask: 'status', job: 'job-413' }, pinnedSchemas.view);
-    await told('status of no job', { ask: 'status', job: 'job-900' });
-    await told('look', { ask: 'look', job: 'job-1' }, pinnedSchemas.view);
-    await told('look for no job', { ask: 'look', job: 'job-900' });
-    await told('list', { ask: 'list', team: 'blue' }, v.array(pinnedSchemas.view));
-    await told('list of no team', { ask: 'list' });
-    await told('explain', { ask: 'explain', job: 'job-1' });
-    await told('explain no job', { ask: 'explain', job: 'job-900' });
+    await checkAnswer('status', { ask: 'status', job: 'job-1' }, pinnedSchemas.view);
+    await checkAnswer('status of a service', { ask: 'status', job: 'job-413' }, pinnedSchemas.view);
+    await checkAnswer('status of no job', { ask: 'status', job: 'job-900' });
+    await checkAnswer('look', { ask: 'look', job: 'job-1' }, pinnedSchemas.view);
+    await checkAnswer('look for no job', { ask: 'look', job: 'job-900' });
+    await checkAnswer('list', { ask: 'list', team: 'blue' }, v.array(pinnedSchemas.view));
+    await checkAnswer('list of no team', { ask: 'list' });
+    await checkAnswer('explain', { ask: 'explain', job: 'job-1' });
+    await checkAnswer('explain no job', { ask: 'explain', job: 'job-900' });
     const health = (await ask({ ask: 'health' })) as { term: number };
     pins.check('leader: health', { ...health, term: 1 });
     expect(v.parse(pinnedSchemas.health, health)).toEqual(health);
     const operate = (route: string, subject = '', sent: unknown = null) =>
-      told(
+      checkAnswer(
         `operate ${route} ${subject}`,
         { ask: 'operate', extension: 'drain', call: { route, subject, body: sent } },
         pinnedSchemas.operatorAnswer,
@@ -374,41 +382,41 @@
     await operate('status', 'none');
     await operate('start', 'empty', {});
     await operate('what');
-    await told('operate of another package', {
+    await checkAnswer('operate of another package', {
       ask: 'operate',
       extension: 'none',
       call: { route: 'list', subject: '', body: null },
     });
-    await told('operate without a call', { ask: 'operate' });
-    pins.check('leader: drains', await call(api, 'GET', '/api/drains'));
-    await told('abort', { ask: 'abort', job: 'job-1' }, pinnedSchemas.view);
-    await told('abort again', { ask: 'abort', job: 'job-1' }, pinnedSchemas.view);
-    await told('abort of no job', { ask: 'abort', job: 'job-900' });
-    pins.check('stored by an abort', state.keys.get('f/job-1')!.value);
+    await checkAnswer('operate without a call', { ask: 'operate' });
+    pins.check('leader: drains', await sendRequest(api, 'GET', '/api/drains'));
+    await checkAnswer('abort', { ask: 'abort', job: 'job-1' }, pinnedSchemas.view);
+    await checkAnswer('abort again', { ask: 'abort', job: 'job-1' }, pinnedSchemas.view);
+    await checkAnswer('abort of no job', { ask: 'abort', job: 'job-900' });
+    pins.check('stored by an abort', store.keys.get('f/job-1')!.value);
   });
 });
 
-describe('check-ins', () => {
-  it('are answered in the pinned bytes, on a connection of their own and by the HTTP server', async () => {
+describe('answers to check-ins', () => {
+  it('have the pinned bytes, both from the raw socket and from the HTTP server', async () => {
     const task = {
       job: 'job-000412' as JobId,
       index: 8 as TaskIndex,
       attempt: 41000002 as AttemptId,
     };
-    const orders: WorkerCommand[] = [
+    const workerCommands: WorkerCommand[] = [
       { op: 'start', ...task },
       { op: 'kill', ...task, graceS: 3 },
       { op: 'reap', ...task },
     ];
     const decisions: Record<string, HeartbeatDecision | null> = {
-      orders: { kind: 'commands', fencingToken: 41 as FencingToken, commands: orders },
+      orders: { kind: 'commands', fencingToken: 41 as FencingToken, commands: workerCommands },
       'no orders': { kind: 'commands', fencingToken: 41 as FencingToken, commands: [] },
       elsewhere: { kind: 'redirect', leader: 'node-1' as NodeId },
       nowhere: { kind: 'redirect', leader: null },
       later: { kind: 'unavailable' },
       fault: null,
     };
-    let decided: HeartbeatDecision | null = null;
+    let currentDecision: HeartbeatDecision | null = null;
     const settings = parseSettings(settingsText({ api_addr: `127.0.0.1:${await freePort()}` }));
     const users: Pick<UserApi, 'lookUp'> = {
       lookUp: () => {
@@ -421,8 +429,8 @@
       extensions: [],
       isReady: () => false,
       handleHeartbeat: async () => {
-        if (decided === null) throw new Error('fault');
-        return decided;
+        if (currentDecision === null) throw new Error('fault');
+        return currentDecision;
       },
       users,
     };
@@ -433,37 +441,37 @@
     );
     await until(() => server.listening);
     const { host, port } = settings.api;
-    const raw = (text: string): Promise<string> =>
+    const postOnSocket = (text: string): Promise<string> =>
       new Promise((resolve, reject) => {
-        let got = '';
+        let reply = '';
         const socket = connect(port, host, () =>
           socket.write(
             `POST /checkin HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: ${text.length}\r\n\r\n${text}`,
           ),
         );
         socket.on('data', (bytes) => {
-          got += bytes.toString();
+          reply += bytes.toString();
         });
         socket.on('error', reject);
-        socket.on('close', () => resolve(got));
+        socket.on('close', () => resolve(reply));
       });
     const report = JSON.stringify(inputs.get('report'));
     for (const [name, decision] of Object.entries(decisions)) {
-      decided = decision;
-      pins.check(`check-in: ${name}`, await raw(report));
+      currentDecision = decision;
+      pins.check(`check-in: ${name}`, await postOnSocket(report));
       pins.check(
         `check-in by HTTP: ${name}`,
-        await call(`${host}:${port}`, 'POST', '/checkin', report, true),
+        await sendRequest(`${host}:${port}`, 'POST', '/checkin', report, true),
       );
     }
-    pins.check('check-in: malformed', await raw('{'));
-    pins.check('check-in: of no fields', await raw('{}'));
+    pins.check('check-in: malformed', await postOnSocket('{'));
+    pins.check('check-in: of no fields', await postOnSocket('{}'));
     pins.check(
       'check-in by HTTP: malformed',
-      await call(`${host}:${port}`, 'POST', '/checkin', '{', true),
+      await sendRequest(`${host}:${port}`, 'POST', '/checkin', '{', true),
     );
-    pins.check('starting', await call(`${host}:${port}`, 'GET', '/up'));
-    pins.check('a fault', await call(`${host}:${port}`, 'GET', '/api/jobs/job-1'));
+    pins.check('starting', await sendRequest(`${host}:${port}`, 'GET', '/up'));
+    pins.check('a fault', await sendRequest(`${host}:${port}`, 'GET', '/api/jobs/job-1'));
   });
 });
 
--- a/test/pinned-records.test.ts
+++ b/test/pinned-records.test.ts
@@ -1,6 +1,7 @@
 /**
- * Records in the state service as commit 90313a6 writes them, byte for byte, with their keys; and that the schemas of that
- * commit accept what this version writes. Inner values are read from outside forms, or built in `inner`.
+ * Stored records and their keys as pinned at commit 90313a6, byte for byte; the schemas of that
+ * commit must accept what this version writes. Records are built from the pinned inputs or from
+ * `modelValues`.
  */
 import type { AttemptId, JobId, MachineId, TaskIndex } from '@robinspread/extension-api';
 import * as v from 'valibot';
@@ -49,12 +50,12 @@
 const inputs = loadPins('inputs');
 const pins = loadPins('records');
 
-/** What has no outside form to be read from. */
-const inner = (() => {
+/** Values that cannot be parsed from a pinned input. */
+const modelValues = (() => {
   const [blue, green] = ['blue' as TeamName, 'green' as TeamName];
   const first = { job: 'job-000412' as JobId, team: blue, cpus: 1.5, gpus: 2, memoryGb: 5.9 };
   const second = { job: 'job-413' as JobId, team: green, cpus: 2, gpus: 0, memoryGb: 8 };
-  const number = (index: number, attempt: number) => ({
+  const taskIds = (index: number, attempt: number) => ({
     index: index as TaskIndex,
     attempt: attempt as AttemptId,
   });
@@ -64,19 +65,19 @@
         machine: 'n-000001' as MachineId,
         attributes: { type: 'c8' as MachineTypeName, zone: 'a' as ZoneName, spot: false },
         entries: [
-          { ...first, ...number(0, 41000000) },
-          { ...second, ...number(3, 41000001) },
+          { ...first, ...taskIds(0, 41000000) },
+          { ...second, ...taskIds(3, 41000001) },
         ],
       },
       {
         machine: 'n-000002' as MachineId,
         attributes: { type: 'g4' as MachineTypeName, zone: 'b' as ZoneName, spot: true },
-        entries: [{ ...first, ...number(8999, 41000002) }],
+        entries: [{ ...first, ...taskIds(8999, 41000002) }],
       },
     ],
     progress: [{ job: first.job, firstTask: 8192, bits: new Uint8Array([255, 1, 0, 128]) }],
   };
-  const finals: Record<string, JobCompletion> = {
+  const completions: Record<string, JobCompletion> = {
     done: { outcome: 'done', tasks: 17, team: blue },
     cancelled: { outcome: 'cancelled', tasks: 3, team: green },
   };
@@ -94,7 +95,7 @@
     };
   }
   const disruption = (voluntary: boolean): Disruption => ({
-    ...number(5, 41000003),
+    ...taskIds(5, 41000003),
     job: second.job,
     team: green as Disruption['team'],
     jobClass: 'front',
@@ -115,14 +116,14 @@
         { job: second.job, firstTask: 8, bits: new Uint8Array([0, 255]) },
       ],
     } satisfies SegmentRecord,
-    finals,
+    completions,
     machines,
     disruptions: [disruption(true), disruption(false)],
   };
 })();
 
-/** A record as it comes back from the state service. */
-const stored = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
+/** A record as the key-value store returns it. */
+const throughJson = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
 const specOf = (name: string): JobSpec => {
   const parsed = parseJob(inputs.get(name));
@@ -130,7 +131,7 @@
   return parsed;
 };
 
-describe('keys', () => {
+describe('the keys of stored records', () => {
   it('are as pinned', () => {
     const job = 'job-000412' as JobId;
     pins.check('keys', {
@@ -163,29 +164,29 @@
     });
 
     it(`of the submission "${name}" is accepted by the pinned schema with every field`, () => {
-      const written = stored(encodeJob({ acceptedAt: 1, spec: specOf(name) }));
+      const written = throughJson(encodeJob({ acceptedAt: 1, spec: specOf(name) }));
       const schema = name === 'service' ? pinnedSchemas.serviceRecord : pinnedSchemas.arrayRecord;
       expect(v.parse(schema, written)).toEqual(written);
-      // Each kind is unreadable as the other.
+      // The schema of the other kind rejects it.
       const other = name === 'service' ? pinnedSchemas.arrayRecord : pinnedSchemas.serviceRecord;
       expect(v.is(other, written)).toBe(false);
     });
   }
 });
 
-describe('a final record', () => {
-  for (const [name, final] of Object.entries(inner.finals)) {
-    it(`of a job that is ${name} is as pinned, is read back, and is accepted by the pinned schema`, () => {
-      pins.check(`final ${name}`, encodeCompletion(final));
-      expect(decodeCompletion(pins.get(`final ${name}`))).toEqual(final);
-      expect(v.parse(pinnedSchemas.finalRecord, stored(encodeCompletion(final)))).toEqual(
-        encodeCompletion(final),
+describe('the completion record', () => {
+  for (const [name, completion] of Object.entries(modelValues.completions)) {
+    it(`of a ${name} job is as pinned, is read back, and is accepted by the pinned schema`, () => {
+      pins.check(`final ${name}`, encodeCompletion(completion));
+      expect(decodeCompletion(pins.get(`final ${name}`))).toEqual(completion);
+      expect(v.parse(pinnedSchemas.finalRecord, throughJson(encodeCompletion(completion)))).toEqual(
+        encodeCompletion(completion),
       );
     });
   }
 });
 
-describe('the record of the leader', () => {
+describe('the leader record', () => {
   it('is read from its pinned form', () => {
     const written = { node: 'node-1', life: '1790000000123-42', lease: 7 };
     pins.check('leader', written);
@@ -194,21 +195,21 @@
   });
 });
 
-describe('the record of the machine types', () => {
+describe('the machine types record', () => {
   it('is as pinned, is read back, and is accepted by the pinned schema', () => {
     const types = parseMachineTypes(inputs.get('types'));
     pins.check('types', types);
     const read = decodeMachineTypes(pins.get('types'));
     expect(read).toEqual(types);
     pins.check('types', read);
-    expect(v.parse(pinnedSchemas.typesRecord, stored(types))).toEqual(stored(types));
+    expect(v.parse(pinnedSchemas.typesRecord, throughJson(types))).toEqual(throughJson(types));
   });
 });
 
-describe('a ledger record', () => {
+describe('a ledger segment', () => {
   for (const [name, record] of [
-    ['ledger', inner.ledger],
-    ['ledger with parts of blocks', inner.ledgerWithParts],
+    ['ledger', modelValues.ledger],
+    ['ledger with parts of blocks', modelValues.ledgerWithParts],
     ['empty ledger', { machines: [], progress: [] }],
   ] as const) {
     it(`(${name}) is as pinned, is read back, and is accepted by the pinned schema`, () => {
@@ -217,12 +218,15 @@
       const read = decodeSegment(pins.get(name))!;
       expect(read).toEqual(record);
       pins.check(name, encodeSegment(read));
-      expect(v.parse(pinnedSchemas.segmentRecord, stored(written))).toEqual({ e: [], ...written });
+      expect(v.parse(pinnedSchemas.segmentRecord, throughJson(written))).toEqual({
+        e: [],
+        ...written,
+      });
     });
   }
 });
 
-describe('records of drains', () => {
+describe('drain records', () => {
   const drainOf = (name: string, change: Partial<Drain> = {}): Drain => {
     const read = parseDrainRequest(inputs.get(name));
     if (read.kind === 'invalid') throw new Error(read.message);
@@ -256,7 +260,7 @@
       expect(read.drains.get(drain.request.name)).toEqual(drain);
       expect([read.unreadable.size, read.orphaned]).toEqual([0, []]);
       pins.check(name, encodeDrain(read.drains.get(drain.request.name)!));
-      const written = stored(encodeDrain(drain));
+      const written = throughJson(encodeDrain(drain));
       expect(v.parse(pinnedSchemas.drainRecord, written)).toEqual(written);
     });
   }
@@ -264,24 +268,24 @@
   it('of machines are as pinned, are read back, and are accepted by the pinned schema', () => {
     const drain = drains['drain running']!;
     const { name } = drain.request;
-    for (const [phase, machine] of Object.entries(inner.machines)) {
+    for (const [phase, machine] of Object.entries(modelValues.machines)) {
       pins.check(`drain machine ${phase}`, encodeMachineDrain(machine));
       const read = decodeRecords([
         { key: drainKey(name), value: encodeDrain(drain) },
         { key: machineKey(name, machine.machine), value: pins.get(`drain machine ${phase}`) },
       ]);
       expect(read.drains.get(name)?.machinesInStep.get(machine.machine)).toEqual(machine);
-      const written = stored(encodeMachineDrain(machine));
+      const written = throughJson(encodeMachineDrain(machine));
       expect(v.parse(pinnedSchemas.drainMachineRecord, written)).toEqual(written);
     }
   });
 
   it('of disruptions are as pinned, are read back, and are accepted by the pinned schema', () => {
-    const written = encodeDisruptions(inner.disruptions);
+    const written = encodeDisruptions(modelValues.disruptions);
     pins.check('disruptions', written);
     const read = decodeRecords([{ key: disruptionsKey(41, 3), value: pins.get('disruptions') }]);
-    expect(read.disruptions).toEqual(inner.disruptions);
-    expect(v.parse(pinnedSchemas.disruptionsRecord, stored(written))).toEqual(written);
+    expect(read.disruptions).toEqual(modelValues.disruptions);
+    expect(v.parse(pinnedSchemas.disruptionsRecord, throughJson(written))).toEqual(written);
   });
 });
 
--- a/test/pinned-requests.test.ts
+++ b/test/pinned-requests.test.ts
@@ -1,6 +1,6 @@
 /**
- * Requests to the state service, the cloud and the workers as commit 90313a6 sends them: method, path, type and body of
- * each, byte for byte; and how the answers of their protocols are read.
+ * Requests to the key-value store, the cloud and the workers as pinned at commit 90313a6: method,
+ * path, type and body byte for byte; and how the answers of their protocols are read.
  */
 import { afterEach, describe, expect, it } from 'vitest';
 import { CloudClient } from '../src/adapters/cloud/cloud-client.js';
@@ -68,7 +68,7 @@
     pins.check('state service', sent);
   });
 
-  it('asks for the pinned key while the service is away', async () => {
+  it('probes the pinned key while the store is unavailable', async () => {
     const { sent, client } = await clientOf(() => [503, { error: 'trouble' }]);
     await client.get('j/job-1');
     await until(() => sent.length > 1);
@@ -186,7 +186,7 @@
   });
 });
 
-/** The pinned heartbeat, as it is decoded. */
+/** The pinned heartbeat in decoded form. */
 const decodedHeartbeat = (): Heartbeat => {
   const task = (
     n: number,
--- a/test/refusal-then-outage.test.ts
+++ b/test/refusal-then-outage.test.ts
@@ -1,7 +1,7 @@
 /**
  * The key-value store refuses the leader alone, another controller confirms cancellations, and then
- * the store is down for all while workers send heartbeats: whoever replies to them without a valid
- * lease must not keep a cancelled task alive.
+ * the store is down for all: a controller that replies to heartbeats without a valid lease must not
+ * keep a cancelled task alive.
  */
 import fc from 'fast-check';
 import { afterEach, describe, expect, it } from 'vitest';
@@ -42,10 +42,10 @@
 });
 
 /**
- * A leader with fencing token 8 that has recovered what the one with 7 left: attempt 7000001 of
- * job-1 on n-1, of which no heartbeat has come yet.
+ * A leader with fencing token 8 that has recovered the ledger of the leader with token 7: attempt
+ * 7000001 of job-1 on n-1. That machine has sent no heartbeat yet.
  */
-const failOver = (jobKnown: boolean, change: object = {}) => {
+const recoverLeader = (isJobKnown: boolean, change: object = {}) => {
   const state = core({ fencingToken: 8 as FencingToken });
   const run = (now: number, authority: Authority, ...commands: Command[]): Effect[] =>
     applyCommands(state, commands, now as Instant, authority);
@@ -54,7 +54,7 @@
     0,
     'lead',
     { kind: 'machine-types', types: [type('c8')] },
-    ...(jobKnown ? [{ kind: 'job', spec, submittedAt: 0 as Instant } as const] : []),
+    ...(isJobKnown ? [{ kind: 'job', spec, submittedAt: 0 as Instant } as const] : []),
     {
       kind: 'recovered-attempts',
       segment: segmentKey(7 as FencingToken, 1),
@@ -81,23 +81,23 @@
 
 describe('a leader that has confirmed a cancellation and then lost its lease', () => {
   for (const shape of ['array', 'service'] as const) {
-    it(`kills in its replies what the former leader’s workers still report (${shape})`, () => {
-      const { state, run, sendHeartbeat } = failOver(true, { shape });
+    it(`kills in its replies the tasks that workers of the former leader report (${shape})`, () => {
+      const { state, run, sendHeartbeat } = recoverLeader(true, { shape });
       expect([...state.jobs.values()].map(isService)).toEqual([shape === 'service']);
-      const asked = run(100, 'lead', cancelCommand);
-      const save = asked.find((effect) => effect.kind === 'store-batch');
-      if (save?.kind !== 'store-batch') throw new Error('not stored');
-      const effects = run(150, 'lead', { kind: 'batch-stored', batch: save.batch });
+      const cancelEffects = run(100, 'lead', cancelCommand);
+      const storeBatch = cancelEffects.find((effect) => effect.kind === 'store-batch');
+      if (storeBatch?.kind !== 'store-batch') throw new Error('not stored');
+      const effects = run(150, 'lead', { kind: 'batch-stored', batch: storeBatch.batch });
       expect(effects).toContainEqual({
         kind: 'cancellation-settled',
         ticket: 77,
         outcome: 'cancelled',
       });
-      // The outage begins; the worker turns to this leader once the former one no longer replies.
+      // In the outage the worker turns to this leader once the former one no longer replies.
       expect(sendHeartbeat(20_000, 'keep-alive', 1)).toEqual([killCommand(0, 7_000_001)]);
-      // Should the reply be lost, the kill is sent directly, and again at the next heartbeat.
-      const direct = run(22_500, 'keep-alive', { kind: 'tick' });
-      expect(direct).toContainEqual(
+      // In case the reply is lost, the kill is sent directly, and again in the next reply.
+      const tickEffects = run(22_500, 'keep-alive', { kind: 'tick' });
+      expect(tickEffects).toContainEqual(
         expect.objectContaining({
           kind: 'send-commands',
           machine: 'n-1',
@@ -109,17 +109,17 @@
   }
 
   it('kills a cancelled job’s tasks even if it never learns that the end is stored', () => {
-    const { run, sendHeartbeat } = failOver(true);
+    const { run, sendHeartbeat } = recoverLeader(true);
     run(100, 'lead', cancelCommand);
     expect(sendHeartbeat(4000, 'keep-alive', 1)).toEqual([killCommand(0, 7_000_001)]);
   });
 
-  it('kills what is left of a job that a former leader cancelled', () => {
-    const { sendHeartbeat } = failOver(false);
+  it('kills the remaining tasks of a job that a former leader cancelled', () => {
+    const { sendHeartbeat } = recoverLeader(false);
     expect(sendHeartbeat(4000, 'keep-alive', 1)).toEqual([killCommand(0, 7_000_001)]);
   });
 
-  it('commands nothing else: other tasks live on, and nothing starts or is reaped', () => {
+  it('sends no other commands: other tasks run on, and nothing starts or is reaped', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 2 });
     driver.submit('job-2', { tasks: 3 });
@@ -135,49 +135,49 @@
       ['kill', 'job-1'],
       ['kill', 'job-1'],
     ]);
-    const others = driver
+    const otherEffects = driver
       .run('keep-alive', [{ kind: 'tick' }])
       .filter((effect) => effect.kind !== 'log');
-    expect(others.every((effect) => effect.kind === 'send-commands')).toBe(true);
+    expect(otherEffects.every((effect) => effect.kind === 'send-commands')).toBe(true);
     expect(driver.sendHeartbeat('n-1', reported, {}, 'none')).toBeNull();
   });
 });
 
-describe('three controllers, the leader refused alone before the store’s outage', () => {
-  it('end the tasks of jobs that the next leader confirmed as cancelled', async () => {
-    // A lease long enough not to be lost to a busy machine, so that the outage meets the leader
-    // that confirms; a heartbeat interval so long that it does not replace unheard workers.
+describe('three controllers whose store refuses the leader and then goes down', () => {
+  it('kill the tasks of a job whose cancellation the next leader confirmed', async () => {
+    // The lease outlasts delays of a busy test machine, so that the confirming leader still leads
+    // when the outage begins; the heartbeat interval is too long for silent workers to be replaced.
     const { nodes, state, fronts, cloud } = await startCluster(3, {
       leaderLeaseMs: 2000,
       heartbeatIntervalS: 4,
     });
     cloud.taskMs = 10_000_000;
-    const of = (id: string) =>
+    const tasksOf = (id: string) =>
       [...cloud.workers.values()]
         .flatMap((w) => w.running())
-        .filter((piece) => piece.startsWith(`${id}/`));
+        .filter((task) => task.startsWith(`${id}/`));
     for (const id of ['job-1', 'job-2']) await post(nodes[0]!.at, '/api/jobs', body(id));
-    await until(() => of('job-1').length === 3 && of('job-2').length === 3);
-    const old = nodes.find((n) => n.controller.authority() === 'lead')!;
-    // The workers send heartbeats only to the former leader for now.
-    cloud.nodes = [old.at];
-    fronts[nodes.indexOf(old)]!.refuse = true;
-    const next = await until(() =>
-      nodes.find((n) => n !== old && n.controller.authority() === 'lead'),
+    await until(() => tasksOf('job-1').length === 3 && tasksOf('job-2').length === 3);
+    const formerLeader = nodes.find((n) => n.controller.authority() === 'lead')!;
+    // Workers send heartbeats to the former leader alone.
+    cloud.nodes = [formerLeader.at];
+    fronts[nodes.indexOf(formerLeader)]!.refuse = true;
+    const newLeader = await until(() =>
+      nodes.find((n) => n !== formerLeader && n.controller.authority() === 'lead'),
     );
     await until(async () => {
-      const answer = await post(next.at, '/api/jobs/job-1/abort', {});
+      const answer = await post(newLeader.at, '/api/jobs/job-1/abort', {});
       return (answer?.body as { Status?: string } | null)?.Status === 'withdrawn';
     });
     state.isDown = true;
-    await until(() => next.controller.authority() === 'keep-alive');
-    expect(of('job-1')).toHaveLength(3);
+    await until(() => newLeader.controller.authority() === 'keep-alive');
+    expect(tasksOf('job-1')).toHaveLength(3);
     cloud.nodes = nodes.map((n) => n.at);
-    await until(() => of('job-1').length === 0);
-    expect(next.controller.authority()).toBe('keep-alive');
-    expect(of('job-2')).toHaveLength(3);
-    expect((await status(next.at, 'job-1'))?.body.Status).toBe('withdrawn');
-    // Nothing was started meanwhile, and afterwards the other tasks go on where they are.
+    await until(() => tasksOf('job-1').length === 0);
+    expect(newLeader.controller.authority()).toBe('keep-alive');
+    expect(tasksOf('job-2')).toHaveLength(3);
+    expect((await status(newLeader.at, 'job-1'))?.body.Status).toBe('withdrawn');
+    // No task started in the outage, and those of job-2 run on after it.
     state.isDown = false;
     for (const front of fronts) front.refuse = false;
     await until(() => nodes.some((n) => n.controller.authority() === 'lead'));
@@ -197,7 +197,7 @@
     expect(kinds.indexOf('send-commands')).toBeGreaterThanOrEqual(0);
     expect(kinds.indexOf('send-commands')).toBeLessThan(kinds.indexOf('store-batch'));
     expect(kinds).not.toContain('cancellation-settled');
-    // All three have ended: the job is not placed again while its end is being stored.
+    // All three tasks have ended: none is placed again while the end is being stored.
     const ended = starts.map((command) =>
       task('job-1', command.index, command.attempt, 'ended', 'stopped'),
     );
@@ -221,31 +221,34 @@
 });
 
 describe('graceAfterLeaseLoss', () => {
-  /** Clocks differ from true time by this share at most. */
+  /** Largest relative error of a clock's rate. */
   const DRIFT = 0.0005;
 
-  it('leaves a cancellation its time, whatever the settings and clocks', () => {
-    const lengths = fc.double({ min: 0.1, max: 3600, noNaN: true });
+  it('lets cancellations take effect in time, for any settings and clock drift', () => {
+    const seconds = fc.double({ min: 0.1, max: 3600, noNaN: true });
     fc.assert(
       fc.property(
-        lengths,
-        lengths,
+        seconds,
+        seconds,
         fc.double({ min: 0, max: 1, noNaN: true }),
-        (cancelS, leaseS, late) => {
-          const keep = graceAfterLeaseLoss((cancelS * 1000) as Millis, (leaseS * 1000) as Millis);
-          // Without grace the last reply was given while the lease was valid, as by any leader.
-          if (keep === 0) return cancelS * 1000 < leaseS * 1000 * (1 + DRIFT) + 3100 + cancelS;
-          // Slow clocks on both sides; the heartbeat was sent `late` of 4 s before its reply.
-          const lastAnswer = keep * (1 + DRIFT);
-          const gone = lastAnswer - late * 4000 + leaseS * 1000 * (1 + DRIFT);
-          return gone <= cancelS * 1000 - 2900;
+        (cancelS, leaseS, delayShare) => {
+          const graceMs = graceAfterLeaseLoss(
+            (cancelS * 1000) as Millis,
+            (leaseS * 1000) as Millis,
+          );
+          // Without grace, the last reply was sent under a valid lease.
+          if (graceMs === 0) return cancelS * 1000 < leaseS * 1000 * (1 + DRIFT) + 3100 + cancelS;
+          // Both clocks are slow; the heartbeat was sent `requestDelay` of 4 s before its reply.
+          const lastReplyMs = graceMs * (1 + DRIFT);
+          const endedMs = lastReplyMs - delayShare * 4000 + leaseS * 1000 * (1 + DRIFT);
+          return endedMs <= cancelS * 1000 - 2900;
         },
       ),
       { numRuns: 2000 },
     );
   });
 
-  it('is 0 where the settings leave no room, and bounded where they leave much', () => {
+  it('is 0 if the settings leave no time for it, and at most 60 s', () => {
     expect(graceAfterLeaseLoss(16_000 as Millis, 16_000 as Millis)).toBe(0);
     expect(graceAfterLeaseLoss(19_000 as Millis, 16_000 as Millis)).toBe(0);
     expect(graceAfterLeaseLoss(10_000 as Millis, 26_000 as Millis)).toBe(0);
@@ -254,7 +257,7 @@
 });
 
 describe('late messages about an ended job', () => {
-  it('do not take it up again: from its admission, a watch or a read', () => {
+  it('do not admit it again, whether from an admission, a watch or a read', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 2 });
     const starts = driver.startsIn(driver.bringUp('n-1'));
@@ -268,7 +271,7 @@
     );
     for (let i = 0; i < 4; i += 1)
       expect(driver.startsIn(driver.sendHeartbeat('n-1', i === 0 ? ended : []))).toEqual([]);
-    // Ids come back in no other way, so ended jobs need not be remembered for good.
+    // Ids recur in no other way, so ended jobs are remembered for a limited time only.
     for (let i = 2; i < 60; i += 1) {
       driver.submit(`job-${i}`);
       driver.send({
