--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,10 +1,10 @@
-/** The users' rules over drawn histories of faults, in the simulated world. */
+/** The rules that users rely on, checked in simulations with random faults. */
 import { describe, expect, it } from 'vitest';
 import { addCounters, createCounters } from './support/simulated-world/counters.js';
 import { SimulatedWorld } from './support/simulated-world/world.js';
 
 describe("the users' rules", () => {
-  it('hold over drawn histories of delays, repeats, lost answers, crashes and failovers', () => {
+  it('hold over random histories of delays, repeats, lost answers, crashes and failovers', () => {
     const total = createCounters();
     const seeds = [...Array.from({ length: 200 }, (_, i) => i + 1), 1192, 1370, 1410, 1670, 1729];
     for (const seed of seeds) {
@@ -13,7 +13,7 @@
       expect(world.problems, `seed ${seed}`).toEqual([]);
       addCounters(total, world.reached);
     }
-    // What the histories must have contained for the check to mean something.
+    // Least counts of events and faults for the histories to be a meaningful check.
     expect(total.starts).toBeGreaterThan(5000);
     expect(total.failovers).toBeGreaterThan(300);
     expect(total.lostReplies).toBeGreaterThan(300);
@@ -29,13 +29,16 @@
     expect(Object.keys(total.massFaults)).toHaveLength(5);
     expect(Object.keys(total.compoundFaults)).toHaveLength(12);
     const { freezes, blackouts, outages, slowSpells } = total;
-    const kinds = { ...total.massFaults, freezes, blackouts, outages, slowSpells };
-    for (const [kind, n] of [...Object.entries(kinds), ...Object.entries(total.compoundFaults)])
+    const faultCounts = { ...total.massFaults, freezes, blackouts, outages, slowSpells };
+    for (const [kind, n] of [
+      ...Object.entries(faultCounts),
+      ...Object.entries(total.compoundFaults),
+    ])
       expect(n, kind).toBeGreaterThan(15);
   });
 
   it.each([false, true])(
-    'leave no job behind once the faults are over (provisioned machines keep their zone: %s)',
+    'let every job run once the faults are over (provisioned machines keep their zone: %s)',
     (keepZones) => {
       let services = 0;
       let longestMs = 0;
@@ -43,29 +46,30 @@
         const world = new SimulatedWorld(seed, { keepZones });
         world.play(60_000, false);
         world.heal();
-        // None waits for 90 s beside room that it could have: while it waits, since when.
+        // Since when each job waits beside free capacity, which must stay below 90 s.
         const waitsSince = new Map<string, number>();
         for (let t = 0; t < 1_200_000; t += 5000) {
           world.play(5000, true);
           const waiting = world.waitingBesideRoom();
           for (const id of waitsSince.keys()) if (!waiting.includes(id)) waitsSince.delete(id);
           for (const id of waiting) {
-            const from = waitsSince.get(id) ?? t;
-            waitsSince.set(id, from);
-            longestMs = Math.max(longestMs, t - from);
-            expect(t - from, `seed ${seed}: ${id} waits beside room at ${world.now}`).toBeLessThan(
-              90_000,
-            );
+            const waitingSince = waitsSince.get(id) ?? t;
+            waitsSince.set(id, waitingSince);
+            longestMs = Math.max(longestMs, t - waitingSince);
+            expect(
+              t - waitingSince,
+              `seed ${seed}: ${id} waits beside room at ${world.now}`,
+            ).toBeLessThan(90_000);
           }
         }
         expect(world.problems, `seed ${seed}`).toEqual([]);
         expect(world.unfinished(), `seed ${seed}`).toEqual([]);
-        // Replicas end by themselves now and then, and are soon back.
+        // Replicas also end by themselves, and must soon run again.
         let missing = world.servicesShortOfReplicas();
         for (let i = 0; i < 20 && missing.length > 0; i += 1) {
           world.play(2000, true);
-          const now = world.servicesShortOfReplicas();
-          missing = missing.filter((id) => now.includes(id));
+          const stillMissing = world.servicesShortOfReplicas();
+          missing = missing.filter((id) => stillMissing.includes(id));
         }
         expect(missing, `seed ${seed}`).toEqual([]);
         services += world.serviceCount();
--- a/test/service-jobs.test.ts
+++ b/test/service-jobs.test.ts
@@ -1,4 +1,4 @@
-/** Services, limits of the key-value store that fall, and malformed answers, on stand-ins. */
+/** Services, lowered store limits and malformed answers, in a cluster of stand-ins. */
 import pino from 'pino';
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { parseEndpoint } from '../src/adapters/configuration/settings.js';
@@ -9,16 +9,16 @@
 
 afterEach(cleanUp);
 
-const service = (id: string, change: object = {}) =>
+const serviceBody = (id: string, change: object = {}) =>
   body(id, { Shape: 'daemon', Rank: 'critical', Pieces: 2, Loaners: false, GuessS: 0, ...change });
 
 describe('a service', () => {
-  it('runs through ends of replicas and failovers until it is cancelled, and stays withdrawn', async () => {
+  it('outlasts ends of replicas and failovers until cancelled, then stays withdrawn', async () => {
     const { nodes, cloud } = await startCluster(3, { capacity: 4 });
-    // Each replica ends after a moment.
+    // Each replica ends soon.
     cloud.taskMs = 150;
-    expect((await post(nodes[0]!.at, '/api/jobs', service('job-1')))?.status).toBe(201);
-    expect((await post(nodes[1]!.at, '/api/jobs', service('job-1')))?.status).toBe(200);
+    expect((await post(nodes[0]!.at, '/api/jobs', serviceBody('job-1')))?.status).toBe(201);
+    expect((await post(nodes[1]!.at, '/api/jobs', serviceBody('job-1')))?.status).toBe(200);
     await until(() => cloud.starts.length >= 4);
     cloud.taskMs = 10_000_000;
     await until(async () => (await status(nodes[2]!.at, 'job-1'))?.body.running === 2);
@@ -41,18 +41,20 @@
     await until(() => [...cloud.workers.values()].every((w) => w.running().length === 0));
     for (const node of others)
       expect((await status(node.at, 'job-1'))?.body).toMatchObject({ Status: 'withdrawn' });
-    expect((await post(others[1]!.at, '/api/jobs', service('job-1')))?.body).toMatchObject({
+    expect((await post(others[1]!.at, '/api/jobs', serviceBody('job-1')))?.body).toMatchObject({
       Status: 'withdrawn',
     });
   });
 
-  it('is refused with 422 when its replicas together exceed the limit of its team; an array is not', async () => {
+  it('is refused with 422 if its replicas exceed the team limit; an array is not', async () => {
     const { nodes, state } = await startCluster(1);
     const { at } = nodes[0]!;
-    expect((await post(at, '/api/jobs', service('job-1', { Pieces: 65 })))?.status).toBe(422);
+    expect((await post(at, '/api/jobs', serviceBody('job-1', { Pieces: 65 })))?.status).toBe(422);
     expect((await post(at, '/api/jobs', body('job-2', { Pieces: 65 })))?.status).toBe(201);
-    expect((await post(at, '/api/jobs', service('job-3', { Pieces: 64 })))?.status).toBe(201);
-    expect((await post(at, '/api/jobs', service('job-4', { Shape: 'gang' })))?.body).toMatchObject({
+    expect((await post(at, '/api/jobs', serviceBody('job-3', { Pieces: 64 })))?.status).toBe(201);
+    expect(
+      (await post(at, '/api/jobs', serviceBody('job-4', { Shape: 'gang' })))?.body,
+    ).toMatchObject({
       error: expect.stringMatching(/^Shape/),
     });
     expect((await status(at, 'job-1'))?.status).toBe(404);
@@ -61,7 +63,7 @@
 });
 
 describe('a service that must be spread over zones', () => {
-  it('is refused with 422 where it may use one zone only; an array is not', async () => {
+  it('is refused with 422 if it may use one zone only; an array is not', async () => {
     const { nodes } = await startCluster(1);
     const { at } = nodes[0]!;
     const spread = { Scatter: true, Pieces: 2 };
@@ -69,29 +71,34 @@
       ['job-1', { Yard: 'a' }],
       ['job-2', { OneZone: true }],
     ] as const) {
-      const answer = await post(at, '/api/jobs', service(id, { ...spread, ...change }));
+      const answer = await post(at, '/api/jobs', serviceBody(id, { ...spread, ...change }));
       expect(answer?.status).toBe(422);
       expect(answer?.body).toMatchObject({ error: expect.stringMatching(/spread/) });
       expect((await post(at, '/api/jobs', body(`${id}1`, { ...spread, ...change })))?.status).toBe(
         201,
       );
       expect(
-        (await post(at, '/api/jobs', service(`${id}2`, { ...change, Scatter: true, Pieces: 1 })))
-          ?.status,
+        (
+          await post(
+            at,
+            '/api/jobs',
+            serviceBody(`${id}2`, { ...change, Scatter: true, Pieces: 1 }),
+          )
+        )?.status,
       ).toBe(201);
     }
-    expect((await post(at, '/api/jobs', service('job-3', spread)))?.status).toBe(201);
+    expect((await post(at, '/api/jobs', serviceBody('job-3', spread)))?.status).toBe(201);
   });
 });
 
-describe('limits of the key-value store that fall', () => {
-  it('interrupt nothing, neither at the announced values nor below them', async () => {
+describe('lowered limits of the key-value store', () => {
+  it('interrupt no job, neither at the announced values nor below them', async () => {
     const next = { value_kb: 1, txn_ops: 3, write_rps: 200 };
     const { nodes, state, cloud } = await startCluster(2, { capacity: 6, storeLimits: { next } });
     state.limits = { valueBytes: 8192, txnOps: 16, writeRps: 1000 };
     const { at } = nodes[0]!;
     cloud.taskMs = 10_000_000;
-    await post(at, '/api/jobs', service('job-1', { Pieces: 4 }));
+    await post(at, '/api/jobs', serviceBody('job-1', { Pieces: 4 }));
     await until(async () => (await status(at, 'job-1'))?.body.running === 4);
     cloud.taskMs = 20;
     await post(at, '/api/jobs', body('job-2', { Pieces: 40 }));
@@ -104,7 +111,7 @@
       );
     for (let i = 0; i < 10; i += 1)
       await until(async () => (await status(at, `job-3${i}`))?.body.Status === 'done');
-    // What obeys the settings is never refused for its size.
+    // No request within the announced limits is refused for its size.
     expect(state.refused).toEqual([]);
     state.limits = { valueBytes: 500, txnOps: 2, writeRps: 200 };
     await post(at, '/api/jobs', body('job-4', { Pieces: 40 }));
@@ -114,16 +121,16 @@
     expect(new Set(cloud.starts).size).toBe(cloud.starts.length);
   });
 
-  it('refuse a job that no longer fits with its true reason, and answer 200 for an accepted one', async () => {
+  it('cause 422 for a new job that no longer fits, and 200 for one accepted before', async () => {
     const { nodes, state } = await startCluster(2);
     const { at } = nodes[0]!;
-    const large = (id: string) =>
+    const largeJob = (id: string) =>
       body(id, { Hulls: ['c8', ...Array(40).fill('x'.repeat(30))], Pieces: 500 });
-    expect((await post(at, '/api/jobs', large('job-1')))?.status).toBe(201);
+    expect((await post(at, '/api/jobs', largeJob('job-1')))?.status).toBe(201);
     state.limits.valueBytes = 600;
-    expect((await post(at, '/api/jobs', large('job-1')))?.status).toBe(200);
-    expect((await post(nodes[1]!.at, '/api/jobs', large('job-1')))?.status).toBe(200);
-    const refused = await post(nodes[1]!.at, '/api/jobs', large('job-2'));
+    expect((await post(at, '/api/jobs', largeJob('job-1')))?.status).toBe(200);
+    expect((await post(nodes[1]!.at, '/api/jobs', largeJob('job-1')))?.status).toBe(200);
+    const refused = await post(nodes[1]!.at, '/api/jobs', largeJob('job-2'));
     expect(refused?.status).toBe(422);
     expect(refused?.body).toMatchObject({
       error: expect.stringMatching(/larger than what the state service/),
@@ -131,14 +138,14 @@
     expect((await status(at, 'job-2'))?.status).toBe(404);
   });
 
-  it('lower the own rate until the store has refused nothing for a while', async () => {
+  it('lower the client’s write rate until the store has refused nothing for a while', async () => {
     let now = 1000;
     const hrtime = (): [number, number] => [Math.floor(now / 1000), (now % 1000) * 1e6];
     const clock = vi.spyOn(process, 'hrtime').mockImplementation(hrtime);
     cleanups.push(() => clock.mockRestore());
-    const state = new KeyValueStoreServer();
-    cleanups.push(() => state.close());
-    const at = parseEndpoint(await state.listen());
+    const store = new KeyValueStoreServer();
+    cleanups.push(() => store.close());
+    const at = parseEndpoint(await store.listen());
     const client = new KeyValueStoreClient(at, {
       rps: 1000,
       writeRps: 8,
@@ -150,24 +157,24 @@
       n += 1;
       return client.compareAndSwap([], [{ put: `k/${n}`, value: n }], 0);
     };
-    /** How many changes it lets out within one second that stands still. */
-    const most = async () => {
+    /** Counts the writes that the client admits at one instant of the mocked clock. */
+    const countCommitted = async () => {
       now += 1000;
-      let out = 0;
-      while ((await write()).kind === 'committed') out += 1;
-      return out;
+      let committed = 0;
+      while ((await write()).kind === 'committed') committed += 1;
+      return committed;
     };
-    expect(await most()).toBe(8);
-    state.isRateLimited = true;
+    expect(await countCommitted()).toBe(8);
+    store.isRateLimited = true;
     now += 1000;
     expect(await write()).toEqual({ kind: 'refused' });
-    state.isRateLimited = false;
+    store.isRateLimited = false;
     expect(client.usesLoweredRates).toBe(true);
-    for (let i = 0; i < 3; i += 1) expect(await most()).toBe(4);
+    for (let i = 0; i < 3; i += 1) expect(await countCommitted()).toBe(4);
     now += 20_000;
-    await most();
+    await countCommitted();
     expect(client.usesLoweredRates).toBe(false);
-    expect(await most()).toBe(8);
+    expect(await countCommitted()).toBe(8);
   });
 });
 
@@ -177,20 +184,20 @@
     const log = pino({ level: 'info' }, { write: (line: string) => lines.push(line) });
     const { nodes, cloud, state } = await startCluster(1, { log });
     const { at } = nodes[0]!;
-    // The list of machines has been read by then; before, nothing would be rented.
+    // By then the machines have been listed; nothing is provisioned before that.
     await until(() => cloud.workers.size > 0);
     cloud.answersMalformed = true;
     state.commit({ Apply: [{ Write: 'j/job-000077', Data: { odd: true } }] });
-    const told = () => lines.filter((l) => l.includes('malformed answer'));
-    // More than the machines that may have been rented before the cloud became odd can do in that time.
+    const malformedLogs = () => lines.filter((l) => l.includes('malformed answer'));
+    // More tasks than the machines provisioned before the fault can run in that time.
     cloud.taskMs = 500;
     await post(at, '/api/jobs', body('job-1', { Pieces: 300, Cpus: 8 }));
-    await until(() => told().some((l) => l.includes('provision')));
+    await until(() => malformedLogs().some((l) => l.includes('provision')));
     cloud.answersMalformed = false;
     await until(async () => (await post(at, '/api/jobs/job-1/abort', {}))?.status === 200);
     await post(at, '/api/jobs', body('job-2', { Pieces: 1 }));
     await until(async () => (await status(at, 'job-2'))?.body.Status === 'done');
-    const provisions = told().filter((l) => l.includes('provision'));
+    const provisions = malformedLogs().filter((l) => l.includes('provision'));
     expect(provisions).toHaveLength(1);
   });
 });
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -1,4 +1,4 @@
-/** Controllers in this process, against stand-ins of the outside: what users are answered. */
+/** Answers to users from controllers in this process, with stand-ins for store and cloud. */
 import { afterEach, describe, expect, it } from 'vitest';
 import { HttpClient } from '../src/adapters/outbound/http-client.js';
 import {
@@ -14,20 +14,20 @@
 afterEach(cleanUp);
 
 describe('a cluster of controllers', () => {
-  it('runs a job to completion through any node, and answers alike at every node ever after', async () => {
+  it('runs a job to completion and afterwards answers alike at every node', async () => {
     const { nodes, cloud, state } = await startCluster(3);
     const [a, b, c] = nodes as [ClusterNode, ClusterNode, ClusterNode];
     expect((await post(a.at, '/api/jobs', body('job-000001')))?.status).toBe(201);
-    // Stored before the 201.
+    // The job is stored before the 201 is sent.
     expect(state.keys.has('j/job-000001') || state.keys.has('f/job-000001')).toBe(true);
     for (const node of [a, b, c]) {
       await until(async () => (await status(node.at, 'job-000001'))?.body.Status === 'done');
     }
     expect(new Set(cloud.starts.map((s) => s.split('#')[0])).size).toBe(3);
-    // A repeat is answered with the job, even with another body and even one that would be refused.
+    // A repeated submission is answered with the job, even if its body differs or is invalid.
     for (const change of [{}, { Pieces: 9 }, { Crew: 'nobody' }, { Cpus: -1 }]) {
-      const again = await post(b.at, '/api/jobs', body('job-000001', change));
-      expect([again?.status, (again!.body as { Status: string }).Status]).toEqual([200, 'done']);
+      const repeat = await post(b.at, '/api/jobs', body('job-000001', change));
+      expect([repeat?.status, (repeat!.body as { Status: string }).Status]).toEqual([200, 'done']);
     }
     const cancellation = await post(c.at, '/api/jobs/job-000001/abort', {});
     expect([cancellation?.status, (cancellation!.body as { Status: string }).Status]).toEqual([
@@ -42,7 +42,7 @@
   it('refuses malformed submissions with 400 and infeasible ones with 422', async () => {
     const { nodes } = await startCluster(1);
     const at = nodes[0]!.at;
-    const refused: [unknown, number][] = [
+    const rejections: [unknown, number][] = [
       ['{', 400],
       ['[]', 400],
       ['null', 400],
@@ -64,17 +64,17 @@
       [body('job-1', { Accelerators: 1 }), 422],
       [body('job-1', { Hulls: [] }), 422],
     ];
-    // Whatever may not be null must be there, and is named.
-    const { Hulls: _h, Yard: _y, DueS: _d, Ref: _r, ...needed } = body('job-1');
-    for (const field of Object.keys(needed)) {
+    // The error names a required field that is missing or null.
+    const { Hulls: _h, Yard: _y, DueS: _d, Ref: _r, ...requiredFields } = body('job-1');
+    for (const field of Object.keys(requiredFields)) {
       for (const value of [undefined, null]) {
         const answer = await post(at, '/api/jobs', body('job-1', { [field]: value }));
         expect(answer?.status, field).toBe(400);
         expect(answer?.body, field).toMatchObject({ error: expect.stringContaining(field) });
       }
     }
-    expect(Object.keys(needed)).toHaveLength(16);
-    for (const [text, expected] of refused) {
+    expect(Object.keys(requiredFields)).toHaveLength(16);
+    for (const [text, expected] of rejections) {
       expect((await post(at, '/api/jobs', text))?.status, JSON.stringify(text).slice(0, 200)).toBe(
         expected,
       );
@@ -102,7 +102,7 @@
     expect((await status(at, 'job-1'))?.status).toBe(404);
   });
 
-  it('answers for every job at every node while the key-value store limits rates, and after a failover', async () => {
+  it('answers for all jobs at all nodes during rate limiting and after a failover', async () => {
     const { nodes, state, cloud } = await startCluster(3);
     cloud.taskMs = 10_000_000;
     const ids = Array.from({ length: 12 }, (_, i) => `job-0001${String(i).padStart(2, '0')}`);
@@ -126,7 +126,7 @@
     expect(cloud.starts).toHaveLength(12);
   });
 
-  it('knows a job whose record is unreadable at every node, also when it is submitted again', async () => {
+  it('knows a job with an unreadable record at every node, also if resubmitted', async () => {
     const { nodes, state } = await startCluster(2);
     state.commit({ Apply: [{ Write: 'j/job-000077', Data: { odd: true } }] });
     for (const node of nodes) {
@@ -149,23 +149,23 @@
     expect((answer.body as { Status: string }).Status).toBe('withdrawn');
     expect(state.keys.get('f/job-5')?.value).toMatchObject({ o: 'cancelled' });
     await until(() => [...cloud.workers.values()].every((w) => w.running().length === 0));
-    // Repeats at any node change nothing: neither of the cancellation nor of the submission.
-    const { revision: epoch } = state;
+    // Repeating the cancellation or the submission changes nothing at any node.
+    const { revision: revisionAfterCancel } = state;
     for (const node of nodes) {
-      const again = [
+      const repeats = [
         await post(node.at, '/api/jobs/job-5/abort', {}),
         await post(node.at, '/api/jobs', body('job-5')),
       ];
-      for (const r of again)
+      for (const r of repeats)
         expect(r).toMatchObject({ status: 200, body: { Status: 'withdrawn' } });
       expect((await status(node.at, 'job-5'))?.body.Status).toBe('withdrawn');
     }
     expect(state.keys.has('j/job-5')).toBe(false);
-    expect(state.keys.get('f/job-5')!.revision).toBeLessThanOrEqual(epoch);
+    expect(state.keys.get('f/job-5')!.revision).toBeLessThanOrEqual(revisionAfterCancel);
     expect(cloud.starts).toHaveLength(3);
   });
 
-  it('answers 503 with Retry-After while the key-value store is down, and recovers with it', async () => {
+  it('answers 503 with Retry-After while the store is down, then recovers', async () => {
     const { nodes, state } = await startCluster(1);
     state.isDown = true;
     const unavailable = await post(nodes[0]!.at, '/api/jobs', body('job-8'));
@@ -178,14 +178,14 @@
   it('fails over to another leader without losing or doubling a task', async () => {
     const { nodes, cloud } = await startCluster(3);
     cloud.taskMs = 10_000_000;
-    const first = nodes.find((n) => n.controller.authority() === 'lead')!;
-    const others = nodes.filter((n) => n !== first);
+    const formerLeader = nodes.find((n) => n.controller.authority() === 'lead')!;
+    const others = nodes.filter((n) => n !== formerLeader);
     await post(others[0]!.at, '/api/jobs', body('job-9', { Pieces: 6 }));
     await until(async () => (await status(others[0]!.at, 'job-9'))?.body.running === 6);
-    first.stop();
-    const second = await until(() => others.find((n) => n.controller.authority() === 'lead'));
+    formerLeader.stop();
+    const newLeader = await until(() => others.find((n) => n.controller.authority() === 'lead'));
     const answer = await until(async () => {
-      const s = await status(second.at, 'job-9');
+      const s = await status(newLeader.at, 'job-9');
       return s?.body.running === 6 ? s : null;
     });
     expect(answer.body.Status).toBe('running');
@@ -195,18 +195,18 @@
 
 describe('a restarted leader', () => {
   it('replaces its earlier incarnation at once, without losing or doubling a task', async () => {
-    // No other leader is elected within ten minutes of lease: only the earlier incarnation's key can
-    // be replaced.
+    // With a lease of ten minutes, the controller can lead only by replacing the leader key of its
+    // earlier incarnation.
     const { nodes, cloud, state, start } = await startCluster(1, { leaderLeaseMs: 600_000 });
     cloud.taskMs = 10_000_000;
     await post(nodes[0]!.at, '/api/jobs', body('job-41'));
     await until(async () => (await status(nodes[0]!.at, 'job-41'))?.body.running === 3);
-    const before = state.keys.get('leader')?.revision ?? 0;
+    const revisionBefore = state.keys.get('leader')?.revision ?? 0;
     nodes[0]!.stop();
-    const again = start(0);
-    await until(() => again.controller.authority() === 'lead');
-    expect(state.keys.get('leader')?.revision).toBeGreaterThan(before);
-    await until(async () => (await status(again.at, 'job-41'))?.body.running === 3);
+    const restarted = start(0);
+    await until(() => restarted.controller.authority() === 'lead');
+    expect(state.keys.get('leader')?.revision).toBeGreaterThan(revisionBefore);
+    await until(async () => (await status(restarted.at, 'job-41'))?.body.running === 3);
     expect(cloud.starts).toHaveLength(3);
   });
 });
@@ -240,11 +240,11 @@
       head: 'job-21',
       waitingTasks: 2,
     });
-    const own = await until(async () => {
+    const cancellation = await until(async () => {
       const r = await post(b.at, '/api/jobs/job-20/abort?team=blue', {});
       return r?.status === 200 ? r : null;
     });
-    expect((own.body as { Status: string }).Status).toBe('withdrawn');
+    expect((cancellation.body as { Status: string }).Status).toBe('withdrawn');
     expect((await status(a.at, 'job-20?team=green'))?.status).toBe(404);
   });
 });
@@ -254,8 +254,8 @@
     const { nodes, cloud, state, start } = await startCluster(1);
     await until(() => state.keys.has('c/types'));
     nodes[0]!.stop();
-    // A request that the stopped controller sent before may only now reach the cloud, and is then
-    // closed; it must not be counted below. Two readings: one may precede a connection's acceptance.
+    // A late request of the stopped controller must not be counted below. Two readings, as one may
+    // precede the acceptance of its connection.
     let readingsWithoutConnection = 0;
     await until(async () => {
       const isIdle = (await cloud.countConnections()) === 0;
@@ -263,13 +263,13 @@
       return readingsWithoutConnection > 1;
     });
     cloud.isSilent = true;
-    const again = start(0);
-    await until(async () => (await post(again.at, '/up', undefined, 'GET'))?.status === 200);
-    // The request to the cloud is still under way: none has timed out yet.
+    const restarted = start(0);
+    await until(async () => (await post(restarted.at, '/up', undefined, 'GET'))?.status === 200);
+    // The request to the cloud is still pending: none has timed out yet.
     expect(cloud.unanswered).toBeGreaterThan(0);
     expect(cloud.givenUp).toBe(0);
-    expect((await post(again.at, '/api/jobs', body('job-1')))?.status).toBe(201);
-    expect((await post(again.at, '/api/jobs', body('job-2', { Crew: 'nobody' })))?.status).toBe(
+    expect((await post(restarted.at, '/api/jobs', body('job-1')))?.status).toBe(201);
+    expect((await post(restarted.at, '/api/jobs', body('job-2', { Crew: 'nobody' })))?.status).toBe(
       422,
     );
   });
