--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -72,7 +72,7 @@
   });
 });
 
-/** Runs a leader whose batches are stored in `segmentTexts`; it gets no answer to other effects. */
+/** Runs a leader; stores its batches in `segmentTexts` and ignores all other effects. */
 const runLeader = (
   state: CoreState,
   segmentTexts: Map<SegmentKey, string>,
--- a/test/pinned-http.test.ts
+++ b/test/pinned-http.test.ts
@@ -42,7 +42,7 @@
   readonly text: string;
 }
 
-/** Sends a request; returns the answer without the headers that differ from run to run. */
+/** Returns the answer to a request without the headers that vary from run to run. */
 const sendRequest = (
   address: string,
   method: string,
@@ -316,7 +316,7 @@
     });
 };
 
-/** An answer without the values of an explanation that differ from run to run. */
+/** An answer without the values of an explanation that vary. */
 const withoutVolatileValues = (answer: unknown): unknown =>
   JSON.parse(JSON.stringify(answer), (key, value) =>
     key === 'scores' && value
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -13,7 +13,7 @@
       expect(world.problems, `seed ${seed}`).toEqual([]);
       addCounters(total, world.reached);
     }
-    // Least counts of events and faults for the histories to be a meaningful check.
+    // Least counts for the histories to be a meaningful check.
     expect(total.starts).toBeGreaterThan(5000);
     expect(total.failovers).toBeGreaterThan(300);
     expect(total.lostReplies).toBeGreaterThan(300);
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -38,7 +38,7 @@
 const view = (driver: CoreDriver, id: string) =>
   viewJob(driver.state, id as JobId, driver.now as Instant);
 
-/** Machines that report the tasks that they were commanded to start; records every start. */
+/** Machines that report the tasks they were commanded to start; records every start. */
 class Fleet {
   readonly heldByMachine = new Map<string, WorkerCommand[]>();
   readonly started: { command: WorkerCommand; machine: string; at: number }[] = [];
@@ -168,8 +168,8 @@
         'lead',
       );
     expect(viewJob(state, 'job-1' as JobId, now)).toMatchObject({ status: 'queued' });
-    // Its batch may take several transactions: another node may read the stored end before the
-    // leader learns of it.
+    // Its batch may take several transactions: another node may read the end before the leader
+    // learns of it.
     const cancel = { kind: 'cancel-job', job: 'job-1' as JobId, ticket: 9 as ReplyTicket } as const;
     const effects = applyCommands(state, [cancel], now, 'lead');
     expect(effects.some((effect) => effect.kind === 'cancellation-settled')).toBe(false);
@@ -277,8 +277,8 @@
     driver.submit('job-1', service({ tasks: 4, spreadZones: true }));
     for (let i = 0; i < 3; i += 1) fleet.heartbeatRound();
     expect([...fleet.heldByMachine.values()].map((held) => held.length)).toEqual([1, 1, 1, 1]);
-    // Zone b falls silent: its two replicas may still run there, so that none starts in zone a,
-    // which has its half.
+    // Zone b falls silent: its two replicas may still run, so that none starts in zone a, which
+    // has its half.
     const zoneBCommands = fleet.heldByMachine.get('n-3')!.concat(fleet.heldByMachine.get('n-4')!);
     fleet.heldByMachine.delete('n-3');
     fleet.heldByMachine.delete('n-4');
@@ -380,7 +380,7 @@
   });
 
   it('are provisioned for services that require them, and not scaled in while needed', () => {
-    // Without baseline capacity, nothing else requires machines.
+    // No baseline capacity: only the service requires machines.
     const driver = new CoreDriver(core({}, { scaleInAfterIdleS: 10, baselineCapacityShare: 0 }));
     const fleet = new Fleet(driver, ['n-1', 'n-2'], {
       'n-1': { spot: true },
--- a/test/start-up.test.ts
+++ b/test/start-up.test.ts
@@ -1,5 +1,5 @@
 /**
- * What the program loads until it serves: on a few hundredths of a core, every module delays each
+ * The modules loaded until the program serves: on a few hundredths of a core, each delays every
  * start by milliseconds.
  */
 import { execFile, spawn } from 'node:child_process';
@@ -20,10 +20,10 @@
 
 beforeAll(async () => {
   ({ directory, remove } = await buildProgram());
-  // On SIGUSR2 writes what has been loaded: Node's own modules, and files.
-  const loaded =
+  // On SIGUSR2 the program prints the built-in modules and the files it has loaded.
+  const loadedExpression =
     'JSON.stringify({ builtIns: process.moduleLoadList, files: Object.keys(require.cache) })';
-  const spy = `process.on('SIGUSR2', () => process.stdout.write(${loaded} + '\\n'));`;
+  const spy = `process.on('SIGUSR2', () => process.stdout.write(${loadedExpression} + '\\n'));`;
   await writeFile(join(directory, 'spy.cjs'), spy);
 });
 afterAll(() => remove());
@@ -34,18 +34,18 @@
     .filter((name) => name.startsWith('NativeModule '))
     .map((name) => name.slice('NativeModule '.length));
 
-/** One controller as a process of its own, beside a key-value store and a cloud. */
-const startProcess = async (...more: string[]) => {
-  const state = new KeyValueStoreServer();
+/** Starts a controller process, with stand-ins for the store and the cloud. */
+const startProcess = async (...extraArgs: string[]) => {
+  const store = new KeyValueStoreServer();
   const cloud = new Cloud(2);
   cleanups.push(
-    () => state.close(),
+    () => store.close(),
     () => cloud.close(),
   );
   const api = `127.0.0.1:${await freePort()}`;
   cloud.nodes = [api];
   cloud.names = ['node-0'];
-  const outside = { cloud: await cloud.listen(), state: await state.listen() };
+  const outside = { cloud: await cloud.listen(), state: await store.listen() };
   const back = `127.0.0.1:${await freePort()}`;
   const settings = join(directory, 'settings.json');
   await writeFile(settings, settingsText({ api_addr: api, back, seeds: [], outside }));
@@ -56,7 +56,7 @@
     'serve',
     '--config',
     settings,
-    ...more,
+    ...extraArgs,
   ];
   const child = spawn(process.execPath, args, { stdio: ['ignore', 'pipe', 'ignore'] });
   cleanups.push(() => child.kill('SIGKILL'));
@@ -64,26 +64,26 @@
   child.stdout.on('data', (bytes: Buffer) => {
     output += bytes.toString();
   });
-  const ask = async () => {
+  const readLoaded = async () => {
     output = '';
     child.kill('SIGUSR2');
     await until(() => output.endsWith('\n'));
     return JSON.parse(output) as { builtIns: string[]; files: string[] };
   };
-  const loaded = async (): Promise<string[]> => builtIns((await ask()).builtIns);
+  const loaded = async (): Promise<string[]> => builtIns((await readLoaded()).builtIns);
   const files = async (): Promise<string[]> =>
-    (await ask()).files.map((file) => basename(file)).sort();
-  return { api, state, loaded, files };
+    (await readLoaded()).files.map((file) => basename(file)).sort();
+  return { api, store, loaded, files };
 };
 
 describe('start-up', () => {
   it('loads no Node module that serving, users and workers do not need', async () => {
     const bareNode = await run(process.execPath, ['-p', 'JSON.stringify(process.moduleLoadList)']);
-    const known = new Set(builtIns(JSON.parse(bareNode.stdout) as string[]));
+    const bareModules = new Set(builtIns(JSON.parse(bareNode.stdout) as string[]));
     const { api, loaded } = await startProcess();
     await until(async () => (await post(api, '/up', undefined, 'GET'))?.status === 200);
-    const first = (await loaded()).filter((name) => !known.has(name));
-    const needless = [
+    const loadedAtStart = (await loaded()).filter((name) => !bareModules.has(name));
+    const unneededModules = [
       'undici',
       'http2',
       'tls',
@@ -92,11 +92,11 @@
       'perf_hooks',
       'internal/webstreams',
     ];
-    const isNeedless = (name: string) =>
-      !known.has(name) && needless.some((n) => name === n || name.includes(`${n}/`));
-    expect(first.filter(isNeedless)).toEqual([]);
-    // 54 when this was written, 111 before.
-    expect(first.length).toBeLessThanOrEqual(60);
+    const isUnneeded = (name: string) =>
+      !bareModules.has(name) && unneededModules.some((n) => name === n || name.includes(`${n}/`));
+    expect(loadedAtStart.filter(isUnneeded)).toEqual([]);
+    // 54 at present; 111 with the modules that are no longer loaded.
+    expect(loadedAtStart.length).toBeLessThanOrEqual(60);
     expect((await post(api, '/api/jobs', body('job-1')))?.status).toBe(201);
     await until(async () => {
       const view = (await post(api, '/api/jobs/job-1', undefined, 'GET'))?.body as {
@@ -105,19 +105,23 @@
       return view?.Status === 'done';
     });
     expect((await post(api, '/nowhere', undefined, 'GET'))?.status).toBe(404);
-    expect((await loaded()).filter(isNeedless)).toEqual([]);
+    expect((await loaded()).filter(isUnneeded)).toEqual([]);
   });
 
   it('loads no package that no file enables, and stores no record of one', async () => {
-    const off = await startProcess();
-    await until(async () => (await post(off.api, '/up', undefined, 'GET'))?.status === 200);
-    expect(await off.files()).toEqual(['main.cjs', 'spy.cjs']);
-    expect((await post(off.api, '/api/drains', undefined, 'GET'))?.status).toBe(404);
-    expect((await post(off.api, '/api/jobs', body('job-1')))?.status).toBe(201);
-    await until(() => off.state.keys.has('f/job-1'));
-    expect([...off.state.keys.keys()].filter((key) => key.startsWith('x/'))).toEqual([]);
-    const on = await startProcess('--enable', 'deploy/drain.scm');
-    await until(async () => (await post(on.api, '/api/drains', undefined, 'GET'))?.status === 200);
-    expect(await on.files()).toEqual(['drain.cjs', 'main.cjs', 'spy.cjs']);
+    const withoutPackage = await startProcess();
+    await until(
+      async () => (await post(withoutPackage.api, '/up', undefined, 'GET'))?.status === 200,
+    );
+    expect(await withoutPackage.files()).toEqual(['main.cjs', 'spy.cjs']);
+    expect((await post(withoutPackage.api, '/api/drains', undefined, 'GET'))?.status).toBe(404);
+    expect((await post(withoutPackage.api, '/api/jobs', body('job-1')))?.status).toBe(201);
+    await until(() => withoutPackage.store.keys.has('f/job-1'));
+    expect([...withoutPackage.store.keys.keys()].filter((key) => key.startsWith('x/'))).toEqual([]);
+    const withPackage = await startProcess('--enable', 'deploy/drain.scm');
+    await until(
+      async () => (await post(withPackage.api, '/api/drains', undefined, 'GET'))?.status === 200,
+    );
+    expect(await withPackage.files()).toEqual(['drain.cjs', 'main.cjs', 'spy.cjs']);
   });
 });
--- a/test/starvation.test.ts
+++ b/test/starvation.test.ts
@@ -3,7 +3,7 @@
 import { core, type task } from './support/builders.js';
 import { CoreDriver, ended, running } from './support/core-driver.js';
 
-/** Plays heartbeats, while all tasks go on, until a task of the job starts; the wait in ms. */
+/** Sends heartbeats of running tasks until one of the job starts; returns the wait in ms. */
 const waitForStart = (
   driver: CoreDriver,
   ids: readonly string[],
@@ -34,30 +34,30 @@
     driver.submit('job-2', { tasks: 1, cpus: 8, estimateS: 10, priority: 'critical' });
     driver.sendHeartbeat('n-1', reported.get('n-1')!);
     driver.submit('job-3', { tasks: 3, cpus: 1, estimateS: 5000, priority: 'best_effort' });
-    const after = waitForStart(driver, ['n-1'], 'job-3', reported);
+    const waitMs = waitForStart(driver, ['n-1'], 'job-3', reported);
     expect(driver.state.queueHead).toBe('job-2');
-    expect(after).toBeGreaterThan(60_000);
-    expect(after).toBeLessThan(90_000);
+    expect(waitMs).toBeGreaterThan(60_000);
+    expect(waitMs).toBeLessThan(90_000);
   });
 
-  it('gets capacity again in time after it lost all its attempts, with tasks done', () => {
+  it('gets capacity again before 90 s after it lost all attempts, with tasks done', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 1, cpus: 4, estimateS: 1000 });
     const first = driver.startsIn(driver.bringUp('n-1'));
     driver.submit('job-3', { tasks: 3, cpus: 1, estimateS: 5000, priority: 'best_effort' });
     driver.sendHeartbeat('n-1', first.map(running));
-    const three = driver.startsIn(driver.sendHeartbeat('n-1', first.map(running)));
+    const jobStarts = driver.startsIn(driver.sendHeartbeat('n-1', first.map(running)));
     driver.submit('job-2', { tasks: 1, cpus: 8, estimateS: 10, priority: 'critical' });
-    const parts = three.map((command, i) => ended(command, i === 0 ? 'done' : 'stopped'));
-    driver.sendHeartbeat('n-1', [...first.map(running), ...parts]);
-    const after = waitForStart(driver, ['n-1'], 'job-3', new Map([['n-1', first.map(running)]]));
-    expect(after).toBeLessThan(90_000);
+    const endedTasks = jobStarts.map((command, i) => ended(command, i === 0 ? 'done' : 'stopped'));
+    driver.sendHeartbeat('n-1', [...first.map(running), ...endedTasks]);
+    const waitMs = waitForStart(driver, ['n-1'], 'job-3', new Map([['n-1', first.map(running)]]));
+    expect(waitMs).toBeLessThan(90_000);
   });
 
-  it('gets capacity that is kept for services before 90 s where there is no other', () => {
+  it('gets capacity that is kept for services before 90 s if there is no other', () => {
     const driver = new CoreDriver(core());
-    const ordinary = { spot: false };
-    driver.bringUp('n-1', ordinary);
+    const onDemand = { spot: false };
+    driver.bringUp('n-1', onDemand);
     driver.submit('job-9', {
       shape: 'service',
       tasks: 1,
@@ -65,16 +65,16 @@
       estimateS: 0,
       allowsSpot: false,
     });
-    const replica = driver.startsIn(driver.sendHeartbeat('n-1', [], ordinary));
+    const replica = driver.startsIn(driver.sendHeartbeat('n-1', [], onDemand));
     const reported = new Map([['n-1', replica.map(running)]]);
-    driver.sendHeartbeat('n-1', reported.get('n-1')!, ordinary);
+    driver.sendHeartbeat('n-1', reported.get('n-1')!, onDemand);
     driver.submit('job-1', { tasks: 2, cpus: 1, estimateS: 50 });
-    const after = waitForStart(driver, ['n-1'], 'job-1', reported);
-    expect(after).toBeGreaterThan(60_000);
-    expect(after).toBeLessThan(90_000);
+    const waitMs = waitForStart(driver, ['n-1'], 'job-1', reported);
+    expect(waitMs).toBeGreaterThan(60_000);
+    expect(waitMs).toBeLessThan(90_000);
   });
 
-  it('is placed again on the only feasible machine after that failed it once', () => {
+  it('is placed again on the only feasible machine after one failure there', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 1 });
     const first = driver.startsIn(driver.bringUp('n-1'));
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -1,7 +1,6 @@
 /**
- * This version and the one in production, side by side: this one reads what that one stored, and
- * that one reads rightly, or leaves alone, what this one stores. The fixtures were recorded from
- * the production version's own code.
+ * Compatibility with the production version: each version reads the other's records correctly, or
+ * ignores them. The fixtures were recorded from the production version's own code.
  */
 import { readFileSync } from 'node:fs';
 import * as v from 'valibot';
@@ -45,135 +44,138 @@
   task,
 } from './support/builders.js';
 
-interface Stored {
+interface StoredRecord {
   key: string;
   value: unknown;
 }
-const old = JSON.parse(
+const productionRecords = JSON.parse(
   readFileSync(new URL('./fixtures/production-records.json', import.meta.url), 'utf8'),
 ) as {
-  job: Stored;
-  finals: Stored[];
-  leader: Stored;
-  types: Stored;
-  ledger: Stored[];
+  job: StoredRecord;
+  finals: StoredRecord[];
+  leader: StoredRecord;
+  types: StoredRecord;
+  ledger: StoredRecord[];
   frames: Record<'admit' | 'status' | 'view' | 'health', string>;
 };
-const frame = (name: keyof typeof old.frames): unknown =>
-  new FrameDecoder().decode(Buffer.from(old.frames[name], 'base64'))[0];
+const recordedFrame = (name: keyof typeof productionRecords.frames): unknown =>
+  new FrameDecoder().decode(Buffer.from(productionRecords.frames[name], 'base64'))[0];
 
-/** A new leader that recovers from what a leader of the production version stored. */
-const recover = (valueBytes: number) => {
+/** A new leader that has recovered the records of the production version's leader. */
+const recoverLeader = (valueBytes: number) => {
   const state = core({
     fencingToken: 50 as FencingToken,
     maxValueBytes: valueBytes,
     maxTransactionOperations: 3,
   });
   const commands: Command[] = [
-    { kind: 'machine-types', types: decodeMachineTypes(old.types.value) as MachineType[] },
+    {
+      kind: 'machine-types',
+      types: decodeMachineTypes(productionRecords.types.value) as MachineType[],
+    },
   ];
-  const { spec } = decodeJob(old.job.value)!;
+  const { spec } = decodeJob(productionRecords.job.value)!;
   for (const id of [spec.id, 'job-000413' as JobId])
     commands.push({ kind: 'job', spec: { ...spec, id }, submittedAt: 0 as Instant });
-  const entered: Command[] = [];
-  for (const { key, value } of old.ledger) {
+  const recoveredAttempts: Command[] = [];
+  for (const { key, value } of productionRecords.ledger) {
     const record = decodeSegment(value)!;
     for (const row of record.progress)
       commands.push({ kind: 'recovered-progress', segment: key as SegmentKey, ...row });
     for (const row of record.machines)
-      entered.push({ kind: 'recovered-attempts', segment: key as SegmentKey, ...row });
+      recoveredAttempts.push({ kind: 'recovered-attempts', segment: key as SegmentKey, ...row });
   }
   applyCommands(
     state,
-    [...commands, ...entered, { kind: 'recovery-completed' }],
+    [...commands, ...recoveredAttempts, { kind: 'recovery-completed' }],
     0 as Instant,
     'lead',
   );
   return state;
 };
 
-describe('records of the version in production', () => {
-  it('decode whole: jobs, completions, the leader, machine types', () => {
-    const record = decodeJob(old.job.value);
+describe('records of the production version', () => {
+  it('are decoded in full: jobs, completions, the leader, machine types', () => {
+    const record = decodeJob(productionRecords.job.value);
     expect(record).toMatchObject({
       acceptedAt: 1790000000123,
       spec: { shape: 'array', tasks: 9000, spreadZones: true },
     });
-    expect(old.finals.map(({ value }) => decodeCompletion(value)?.outcome)).toEqual([
+    expect(productionRecords.finals.map(({ value }) => decodeCompletion(value)?.outcome)).toEqual([
       'done',
       'cancelled',
     ]);
-    expect(decodeLeader(old.leader.value)?.node).toBe('node-1');
-    expect(old.leader.key).toBe(LEADER_KEY);
-    expect(decodeMachineTypes(old.types.value)).toHaveLength(1);
+    expect(decodeLeader(productionRecords.leader.value)?.node).toBe('node-1');
+    expect(productionRecords.leader.key).toBe(LEADER_KEY);
+    expect(decodeMachineTypes(productionRecords.types.value)).toHaveLength(1);
   });
 
   it.each([16_384, 2048, 1024])(
-    'are recovered, attempts and progress, and then moved in pieces (values of %i bytes)',
+    'are recovered, attempts and progress, then moved in parts (values of %i bytes)',
     (bytes) => {
-      const state = recover(bytes);
-      const first = state.jobs.get('job-000412' as JobId)!;
-      expect(first.doneCount).toBe(5000);
+      const state = recoverLeader(bytes);
+      const recoveredJob = state.jobs.get('job-000412' as JobId)!;
+      expect(recoveredJob.doneCount).toBe(5000);
       let entries = 0;
-      for (const { value } of old.ledger)
+      for (const { value } of productionRecords.ledger)
         for (const { entries: e } of decodeSegment(value)!.machines) entries += e.length;
-      let held = 0;
-      for (const m of state.machines.values()) held += m.attemptCount;
+      let attemptCount = 0;
+      for (const m of state.machines.values()) attemptCount += m.attemptCount;
       expect(entries).toBeGreaterThan(300);
-      expect(held).toBe(entries);
+      expect(attemptCount).toBe(entries);
       // Most attempts of one record end: the others move into records that fit, in small batches,
-      // and then the old record is dropped.
-      const large = old.ledger[0]!.key as SegmentKey;
-      const placements = [...state.segments.get(large)!.placements];
+      // and then the record is deleted.
+      const recordKey = productionRecords.ledger[0]!.key as SegmentKey;
+      const placements = [...state.segments.get(recordKey)!.placements];
       const machines = [...new Set(placements.map((p) => p.machine.id))];
-      const lost = new Set(machines.slice(0, Math.ceil(machines.length * 0.75)));
+      const lostMachines = new Set(machines.slice(0, Math.ceil(machines.length * 0.75)));
       applyCommands(
         state,
-        [{ kind: 'deletion-result', machines: [...lost], ok: true }],
+        [{ kind: 'deletion-result', machines: [...lostMachines], ok: true }],
         0 as Instant,
         'lead',
       );
-      const left = placements.filter((p) => !lost.has(p.machine.id));
-      expect(left.length).toBeGreaterThan(20);
-      let dropped = false;
+      const remaining = placements.filter((p) => !lostMachines.has(p.machine.id));
+      expect(remaining.length).toBeGreaterThan(20);
+      let isDeleted = false;
       for (let now = 500; now < 15_000; now += 500) {
-        // Something to write each time, as on any day.
-        const told = heartbeatOf('n-new', now, 50, [task('job-77', now, now)]);
+        // An attempt to store in each step, as in normal operation.
+        const reported = heartbeatOf('n-new', now, 50, [task('job-77', now, now)]);
         for (const e of applyCommands(
           state,
-          [{ kind: 'heartbeat', heartbeat: told, ticket: null }],
+          [{ kind: 'heartbeat', heartbeat: reported, ticket: null }],
           now as Instant,
           'lead',
         )) {
           if (e.kind !== 'store-batch') continue;
           for (const op of e.operations) {
-            dropped ||= op.kind === 'delete-segment' && op.key === large;
+            isDeleted ||= op.kind === 'delete-segment' && op.key === recordKey;
             if (op.kind === 'write-segment')
               expect(JSON.stringify(encodeSegment(op)).length).toBeLessThanOrEqual(bytes);
           }
           applyCommands(state, [{ kind: 'batch-stored', batch: e.batch }], now as Instant, 'lead');
         }
       }
-      expect(dropped).toBe(true);
-      for (const p of left) expect(p.segment!.key).not.toBe(large);
+      expect(isDeleted).toBe(true);
+      for (const p of remaining) expect(p.segment!.key).not.toBe(recordKey);
     },
   );
 
-  it('decode from frames between controllers, too', () => {
-    const admit = frame('admit') as { record: unknown };
+  it('are decoded from frames between controllers', () => {
+    const admit = recordedFrame('admit') as { record: unknown };
     expect(decodeJob(admit.record)?.spec.id).toBe('job-000412');
-    expect(frame('view')).toMatchObject({ is: { status: 'running', done: 5000 } });
+    expect(recordedFrame('view')).toMatchObject({ is: { status: 'running', done: 5000 } });
   });
 });
 
 describe('records of this version', () => {
   const service = job('job-9', { shape: 'service', tasks: 4, estimateS: 0 });
 
-  it('of arrays are readable to the version in production; those of services are not, and left alone', () => {
+  it('of arrays are readable to the production version; those of services are ignored', () => {
     const spec = job('job-8', { tasks: 7, deadlineS: 60 });
     expect(spec.shape).toBe('array');
     const record = encodeJob({ acceptedAt: 5, spec });
-    const plain = {
+    const expectedSpec = {
       id: spec.id,
       lane: spec.jobClass,
       team: spec.team,
@@ -194,9 +196,9 @@
       saveS: spec.checkpointWriteS,
       deadlineS: spec.deadlineS,
     };
-    expect(record).toEqual({ at: 5, spec: plain });
-    expect(v.parse(oldJob, record)).toEqual({ at: 5, spec: plain });
-    // That it cannot read it is the point: it would run it as an array, and call it done.
+    expect(record).toEqual({ at: 5, spec: expectedSpec });
+    expect(v.parse(oldJob, record)).toEqual({ at: 5, spec: expectedSpec });
+    // The production version must reject services: it would run them as arrays and call them done.
     expect(v.safeParse(oldJob, encodeJob({ acceptedAt: 5, spec: service })).success).toBe(false);
     for (const s of [spec, service]) {
       const stored = JSON.parse(JSON.stringify(encodeJob({ acceptedAt: 5, spec: s }))) as unknown;
@@ -207,10 +209,10 @@
         true,
       );
     expect(v.is(oldLeader, { node: 'node-0', life: 'x', lease: 4 })).toBe(true);
-    expect(v.is(oldTypes, decodeMachineTypes(old.types.value))).toBe(true);
+    expect(v.is(oldTypes, decodeMachineTypes(productionRecords.types.value))).toBe(true);
   });
 
-  it('of the ledger are readable to it: attempts of services count as those of an unknown job', () => {
+  it('of the ledger let the production version read service attempts as of an unknown job', () => {
     const bits = Uint8Array.of(255, 7);
     const written = encodeSegment({
       machines: [
@@ -228,8 +230,8 @@
     const read = v.parse(oldSegment, JSON.parse(JSON.stringify(written)));
     expect(read.j[0]![0]).toBe('job-9');
     expect(read.m).toEqual([['n-1', 'c8', 'a', false, [[0, 0, 41_000_001]]]]);
-    // It reads a block's row as its own; it does not see a smaller part, which is written only where
-    // no block fits.
+    // The production version reads rows of whole blocks only; smaller parts are written only if no
+    // block fits.
     expect(TASKS_PER_BLOCK).toBe(OLD_BLOCK_TASKS);
     expect(read.d).toEqual([['job-8', 1, Buffer.from(bits).toString('base64')]]);
     expect(
@@ -237,24 +239,24 @@
     ).toEqual([8192, 1024]);
   });
 
-  it('sent as questions are understood by it, or go unanswered without harm', () => {
-    const asked = [
+  it('in requests are understood by the production version or stay unanswered', () => {
+    const requests = [
       { n: 1, ask: 'admit', record: encodeJob({ acceptedAt: 5, spec: service }) },
       { n: 2, ask: 'status', job: 'job-9' },
       { n: 3, ask: 'health' },
     ];
-    for (const question of asked) {
-      const [sent] = new FrameDecoder().decode(encodeFrame(question));
+    for (const request of requests) {
+      const [sent] = new FrameDecoder().decode(encodeFrame(request));
       expect(v.is(oldQuestion, sent)).toBe(true);
     }
-    // An operator's call to a package it does not know, and leaves unanswered: the asker says 503.
+    // It does not answer calls to unknown packages, so that the requester answers 503.
     const call = { route: 'list', subject: '', body: {} };
-    const [passedOn] = new FrameDecoder().decode(
+    const [decodedCall] = new FrameDecoder().decode(
       encodeFrame({ n: 4, ask: 'operate', extension: 'drain', call }),
     );
-    expect(v.is(oldQuestion, passedOn)).toBe(false);
-    // A service that it is asked to admit it cannot read: no answer, so that no 201 is said.
-    expect(v.is(oldJob, asked[0]!.record)).toBe(false);
+    expect(v.is(oldQuestion, decodedCall)).toBe(false);
+    // It cannot read a service and does not answer, so that no 201 is sent.
+    expect(v.is(oldJob, requests[0]!.record)).toBe(false);
     const state = core();
     applyCommands(
       state,
