--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -138,17 +138,26 @@
         { maxValueBytes: 8192, maxTransactionOperations: 16 },
         {},
       ].entries()) {
-        const next = core({ ...limitedConfig, ...limits, fencingToken: (8 + i) as FencingToken });
+        const nextState = core({
+          ...limitedConfig,
+          ...limits,
+          fencingToken: (8 + i) as FencingToken,
+        });
         const recoveryCommands: Command[] = [submission];
         for (const [segment, text] of segmentTexts) {
           const record = decodeSegment(JSON.parse(text))!;
           for (const row of record.progress)
             recoveryCommands.push({ kind: 'recovered-progress', segment, ...row });
         }
-        runLeader(next, segmentTexts, [...recoveryCommands, { kind: 'recovery-completed' }], 0);
-        expect(next.jobs.get(spec.id)?.doneCount).toBe(doneIndexes.length);
+        runLeader(
+          nextState,
+          segmentTexts,
+          [...recoveryCommands, { kind: 'recovery-completed' }],
+          0,
+        );
+        expect(nextState.jobs.get(spec.id)?.doneCount).toBe(doneIndexes.length);
         for (let now = 250; now < 10_000; now += 250)
-          runLeader(next, segmentTexts, [{ kind: 'tick' }], now);
+          runLeader(nextState, segmentTexts, [{ kind: 'tick' }], now);
       }
     },
   );
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -4,10 +4,10 @@
 
 describe('the scheduler on an overloaded day', () => {
   it.each([
-    ['machines', 60],
-    ['team quotas', 34],
+    ['limited by machines', 60],
+    ['limited by team quotas', 34],
   ])(
-    'starts the largest jobs in 240 s; ends half of them, each class and each team (limit: %s)',
+    'starts the largest jobs in 240 s, and completes half of them, each class and team (%s)',
     (_, quota) => {
       const day = new OverloadedDay({}, quota);
       day.play();
--- a/test/pinned-http.test.ts
+++ b/test/pinned-http.test.ts
@@ -293,7 +293,7 @@
   });
 });
 
-/** Connects as a peer; returns a function that sends a request and resolves with the answer. */
+/** Connects as a peer; returns a function that sends a request and awaits its answer. */
 const connectAsPeer = async (address: string) => {
   const [host, port] = address.split(':');
   const socket = connect(Number(port), host);
@@ -396,7 +396,7 @@
   });
 });
 
-describe('answers to check-ins', () => {
+describe('replies to heartbeats', () => {
   it('have the pinned bytes, both from the raw socket and from the HTTP server', async () => {
     const task = {
       job: 'job-000412' as JobId,
--- a/test/refusal-then-outage.test.ts
+++ b/test/refusal-then-outage.test.ts
@@ -145,7 +145,7 @@
 
 describe('three controllers whose store refuses the leader and then goes down', () => {
   it('kill the tasks of a job whose cancellation the next leader confirmed', async () => {
-    // The lease outlasts delays of a busy test machine, so that the confirming leader still leads
+    // The lease outlasts delays on a busy machine, so that the confirming leader still leads
     // when the outage begins; the heartbeat interval is too long for silent workers to be replaced.
     const { nodes, state, fronts, cloud } = await startCluster(3, {
       leaderLeaseMs: 2000,
@@ -238,7 +238,7 @@
           );
           // Without grace, the last reply was sent under a valid lease.
           if (graceMs === 0) return cancelS * 1000 < leaseS * 1000 * (1 + DRIFT) + 3100 + cancelS;
-          // Both clocks are slow; the heartbeat was sent `requestDelay` of 4 s before its reply.
+          // Both clocks are slow; the heartbeat was sent `delayShare` of 4 s before its reply.
           const lastReplyMs = graceMs * (1 + DRIFT);
           const endedMs = lastReplyMs - delayShare * 4000 + leaseS * 1000 * (1 + DRIFT);
           return endedMs <= cancelS * 1000 - 2900;
@@ -271,7 +271,7 @@
     );
     for (let i = 0; i < 4; i += 1)
       expect(driver.startsIn(driver.sendHeartbeat('n-1', i === 0 ? ended : []))).toEqual([]);
-    // Ids recur in no other way, so ended jobs are remembered for a limited time only.
+    // Ids recur in no other way, so ended jobs are remembered for a limited time.
     for (let i = 2; i < 60; i += 1) {
       driver.submit(`job-${i}`);
       driver.send({
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -46,7 +46,7 @@
         const world = new SimulatedWorld(seed, { keepZones });
         world.play(60_000, false);
         world.heal();
-        // Since when each job waits beside free capacity, which must stay below 90 s.
+        // When each job began to wait beside free capacity; no wait may reach 90 s.
         const waitsSince = new Map<string, number>();
         for (let t = 0; t < 1_200_000; t += 5000) {
           world.play(5000, true);
--- a/test/service-jobs.test.ts
+++ b/test/service-jobs.test.ts
@@ -15,7 +15,7 @@
 describe('a service', () => {
   it('outlasts ends of replicas and failovers until cancelled, then stays withdrawn', async () => {
     const { nodes, cloud } = await startCluster(3, { capacity: 4 });
-    // Each replica ends soon.
+    // Replicas end soon and must start again.
     cloud.taskMs = 150;
     expect((await post(nodes[0]!.at, '/api/jobs', serviceBody('job-1')))?.status).toBe(201);
     expect((await post(nodes[1]!.at, '/api/jobs', serviceBody('job-1')))?.status).toBe(200);
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -177,7 +177,7 @@
     expect(viewJob(state, 'job-2' as JobId, now)).toMatchObject({ status: 'queued' });
   });
 
-  it('that fails everywhere is retried ever later, delays no job and costs no machine', () => {
+  it('that fails everywhere is retried ever later, delays no job, has no machine deleted', () => {
     const driver = new CoreDriver();
     const fleet = new Fleet(driver, ['n-1', 'n-2']);
     driver.submit('job-1', service({ tasks: 2 }));
@@ -434,9 +434,9 @@
   };
 
   it('are replaced early if they run a replica, though many are silent, and others later', () => {
-    const at = deletionTimes(4);
-    expect(at.get('replica')).toBeLessThan(13_000);
-    const others = [...at].filter(([id]) => id !== 'replica').map(([, when]) => when);
+    const deletedAt = deletionTimes(4);
+    expect(deletedAt.get('replica')).toBeLessThan(13_000);
+    const others = [...deletedAt].filter(([id]) => id !== 'replica').map(([, when]) => when);
     expect(others).toHaveLength(3);
     // Two leases, less one heartbeat interval.
     for (const when of others) expect(when).toBeGreaterThan(28_000);
--- a/test/starvation.test.ts
+++ b/test/starvation.test.ts
@@ -40,7 +40,7 @@
     expect(waitMs).toBeLessThan(90_000);
   });
 
-  it('gets capacity again before 90 s after it lost all attempts, with tasks done', () => {
+  it('gets capacity again within 90 s of losing all its attempts, with some tasks done', () => {
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 1, cpus: 4, estimateS: 1000 });
     const first = driver.startsIn(driver.bringUp('n-1'));
