--- a/packages/drain/measure/drain-load.ts
+++ b/packages/drain/measure/drain-load.ts
@@ -9,7 +9,11 @@
 import { body, cleanUp, until } from '../../../test/stand-ins/cluster.js';
 import { post } from '../../../test/stand-ins/http.js';
 import { buildProgram, startProcesses } from '../../../test/stand-ins/processes.js';
-import { lostWithMachines, mostStoppedAtOnce, ranTwice } from '../test/support/history-checker.js';
+import {
+  findConcurrentRuns,
+  maxStoppedByTeam,
+  tasksLostWithMachines,
+} from '../test/support/history-checker.js';
 
 /** How the fleet is emptied: the budgets of the file, and the share of the machines in a step. */
 interface Way {
@@ -192,7 +196,7 @@
   await arrivals;
   await sleep(SETTLE_MS);
   const delays = startDelays(fleet, load, from);
-  const most = mostStoppedAtOnce(cloud.history, (task) => load.teamOf(task));
+  const most = maxStoppedByTeam(cloud.history, (task) => load.teamOf(task));
   const result = {
     way: name,
     machines: before.length,
@@ -201,8 +205,8 @@
     redoneTaskS: Math.round(cloud.redoneMs / 1000),
     stops: cloud.history.filter(({ kind }) => kind === 'stop').length,
     mostStoppedAtOnce: Object.fromEntries(most),
-    lostTasks: lostWithMachines(cloud.history).length,
-    ranTwice: ranTwice(cloud.history).length,
+    lostTasks: tasksLostWithMachines(cloud.history).length,
+    ranTwice: findConcurrentRuns(cloud.history).length,
     otherJobs: delays.totalCount,
     startDelayMs: {
       p50: delays.getValueAtPercentile(50),
--- a/packages/drain/test/histories.test.ts
+++ b/packages/drain/test/histories.test.ts
@@ -6,7 +6,7 @@
 import { describe, expect, it } from 'vitest';
 import { SimulatedWorld } from '../../../test/support/simulated-world/world.js';
 import { drainModule } from '../src/index.js';
-import { settingsOf, TIGHT } from './support/settings.js';
+import { settingsOf, TIGHT_BUDGETS } from './support/settings.js';
 
 /** What operators are told of a drain. */
 interface DrainAnswer {
@@ -33,7 +33,7 @@
 
   constructor(seed: number) {
     this.world = new SimulatedWorld(seed, {
-      module: drainModule(settingsOf(TIGHT)),
+      module: drainModule(settingsOf(TIGHT_BUDGETS)),
       bothVersions: false,
       preemption: false,
       mostMachines: 9,
--- a/packages/drain/test/input.test.ts
+++ b/packages/drain/test/input.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import { parseDrainRequest } from '../src/adapters/drain-request-parser.js';
 import { parseDrainSettings } from '../src/adapters/settings-parser.js';
-import { DrainFleet, inZone } from './support/drain-fleet.js';
+import { DrainFleet, machinesInZone } from './support/drain-fleet.js';
 
 const TEAMS = new Set(['blue', 'green']);
 const errorOf = (text: string): string => {
@@ -105,7 +105,7 @@
   );
 
   it('gets 422 for unknown types, zones and machines and stores nothing; an unknown drain gets 404', () => {
-    const fleet = new DrainFleet(inZone(2));
+    const fleet = new DrainFleet(machinesInZone(2));
     const refusals = [
       [{ type: 'c9' }, 'field select.type: unknown machine type c9'],
       [{ zone: 'z' }, 'field select.zone: unknown zone z'],
@@ -114,25 +114,25 @@
     ] as const;
 
     for (const [select, error] of refusals) {
-      expect(fleet.start('out', { select })).toMatchObject({ status: 422, body: { error } });
+      expect(fleet.startDrain('out', { select })).toMatchObject({ status: 422, body: { error } });
     }
     for (const call of ['status', 'pause', 'resume', 'cancel'])
-      expect(fleet.call(call, 'out').status).toBe(404);
-    expect(fleet.start('out', { select: { all: 1 } }).status).toBe(400);
+      expect(fleet.callOperatorApi(call, 'out').status).toBe(404);
+    expect(fleet.startDrain('out', { select: { all: 1 } }).status).toBe(400);
     expect(fleet.store.records.size).toBe(0);
   });
 
   it('may be repeated with the same body; another body under its name is refused', () => {
-    const fleet = new DrainFleet(inZone(2));
+    const fleet = new DrainFleet(machinesInZone(2));
 
-    expect(fleet.start('out', { select: { all: true } }).status).toBe(201);
-    expect(fleet.start('out', { select: { all: true }, atOnce: 1, replace: true }).status).toBe(
-      200,
-    );
-    expect(fleet.start('out', { select: { all: true }, atOnce: 2 }).status).toBe(409);
-    fleet.until(() => fleet.drainPhase('out') === 'done');
+    expect(fleet.startDrain('out', { select: { all: true } }).status).toBe(201);
+    expect(
+      fleet.startDrain('out', { select: { all: true }, atOnce: 1, replace: true }).status,
+    ).toBe(200);
+    expect(fleet.startDrain('out', { select: { all: true }, atOnce: 2 }).status).toBe(409);
+    fleet.runUntil(() => fleet.drainPhase('out') === 'done');
 
-    expect(fleet.start('out', { select: { all: true } })).toMatchObject({
+    expect(fleet.startDrain('out', { select: { all: true } })).toMatchObject({
       status: 200,
       body: { status: 'done' },
     });
@@ -140,10 +140,10 @@
   });
 
   it('is refused, naming the field, when it has more names than a record holds', () => {
-    const fleet = new DrainFleet(inZone(120));
+    const fleet = new DrainFleet(machinesInZone(120));
     const machines = [...fleet.workers.machines.keys()];
 
-    const refused = fleet.start('out', { select: { machines } });
+    const refused = fleet.startDrain('out', { select: { machines } });
 
     expect(refused.status).toBe(422);
     expect(refused.body.error).toMatch(/^field select.machines: more names/);
--- a/packages/drain/test/large-fleet.test.ts
+++ b/packages/drain/test/large-fleet.test.ts
@@ -1,13 +1,13 @@
 /** Drains of large fleets, with the work counted. */
 import { describe, expect, it } from 'vitest';
 import { CountingMap } from '../../../test/support/counting-map.js';
-import { CHECKPOINTING, DrainFleet, inZone } from './support/drain-fleet.js';
+import { CHECKPOINTING, DrainFleet, machinesInZone } from './support/drain-fleet.js';
 
 const FLEET = 4000;
 
 describe('a drain of 4,000 machines', () => {
   it('visits each machine a bounded number of times, keeps few records and answers within a line', () => {
-    const fleet = new DrainFleet(inZone(FLEET));
+    const fleet = new DrainFleet(machinesInZone(FLEET));
     const counting = new CountingMap(fleet.state.machines);
     Object.assign(fleet.state, { machines: counting });
     const countWalks = () => {
@@ -18,29 +18,29 @@
     const idle = countWalks();
 
     expect(
-      fleet.start('all', { select: { all: true }, atOnceShare: 0.01, replace: false }).status,
+      fleet.startDrain('all', { select: { all: true }, atOnceShare: 0.01, replace: false }).status,
     ).toBe(201);
     // Walks over the fleet for each tick: a drain adds few to those of the daemon itself.
     const draining = countWalks();
     expect(draining - idle).toBeLessThan(6);
     expect([...fleet.store.records.keys()].length).toBeLessThanOrEqual(1 + 40);
-    const told = fleet.call('status', 'all').body as { total: number };
+    const told = fleet.callOperatorApi('status', 'all').body as { total: number };
     expect(told.total).toBe(FLEET);
-    const plan = fleet.call('plan', '', { select: { all: true }, atOnceShare: 0.01 });
+    const plan = fleet.callOperatorApi('plan', '', { select: { all: true }, atOnceShare: 0.01 });
     for (const answer of [told, plan.body])
       expect(JSON.stringify(answer).length).toBeLessThan(60_000);
-    fleet.until(() => fleet.cloud.returned.length >= 120);
+    fleet.runUntil(() => fleet.cloud.returned.length >= 120);
 
-    expect(fleet.problems).toEqual([]);
+    expect(fleet.violations).toEqual([]);
   }, 120_000);
 
   it('asks the budgets once a decision for each job class, whatever the number of tasks', () => {
     const fleet = new DrainFleet(
-      inZone(1000),
+      machinesInZone(1000),
       '(drain (let-end-s 5) (budgets (team blue (at-once-share 0.01))))',
     );
-    for (let i = 0; i < 20; i += 1) fleet.submit(`job-${i}`, { ...CHECKPOINTING, tasks: 100 });
-    fleet.until(() => fleet.workers.starts.length === 2000);
+    for (let i = 0; i < 20; i += 1) fleet.submitJob(`job-${i}`, { ...CHECKPOINTING, tasks: 100 });
+    fleet.runUntil(() => fleet.workers.starts.length === 2000);
     const counting = new CountingMap(fleet.state.jobs);
     Object.assign(fleet.state, { jobs: counting });
     const countWalks = () => {
@@ -50,12 +50,12 @@
     };
     const idle = countWalks();
 
-    fleet.start('part', { select: { all: true }, atOnceShare: 0.5, replace: false });
-    fleet.until(() => fleet.workers.stops.length >= 20);
+    fleet.startDrain('part', { select: { all: true }, atOnceShare: 0.5, replace: false });
+    fleet.runUntil(() => fleet.workers.stops.length >= 20);
 
     // 500 machines with 1,000 tasks are cordoned; walks over the jobs follow what is granted,
     // not what asks.
     expect(countWalks() - idle).toBeLessThan(1000);
-    expect(fleet.problems).toEqual([]);
+    expect(fleet.violations).toEqual([]);
   }, 120_000);
 });
--- a/packages/drain/test/loopback.test.ts
+++ b/packages/drain/test/loopback.test.ts
@@ -8,7 +8,11 @@
 import { body, cleanUp, status, until } from '../../../test/stand-ins/cluster.js';
 import { post } from '../../../test/stand-ins/http.js';
 import { buildProgram, runCommand, startProcesses } from '../../../test/stand-ins/processes.js';
-import { lostWithMachines, mostStoppedAtOnce, ranTwice } from './support/history-checker.js';
+import {
+  findConcurrentRuns,
+  maxStoppedByTeam,
+  tasksLostWithMachines,
+} from './support/history-checker.js';
 
 const BUDGETS = `(drain (let-end-s 0) (stalled-after-s 5)
   (budgets (team blue (at-once 2)) (team green (at-once 1))))`;
@@ -116,12 +120,12 @@
       await until(async () => (await status(at(n), id(n)))?.body.Status === 'done');
     }
     await until(() => tasks() >= 15);
-    const most = mostStoppedAtOnce(cloud.history, teamOf);
+    const most = maxStoppedByTeam(cloud.history, teamOf);
     expect(most.get('blue')).toBeLessThanOrEqual(2);
     expect(most.get('green')).toBeLessThanOrEqual(1);
     expect(cloud.history.filter(({ kind }) => kind === 'stop').length).toBeGreaterThanOrEqual(6);
-    expect(ranTwice(cloud.history)).toEqual([]);
-    expect(lostWithMachines(cloud.history)).toEqual([]);
+    expect(findConcurrentRuns(cloud.history)).toEqual([]);
+    expect(tasksLostWithMachines(cloud.history)).toEqual([]);
     const list = await runCommand(directory, ['drain', 'list', '--at', at(2)]);
     expect(list.out).toMatch(/^whole: done/);
   }, 120_000);
@@ -158,9 +162,9 @@
     }
     expect([...told]).toEqual([201]);
     await until(() => before.every((name) => !cloud.workers.has(name)));
-    expect(mostStoppedAtOnce(cloud.history, () => 'blue').get('blue')).toBeLessThanOrEqual(2);
+    expect(maxStoppedByTeam(cloud.history, () => 'blue').get('blue')).toBeLessThanOrEqual(2);
     expect(state.refused).toEqual([]);
-    expect(lostWithMachines(cloud.history)).toEqual([]);
+    expect(tasksLostWithMachines(cloud.history)).toEqual([]);
   }, 60_000);
 });
 
--- a/packages/drain/test/plain-model.test.ts
+++ b/packages/drain/test/plain-model.test.ts
@@ -20,8 +20,8 @@
 import {
   hasRoom,
   isDrainedBefore,
-  type PlainDisruption,
-  type PlainLimits,
+  type ReferenceDisruption,
+  type ReferenceLimits,
 } from './support/plain-model.js';
 import { settingsOf } from './support/settings.js';
 
@@ -160,7 +160,7 @@
   ),
 });
 
-const written = (l: PlainLimits): string =>
+const written = (l: ReferenceLimits): string =>
   [
     l.count === null ? '' : `(at-once ${l.count})`,
     l.share === null ? '' : `(at-once-share ${l.share})`,
@@ -182,7 +182,7 @@
             written(jobClass).trim() === '' ? file.replace(/\(class.*\)\)\)\)$/, ')))') : file;
           const ledger = new BudgetLedger(settingsOf(inner));
           const tasks = new Tasks(TASKS);
-          const list: (PlainDisruption & { index: number })[] = [];
+          const list: (ReferenceDisruption & { index: number })[] = [];
           let now = 1_000_000;
           for (const { kind, index } of actions) {
             if (kind === 'wait') now += index;
--- a/packages/drain/test/recovery.test.ts
+++ b/packages/drain/test/recovery.test.ts
@@ -1,35 +1,35 @@
 /** Drains through failovers, outages of services, and faults of the machines that are drained. */
 import { describe, expect, it } from 'vitest';
-import { CHECKPOINTING, DrainFleet, inZone } from './support/drain-fleet.js';
+import { CHECKPOINTING, DrainFleet, machinesInZone } from './support/drain-fleet.js';
 
 const BUDGET_1 = '(drain (let-end-s 5) (ready-timeout-s 60) (budgets (team blue (at-once 1))))';
 
 /** Two machines, each with a task that saves, to be replaced one by one. */
 const startDrain = (settings = BUDGET_1, cloudUnavailable = false): DrainFleet => {
-  const fleet = new DrainFleet(inZone(2), settings);
-  fleet.submit('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 2 });
+  const fleet = new DrainFleet(machinesInZone(2), settings);
+  fleet.submitJob('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 2 });
   fleet.run(4000);
   fleet.faults.cloudUnavailable = cloudUnavailable;
-  expect(fleet.start('swap', { select: { all: true } }).status).toBe(201);
+  expect(fleet.startDrain('swap', { select: { all: true } }).status).toBe(201);
   return fleet;
 };
 
 /** Each machine was returned and replaced once, and no task was lost or ran twice. */
 const expectCompleted = (fleet: DrainFleet, provisioned = 2): void => {
-  expect(fleet.problems).toEqual([]);
+  expect(fleet.violations).toEqual([]);
   expect(fleet.cloud.returned.filter((id) => id < 'n-0002').sort()).toEqual(['n-0000', 'n-0001']);
   const names = [...fleet.cloud.provisioned.keys()].filter((name) => name.startsWith('drain-'));
   expect(names, [...fleet.cloud.provisioned].join(' ')).toHaveLength(provisioned);
   fleet.run(5000);
-  for (const name of ['job-1/0', 'job-1/1']) expect(fleet.holderOf(name), name).not.toBeNull();
-  expect(fleet.status('swap')).toMatchObject({ status: 'done', returned: 2, failed: 0 });
+  for (const name of ['job-1/0', 'job-1/1']) expect(fleet.machineOf(name), name).not.toBeNull();
+  expect(fleet.drainStatus('swap')).toMatchObject({ status: 'done', returned: 2, failed: 0 });
 };
 
 const countWritesOfDrain = (): number => {
   const fleet = startDrain();
-  fleet.until(() => fleet.drainPhase('swap') === 'done');
+  fleet.runUntil(() => fleet.drainPhase('swap') === 'done');
   expectCompleted(fleet);
-  return fleet.store.writes.length;
+  return fleet.store.recordWrites.length;
 };
 
 describe('a failover', () => {
@@ -37,23 +37,23 @@
     const all = countWritesOfDrain();
     expect(all).toBeGreaterThan(12);
     for (let write = 2; write <= all; write += 1) {
-      for (const endLeaderAfterWrite of [false, true]) {
+      for (const crashLeaderAfterWrite of [false, true]) {
         const fleet = startDrain();
-        Object.assign(fleet.faults, { endLeaderAtWrite: write, endLeaderAfterWrite });
+        Object.assign(fleet.faults, { crashLeaderAtWrite: write, crashLeaderAfterWrite });
         const expectOneOpenAtMost = () => {
-          const open = ['job-1/0', 'job-1/1'].filter((name) => fleet.holderOf(name) === null);
+          const open = ['job-1/0', 'job-1/1'].filter((name) => fleet.machineOf(name) === null);
           expect(open.length, `write ${write}`).toBeLessThanOrEqual(1);
         };
-        fleet.until(() => {
+        fleet.runUntil(() => {
           expectOneOpenAtMost();
-          return fleet.hasLeaderEnded || fleet.drainPhase('swap') === 'done';
+          return fleet.hasLeaderCrashed || fleet.drainPhase('swap') === 'done';
         });
-        fleet.faults.endLeaderAtWrite = 0;
-        if (fleet.hasLeaderEnded) {
+        fleet.faults.crashLeaderAtWrite = 0;
+        if (fleet.hasLeaderCrashed) {
           fleet.run(2000);
           fleet.failOver();
         }
-        fleet.until(() => {
+        fleet.runUntil(() => {
           expectOneOpenAtMost();
           return fleet.drainPhase('swap') === 'done';
         });
@@ -63,13 +63,13 @@
   }, 60_000);
 
   it('keeps disruptions counted: the new leader stops no more until their work runs again', () => {
-    const fleet = new DrainFleet(inZone(3), BUDGET_1);
-    fleet.submit('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 3 });
+    const fleet = new DrainFleet(machinesInZone(3), BUDGET_1);
+    fleet.submitJob('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 3 });
     fleet.run(4000);
     fleet.faults.refuseProvisioning = true;
 
-    fleet.start('out', { select: { all: true }, atOnce: 3, replace: false });
-    fleet.until(() => fleet.workers.stops.length === 1);
+    fleet.startDrain('out', { select: { all: true }, atOnce: 3, replace: false });
+    fleet.runUntil(() => fleet.workers.stops.length === 1);
     fleet.failOver();
     fleet.run(60_000);
     expect(fleet.workers.stops).toHaveLength(1);
@@ -78,12 +78,12 @@
     // Without its record the next one would have been stopped: the record is what counts it.
     for (const key of kept) fleet.store.records.delete(key);
     fleet.failOver();
-    fleet.until(() => fleet.workers.stops.length === 2);
+    fleet.runUntil(() => fleet.workers.stops.length === 2);
   });
 
   it('to a version without the package leaves the records as they are, and back goes on from them', () => {
     const fleet = startDrain();
-    fleet.until(
+    fleet.runUntil(
       () => fleet.machinePhase('swap', 'n-0000') === 'draining' || fleet.cloud.returned.length > 0,
     );
     const records = JSON.stringify([...fleet.store.records]);
@@ -91,7 +91,7 @@
     fleet.run(30_000);
     expect(JSON.stringify([...fleet.store.records])).toBe(records);
     fleet.failOver();
-    fleet.until(() => fleet.drainPhase('swap') === 'done');
+    fleet.runUntil(() => fleet.drainPhase('swap') === 'done');
     expectCompleted(fleet);
   });
 });
@@ -99,7 +99,7 @@
 describe('a record that cannot be read', () => {
   it('pauses its drain and leaves the others alone', () => {
     const fleet = startDrain();
-    fleet.until(
+    fleet.runUntil(
       () =>
         fleet.machinePhase('swap', 'n-0000') !== null ||
         fleet.machinePhase('swap', 'n-0001') !== null,
@@ -109,20 +109,20 @@
     fleet.store.records.set('d/other', 7);
     fleet.failOver();
     fleet.run(30_000);
-    expect(fleet.status('swap')).toMatchObject({
+    expect(fleet.drainStatus('swap')).toMatchObject({
       status: 'paused',
       why: 'a record of it cannot be read',
     });
-    expect(fleet.status('other')).toMatchObject({
+    expect(fleet.drainStatus('other')).toMatchObject({
       status: 'paused',
       why: 'its record cannot be read',
     });
 
-    expect(fleet.start('other', { select: { all: true } }).status).toBe(409);
-    expect(fleet.start('third', { select: { all: true } }).status).toBe(201);
-    fleet.until(() => fleet.drainPhase('third') === 'done');
+    expect(fleet.startDrain('other', { select: { all: true } }).status).toBe(409);
+    expect(fleet.startDrain('third', { select: { all: true } }).status).toBe(201);
+    fleet.runUntil(() => fleet.drainPhase('third') === 'done');
 
-    expect(fleet.problems).toEqual([]);
+    expect(fleet.violations).toEqual([]);
   });
 });
 
@@ -139,35 +139,35 @@
       fleet.cloud.provisioned.size,
     ]).toEqual([0, 0, 1]);
     fleet.faults.storeUnavailable = false;
-    fleet.until(() => fleet.workers.stops.length === 1);
+    fleet.runUntil(() => fleet.workers.stops.length === 1);
     fleet.faults.storeUnavailable = true;
     fleet.run(30_000);
     expect(fleet.cloud.returned).toEqual([]);
     fleet.faults.storeUnavailable = false;
-    fleet.until(() => fleet.drainPhase('swap') === 'done');
+    fleet.runUntil(() => fleet.drainPhase('swap') === 'done');
     expectCompleted(fleet);
   });
 
   it('of the cloud, and lost answers, repeat provision requests and returns under the same ids', () => {
     const fleet = startDrain(BUDGET_1, true);
     fleet.run(40_000);
-    expect(fleet.status('swap').machines[0]?.blocked?.kind).toBe('replacement-booting');
+    expect(fleet.drainStatus('swap').machines[0]?.blocked?.kind).toBe('replacement-booting');
     Object.assign(fleet.faults, {
       cloudUnavailable: false,
-      loseProvisionAnswers: 2,
-      loseDeletionAnswers: 2,
+      provisionResponsesToLose: 2,
+      deletionResponsesToLose: 2,
     });
-    fleet.until(() => fleet.cloud.returned.length === 1);
+    fleet.runUntil(() => fleet.cloud.returned.length === 1);
     fleet.faults.cloudUnavailable = true;
     fleet.run(20_000);
     fleet.faults.cloudUnavailable = false;
-    fleet.until(() => fleet.drainPhase('swap') === 'done');
+    fleet.runUntil(() => fleet.drainPhase('swap') === 'done');
     expectCompleted(fleet);
   });
 
   it('of the cloud during a failover repeats the return, and its machine gets no work meanwhile', () => {
     const fleet = startDrain();
-    fleet.until(() =>
+    fleet.runUntil(() =>
       [...fleet.store.records.values()].some(
         (r) => (r as { phase?: string }).phase === 'returning',
       ),
@@ -177,112 +177,112 @@
       .find(([, r]) => (r as { phase?: string }).phase === 'returning')![0]
       .split('/')[2]!;
     fleet.failOver();
-    fleet.submit('job-2', { cpus: 1, tasks: 4 });
+    fleet.submitJob('job-2', { cpus: 1, tasks: 4 });
     fleet.run(15_000);
     expect(fleet.tasksOn(machine)).toEqual([]);
 
-    expect(fleet.call('cancel', 'swap').body).toMatchObject({ status: 'cancelled' });
+    expect(fleet.callOperatorApi('cancel', 'swap').body).toMatchObject({ status: 'cancelled' });
     fleet.run(5000);
     expect(fleet.tasksOn(machine)).toEqual([]);
     fleet.faults.cloudUnavailable = false;
-    fleet.until(() => fleet.cloud.returned.includes(machine));
+    fleet.runUntil(() => fleet.cloud.returned.includes(machine));
   });
 });
 
 describe('a machine of a drain', () => {
   const startHalfDrained = (): { fleet: DrainFleet; id: string } => {
-    const fleet = new DrainFleet(inZone(2), BUDGET_1);
-    fleet.submit('job-1', { cpus: 8 });
+    const fleet = new DrainFleet(machinesInZone(2), BUDGET_1);
+    fleet.submitJob('job-1', { cpus: 8 });
     fleet.run(3000);
-    const id = fleet.holderOf('job-1/0')!;
-    fleet.start('out', { select: { machines: [id] } });
-    fleet.until(() => fleet.machinePhase('out', id) === 'cordoned');
+    const id = fleet.machineOf('job-1/0')!;
+    fleet.startDrain('out', { select: { machines: [id] } });
+    fleet.runUntil(() => fleet.machinePhase('out', id) === 'cordoned');
     return { fleet, id };
   };
 
   it('counts as failed when it is cut off for good, and its work runs again elsewhere', () => {
     const { fleet, id } = startHalfDrained();
     fleet.workers.machines.get(id)!.unreachableUntil = Number.POSITIVE_INFINITY;
-    fleet.until(() => fleet.holderOf('job-1/0') !== id && fleet.holderOf('job-1/0') !== null);
-    fleet.until(() => fleet.drainPhase('out') === 'done');
+    fleet.runUntil(() => fleet.machineOf('job-1/0') !== id && fleet.machineOf('job-1/0') !== null);
+    fleet.runUntil(() => fleet.drainPhase('out') === 'done');
 
-    expect(fleet.status('out')).toMatchObject({ returned: 0, failed: 1 });
-    expect(fleet.problems).toEqual([]);
+    expect(fleet.drainStatus('out')).toMatchObject({ returned: 0, failed: 1 });
+    expect(fleet.violations).toEqual([]);
   });
 
   it('loses its work with its lease when nothing reaches it; the work runs elsewhere, and it leaves', () => {
     const { fleet, id } = startHalfDrained();
-    fleet.workers.machines.get(id)!.receivesNothing = true;
-    fleet.until(() => fleet.drainPhase('out') === 'done');
-    const { returned, failed } = fleet.status('out');
+    fleet.workers.machines.get(id)!.isInboundBlocked = true;
+    fleet.runUntil(() => fleet.drainPhase('out') === 'done');
+    const { returned, failed } = fleet.drainStatus('out');
     expect(returned + failed).toBe(1);
     expect(fleet.workers.machines.has(id)).toBe(false);
-    fleet.until(() => fleet.holderOf('job-1/0') !== null);
+    fleet.runUntil(() => fleet.machineOf('job-1/0') !== null);
 
-    expect(fleet.problems).toEqual([]);
+    expect(fleet.violations).toEqual([]);
   });
 
   it('counts as failed when it is lost before its step', () => {
-    const fleet = new DrainFleet(inZone(3));
-    fleet.submit('job-1', { cpus: 8, tasks: 3 });
+    const fleet = new DrainFleet(machinesInZone(3));
+    fleet.submitJob('job-1', { cpus: 8, tasks: 3 });
     fleet.run(3000);
 
-    fleet.start('out', { select: { all: true }, atOnce: 1 });
-    fleet.until(() => fleet.status('out').machines[0]?.state === 'cordoned');
-    const taken = fleet.status('out').machines[0]!.name;
+    fleet.startDrain('out', { select: { all: true }, atOnce: 1 });
+    fleet.runUntil(() => fleet.drainStatus('out').machines[0]?.state === 'cordoned');
+    const taken = fleet.drainStatus('out').machines[0]!.name;
     const waiting = ['n-0000', 'n-0001', 'n-0002'].find((id) => id !== taken)!;
     fleet.workers.machines.get(waiting)!.unreachableUntil = Number.POSITIVE_INFINITY;
-    fleet.until(
-      () => fleet.holderOf('job-1/0') !== waiting && !fleet.workers.machines.has(waiting),
+    fleet.runUntil(
+      () => fleet.machineOf('job-1/0') !== waiting && !fleet.workers.machines.has(waiting),
     );
-    fleet.workers.runMs.set('job-1', 0);
-    fleet.until(() => fleet.drainPhase('out') === 'done');
+    fleet.workers.runMsByJob.set('job-1', 0);
+    fleet.runUntil(() => fleet.drainPhase('out') === 'done');
 
-    expect(fleet.status('out')).toMatchObject({ returned: 2, failed: 1 });
+    expect(fleet.drainStatus('out')).toMatchObject({ returned: 2, failed: 1 });
   });
 
   it('goes on where it was when it comes back late', () => {
     const { fleet, id } = startHalfDrained();
     fleet.workers.machines.get(id)!.unreachableUntil = fleet.now + 5000;
-    fleet.workers.runMs.set('job-1', 40_000);
-    fleet.until(() => fleet.drainPhase('out') === 'done');
+    fleet.workers.runMsByJob.set('job-1', 40_000);
+    fleet.runUntil(() => fleet.drainPhase('out') === 'done');
 
-    expect(fleet.status('out')).toMatchObject({ returned: 1, failed: 0 });
+    expect(fleet.drainStatus('out')).toMatchObject({ returned: 1, failed: 0 });
     expect(fleet.store.completions.get('job-1')).toBe('done');
     expect(fleet.workers.starts).toHaveLength(1);
   });
 
   it('is left to its reclaim notice, and the work that it loses counts against the budget', () => {
-    const fleet = new DrainFleet(inZone(2), BUDGET_1);
-    fleet.submit('job-1', { cpus: 8 });
-    fleet.submit('job-2', { cpus: 8 });
+    const fleet = new DrainFleet(machinesInZone(2), BUDGET_1);
+    fleet.submitJob('job-1', { cpus: 8 });
+    fleet.submitJob('job-2', { cpus: 8 });
     fleet.run(3000);
     fleet.faults.refuseProvisioning = true;
-    const id = fleet.holderOf('job-1/0')!;
+    const id = fleet.machineOf('job-1/0')!;
 
-    fleet.start('out', { select: { machines: [id] }, replace: false });
+    fleet.startDrain('out', { select: { machines: [id] }, replace: false });
     fleet.run(2000);
     fleet.workers.machines.get(id)!.reclaimedAt = fleet.now + 10_000;
     fleet.run(2000);
-    expect(fleet.status('out').machines[0]?.blocked?.kind).toBe('being-lost');
-    expect(fleet.call('budgets').body.budgets).toMatchObject([
+    expect(fleet.drainStatus('out').machines[0]?.blocked?.kind).toBe('being-lost');
+    expect(fleet.callOperatorApi('budgets').body.budgets).toMatchObject([
       { scope: 'team blue', disrupted: 1 },
     ]);
     fleet.faults.refuseProvisioning = false;
-    fleet.until(() => fleet.drainPhase('out') === 'done');
+    fleet.runUntil(() => fleet.drainPhase('out') === 'done');
 
-    expect(fleet.status('out')).toMatchObject({ returned: 0, failed: 1 });
+    expect(fleet.drainStatus('out')).toMatchObject({ returned: 0, failed: 1 });
   });
 
   it('loses its work when it restarts, which counts until it runs again', () => {
     const { fleet, id } = startHalfDrained();
     fleet.workers.restart(id);
     fleet.run(6000);
-    fleet.until(() => fleet.drainPhase('out') === 'done');
-    expect(fleet.holderOf('job-1/0')).not.toBe(id);
+    fleet.runUntil(() => fleet.drainPhase('out') === 'done');
+    expect(fleet.machineOf('job-1/0')).not.toBe(id);
     fleet.run(2000);
 
-    expect(fleet.call('budgets').body.budgets).toMatchObject([{ disrupted: 0 }]);
-    expect(fleet.problems).toEqual([]);
+    expect(fleet.callOperatorApi('budgets').body.budgets).toMatchObject([{ disrupted: 0 }]);
+    expect(fleet.violations).toEqual([]);
   });
 });
--- a/packages/drain/test/support/drain-fleet.ts
+++ b/packages/drain/test/support/drain-fleet.ts
@@ -29,7 +29,7 @@
 /** Until the first leader has heard of every machine. */
 const START_UP_MS = 6000;
 /** How long an operator's call may take. */
-const MAX_CALL_STEPS = 80;
+const MAX_STEPS_PER_CALL = 80;
 
 /** The answer to an operator's call. */
 type Answer = { readonly status: number; readonly body: Record<string, unknown> };
@@ -65,7 +65,7 @@
 /** A fleet, its services and its present leader. */
 export class DrainFleet {
   /** What must never happen, and did. */
-  readonly problems: string[] = [];
+  readonly violations: string[] = [];
   readonly faults = noFaults();
   readonly store: ModelKeyValueStore;
   readonly workers: ModelWorkers;
@@ -73,39 +73,39 @@
   /** The present leader's state. */
   state: CoreState;
   /** A fault has ended the leader. */
-  hasLeaderEnded = false;
+  hasLeaderCrashed = false;
   private readonly clock: Clock = { now: 0 };
   private fencingToken = 10;
   private queue: Command[] = [];
   /** Answers of the cloud that have not arrived yet. */
-  private delayed: { readonly at: number; readonly command: Command }[] = [];
-  private unstored: { readonly batch: number; readonly ops: readonly StoreOperation[] } | null =
+  private pendingCloudReplies: { readonly at: number; readonly command: Command }[] = [];
+  private pendingBatch: { readonly batch: number; readonly ops: readonly StoreOperation[] } | null =
     null;
   private nextTicket = 1;
   /** Which worker waits for the reply under a ticket. */
   private readonly workerByTicket = new Map<number, string>();
-  private readonly answers = new Map<number, Answer>();
+  private readonly answersByTicket = new Map<number, Answer>();
 
   constructor(
     machines: readonly { zone?: string; spot?: boolean }[],
     private settings: string = '(drain (let-end-s 5))',
   ) {
-    const { clock, faults, problems } = this;
-    this.store = new ModelKeyValueStore(faults, problems);
+    const { clock, faults, violations } = this;
+    this.store = new ModelKeyValueStore(faults, violations);
     this.workers = new ModelWorkers({
       clock,
-      problems,
-      isLeaderUp: () => !this.hasLeaderEnded,
+      violations,
+      isLeaderUp: () => !this.hasLeaderCrashed,
       isJobUnfinished: (id) => this.store.isUnfinished(id),
       sendHeartbeat: (worker, heartbeat) => this.queueHeartbeat(worker, heartbeat),
     });
     this.cloud = new ModelCloud({
       clock,
       faults,
-      problems,
+      violations,
       workers: this.workers,
-      isKnownHealthy: (id) => this.isKnownHealthy(id),
-      reply: (command) => this.delayed.push({ at: clock.now + STEP_MS, command }),
+      isMachineHealthy: (id) => this.isMachineHealthy(id),
+      reply: (command) => this.pendingCloudReplies.push({ at: clock.now + STEP_MS, command }),
     });
     for (const { zone, spot } of machines) this.workers.add(zone ?? 'a', spot ?? false, 0);
     this.state = this.electLeader();
@@ -127,9 +127,9 @@
 
   private electLeader(withoutExtension = false): CoreState {
     this.fencingToken += 10;
-    this.hasLeaderEnded = false;
-    this.unstored = null;
-    this.delayed = [];
+    this.hasLeaderCrashed = false;
+    this.pendingBatch = null;
+    this.pendingCloudReplies = [];
     const state = core(
       {
         teams: new Map([team('blue', 20_000), team('green', 20_000)].map((t) => [t.name, t])),
@@ -171,38 +171,38 @@
   // ---- users and operators ----
 
   /** Submits a job; its tasks run for ever unless `workers.runMs` says otherwise. */
-  submit(id: string, change: JobChange = {}): void {
+  submitJob(id: string, change: JobChange = {}): void {
     const spec = job(id, { estimateS: 600, ...change });
     this.store.jobs.set(id, spec);
     this.queue.push({ kind: 'job', spec, submittedAt: this.now as Instant });
   }
 
   /** Cancels a job. */
-  cancel(id: string): void {
+  cancelJob(id: string): void {
     const ticket = this.nextTicket++ as ReplyTicket;
     this.queue.push({ kind: 'cancel-job', job: id as JobId, ticket });
   }
 
   /** An operator's call; plays on until it is answered. */
-  call(route: string, subject = '', body: object = {}): Answer {
+  callOperatorApi(route: string, subject = '', body: object = {}): Answer {
     const ticket = this.nextTicket++ as ReplyTicket;
     const call = { route, subject, body };
     this.queue.push({ kind: 'operator-call', extension: 'drain', call, ticket });
-    for (let step = 0; step < MAX_CALL_STEPS && !this.answers.has(ticket); step += 1)
+    for (let step = 0; step < MAX_STEPS_PER_CALL && !this.answersByTicket.has(ticket); step += 1)
       this.run(STEP_MS);
-    const answer = this.answers.get(ticket);
+    const answer = this.answersByTicket.get(ticket);
     if (!answer) throw new Error(`${route} was not answered`);
     return answer;
   }
 
   /** Starts a drain. */
-  start(name: string, body: object): Answer {
-    return this.call('start', '', { name, ...body });
+  startDrain(name: string, body: object): Answer {
+    return this.callOperatorApi('start', '', { name, ...body });
   }
 
   /** What an operator is told of a drain. */
-  status(name: string): DrainStatusAnswer {
-    return this.call('status', name).body as unknown as DrainStatusAnswer;
+  drainStatus(name: string): DrainStatusAnswer {
+    return this.callOperatorApi('status', name).body as unknown as DrainStatusAnswer;
   }
 
   // ---- what is seen ----
@@ -219,8 +219,8 @@
   }
 
   /** The machine on which a task runs; null: none. */
-  holderOf(task: string): string | null {
-    return this.workers.holderOf(task);
+  machineOf(task: string): string | null {
+    return this.workers.machineOf(task);
   }
 
   /** The tasks that run on a machine. */
@@ -228,7 +228,7 @@
     return this.workers.tasksOn(machine);
   }
 
-  private isKnownHealthy(id: MachineId): boolean {
+  private isMachineHealthy(id: MachineId): boolean {
     const known = this.state.machines.get(id);
     return known !== undefined && known.lostAt === null && known.hasReported;
   }
@@ -236,7 +236,7 @@
   // ---- the course of time ----
 
   /** Plays until the condition holds; fails when it does not come to that. */
-  until(condition: () => boolean, maxMs = 600_000): void {
+  runUntil(condition: () => boolean, maxMs = 600_000): void {
     for (const end = this.now + maxMs; !condition(); this.run(STEP_MS)) {
       if (this.now > end) throw new Error(`not within ${maxMs} ms: ${condition}`);
     }
@@ -247,7 +247,7 @@
     for (const end = this.now + ms; this.now < end; ) {
       this.clock.now += STEP_MS;
       this.workers.advance();
-      this.queueDelayed();
+      this.queueCloudReplies();
       this.queueMachineList();
       this.storeBatch();
       this.queue.push({ kind: 'tick' });
@@ -255,9 +255,9 @@
     }
   }
 
-  private queueDelayed(): void {
-    const due = this.delayed.filter(({ at }) => at <= this.now);
-    this.delayed = this.delayed.filter(({ at }) => at > this.now);
+  private queueCloudReplies(): void {
+    const due = this.pendingCloudReplies.filter(({ at }) => at <= this.now);
+    this.pendingCloudReplies = this.pendingCloudReplies.filter(({ at }) => at > this.now);
     this.queue.push(...due.map(({ command }) => command));
   }
 
@@ -274,22 +274,22 @@
   }
 
   private applyQueue(): void {
-    while (this.queue.length > 0 && !this.hasLeaderEnded) {
+    while (this.queue.length > 0 && !this.hasLeaderCrashed) {
       const commands = this.queue.splice(0);
       for (const effect of applyCommands(this.state, commands, this.now as Instant, 'lead')) {
-        if (!this.hasLeaderEnded) this.carryOut(effect);
+        if (!this.hasLeaderCrashed) this.executeEffect(effect);
       }
     }
-    if (this.hasLeaderEnded) this.queue = [];
+    if (this.hasLeaderCrashed) this.queue = [];
   }
 
-  private carryOut(effect: Effect): void {
+  private executeEffect(effect: Effect): void {
     switch (effect.kind) {
       case 'store-batch':
-        this.unstored = { batch: effect.batch, ops: effect.operations };
+        this.pendingBatch = { batch: effect.batch, ops: effect.operations };
         return this.storeBatch();
       case 'operator-answer':
-        this.answers.set(effect.ticket, effect.answer as Answer);
+        this.answersByTicket.set(effect.ticket, effect.answer as Answer);
         return;
       case 'provision':
         return this.cloud.provision(effect);
@@ -307,16 +307,16 @@
 
   /** Stores the batch that waits, unless the key-value store is away or a fault ends the leader. */
   private storeBatch(): void {
-    if (!this.unstored || this.faults.storeUnavailable || this.hasLeaderEnded) return;
-    const { batch, ops } = this.unstored;
-    this.unstored = null;
+    if (!this.pendingBatch || this.faults.storeUnavailable || this.hasLeaderCrashed) return;
+    const { batch, ops } = this.pendingBatch;
+    this.pendingBatch = null;
     if (this.store.storeAll(ops)) this.queue.push({ kind: 'batch-stored', batch });
-    else this.hasLeaderEnded = true;
+    else this.hasLeaderCrashed = true;
   }
 }
 
 /** Machines of one zone, for a new fleet. */
-export const inZone = (
+export const machinesInZone = (
   count: number,
   zone = 'a',
   spot = false,
--- a/packages/drain/test/support/faults.ts
+++ b/packages/drain/test/support/faults.ts
@@ -9,15 +9,15 @@
   cloudUnavailable: boolean;
   storeUnavailable: boolean;
   /** The answers to so many deletions are lost; they are carried out. */
-  loseDeletionAnswers: number;
+  deletionResponsesToLose: number;
   /** The answers to so many provision requests are lost; they are carried out. */
-  loseProvisionAnswers: number;
+  provisionResponsesToLose: number;
   /** The cloud fills requests up to this many machines. */
   maxMachinesPerRequest: number;
   /** The leader ends before it stores this change of a record, counted from 1; 0: never. */
-  endLeaderAtWrite: number;
+  crashLeaderAtWrite: number;
   /** It ends just after that change is stored instead. */
-  endLeaderAfterWrite: boolean;
+  crashLeaderAfterWrite: boolean;
 }
 
 /** No faults. */
@@ -26,11 +26,11 @@
   neverBoot: false,
   cloudUnavailable: false,
   storeUnavailable: false,
-  loseDeletionAnswers: 0,
-  loseProvisionAnswers: 0,
+  deletionResponsesToLose: 0,
+  provisionResponsesToLose: 0,
   maxMachinesPerRequest: Number.POSITIVE_INFINITY,
-  endLeaderAtWrite: 0,
-  endLeaderAfterWrite: false,
+  crashLeaderAtWrite: 0,
+  crashLeaderAfterWrite: false,
 });
 
 /** The steady clock that all parts of the model share, in milliseconds. */
--- a/packages/drain/test/support/history-checker.ts
+++ b/packages/drain/test/support/history-checker.ts
@@ -2,7 +2,7 @@
 import type { TaskEvent } from '../../../../test/stand-ins/worker.js';
 
 /** The most tasks of each team that were stopped at a time and did not run again yet. */
-export const mostStoppedAtOnce = (
+export const maxStoppedByTeam = (
   history: readonly TaskEvent[],
   teamOf: (task: string) => string,
 ): Map<string, number> => {
@@ -20,7 +20,7 @@
 };
 
 /** Tasks that ran on two machines at a time. */
-export const ranTwice = (history: readonly TaskEvent[]): string[] => {
+export const findConcurrentRuns = (history: readonly TaskEvent[]): string[] => {
   const runs = new Map<string, string>();
   const twice: string[] = [];
   for (const { kind, task, machine } of history) {
@@ -35,5 +35,5 @@
 };
 
 /** Tasks that were on a machine when it was returned. */
-export const lostWithMachines = (history: readonly TaskEvent[]): string[] =>
+export const tasksLostWithMachines = (history: readonly TaskEvent[]): string[] =>
   history.filter(({ kind }) => kind === 'lost').map(({ task }) => task);
--- a/packages/drain/test/support/model-cloud.ts
+++ b/packages/drain/test/support/model-cloud.ts
@@ -11,13 +11,13 @@
 type ProvisionEffect = Extract<Effect, { kind: 'provision' }>;
 
 /** What the cloud needs of the rest of the model. */
-export interface CloudSurroundings {
+export interface CloudContext {
   readonly clock: Clock;
   readonly faults: Faults;
-  readonly problems: string[];
+  readonly violations: string[];
   readonly workers: ModelWorkers;
   /** Whether the leader holds the machine for one that is up and heard of. */
-  isKnownHealthy(machine: MachineId): boolean;
+  isMachineHealthy(machine: MachineId): boolean;
   /** Hands an answer to the leader, one step later. */
   reply(command: Command): void;
 }
@@ -30,11 +30,11 @@
   /** What each request provisioned: a repeat provisions nothing new. */
   private readonly machinesByRequest = new Map<string, MachineId[]>();
 
-  constructor(private readonly surroundings: CloudSurroundings) {}
+  constructor(private readonly context: CloudContext) {}
 
   /** All machines; null while the cloud does not answer. */
   list(): Command | null {
-    const { clock, faults, workers } = this.surroundings;
+    const { clock, faults, workers } = this.context;
     if (faults.cloudUnavailable) return null;
     const machines = [...workers.machines.values()].map(({ id, zone, spot, bootedAt }) => ({
       id: id as MachineId,
@@ -50,23 +50,23 @@
 
   /** Provisions machines, or repeats the answer to a request that was carried out. */
   provision({ request, zone, spot, count }: ProvisionEffect): void {
-    const { faults } = this.surroundings;
+    const { faults } = this.context;
     const reply = (result: 'ok' | 'refused' | 'unknown', machines: readonly MachineId[]) =>
-      this.surroundings.reply({ kind: 'provision-result', request, result, machines });
+      this.context.reply({ kind: 'provision-result', request, result, machines });
     if (faults.cloudUnavailable) return reply('unknown', []);
     const known = this.machinesByRequest.get(request);
     if (!known && faults.refuseProvisioning) return reply('refused', []);
     const filled = Math.min(count, faults.maxMachinesPerRequest);
     const ids = known ?? this.addMachines(request, zone, spot, filled);
-    if (faults.loseProvisionAnswers > 0) {
-      faults.loseProvisionAnswers -= 1;
+    if (faults.provisionResponsesToLose > 0) {
+      faults.provisionResponsesToLose -= 1;
       return reply('unknown', []);
     }
     reply('ok', ids);
   }
 
   private addMachines(request: string, zone: string, spot: boolean, count: number): MachineId[] {
-    const { faults, workers } = this.surroundings;
+    const { faults, workers } = this.context;
     const bootMs = faults.neverBoot ? Number.POSITIVE_INFINITY : BOOT_MS;
     const ids = Array.from(
       { length: count },
@@ -79,17 +79,17 @@
 
   /** Deletes machines; one that is healthy and has work on it is a problem. */
   delete(ids: readonly MachineId[]): void {
-    const { faults, workers, problems } = this.surroundings;
+    const { faults, workers, violations } = this.context;
     const reply = (ok: boolean) =>
-      this.surroundings.reply({ kind: 'deletion-result', machines: ids, ok });
+      this.context.reply({ kind: 'deletion-result', machines: ids, ok });
     if (faults.cloudUnavailable) return reply(false);
     for (const id of ids) {
-      if (this.surroundings.isKnownHealthy(id) && workers.tasksOn(id).length > 0)
-        problems.push(`returned with work ${id}`);
+      if (this.context.isMachineHealthy(id) && workers.tasksOn(id).length > 0)
+        violations.push(`returned with work ${id}`);
       if (workers.machines.delete(id)) this.returned.push(id);
     }
-    if (faults.loseDeletionAnswers > 0) {
-      faults.loseDeletionAnswers -= 1;
+    if (faults.deletionResponsesToLose > 0) {
+      faults.deletionResponsesToLose -= 1;
       return reply(false);
     }
     reply(true);
--- a/packages/drain/test/support/model-key-value-store.ts
+++ b/packages/drain/test/support/model-key-value-store.ts
@@ -22,11 +22,11 @@
   /** The package's records, by the key under its prefix. */
   readonly records = new Map<string, unknown>();
   /** Changes of records that were stored, in order: their keys. */
-  readonly writes: string[] = [];
+  readonly recordWrites: string[] = [];
 
   constructor(
     private readonly faults: Faults,
-    private readonly problems: string[],
+    private readonly violations: string[],
   ) {}
 
   /** Whether the job is not over. */
@@ -57,16 +57,16 @@
   }
 
   private storeRecords({ writes }: RecordWrites): boolean {
-    const { endLeaderAtWrite, endLeaderAfterWrite } = this.faults;
-    const isLast = this.writes.length + 1 === endLeaderAtWrite;
-    if (isLast && !endLeaderAfterWrite) return false;
+    const { crashLeaderAtWrite, crashLeaderAfterWrite } = this.faults;
+    const isCrashWrite = this.recordWrites.length + 1 === crashLeaderAtWrite;
+    if (isCrashWrite && !crashLeaderAfterWrite) return false;
     for (const { key, value } of writes) {
       if (value === null) this.records.delete(key);
       else this.records.set(key, JSON.parse(JSON.stringify(value)));
       if (JSON.stringify(value).length > MAX_VALUE_BYTES)
-        this.problems.push(`record ${key} too large`);
+        this.violations.push(`record ${key} too large`);
     }
-    this.writes.push(writes.map(({ key }) => key).join('+'));
-    return !isLast;
+    this.recordWrites.push(writes.map(({ key }) => key).join('+'));
+    return !isCrashWrite;
   }
 }
--- a/packages/drain/test/support/model-workers.ts
+++ b/packages/drain/test/support/model-workers.ts
@@ -27,7 +27,7 @@
   /** Neither sends nor receives anything until then. */
   unreachableUntil: number;
   /** Its heartbeats arrive, but no reply and no command reaches it. */
-  receivesNothing: boolean;
+  isInboundBlocked: boolean;
   /** When the cloud reclaims it; null: it does not. */
   reclaimedAt: number | null;
   heartbeatDueAt: number;
@@ -45,32 +45,32 @@
 }
 
 /** What the workers need of the rest of the model. */
-export interface WorkerSurroundings {
+export interface WorkerContext {
   readonly clock: Clock;
-  readonly problems: string[];
+  readonly violations: string[];
   /** Whether a leader takes heartbeats. */
   isLeaderUp(): boolean;
   isJobUnfinished(job: JobId): boolean;
   sendHeartbeat(worker: ModelWorker, heartbeat: Heartbeat): void;
 }
 
-const isOnWorker = (held: ModelTask | undefined): boolean =>
-  held !== undefined && held.phase !== 'ended';
+const isActive = (current: ModelTask | undefined): boolean =>
+  current !== undefined && current.phase !== 'ended';
 
 /** All workers, and what has happened on them. */
 export class ModelWorkers {
   readonly machines = new Map<string, ModelWorker>();
   /** How long each task runs, by job; others run for ever. */
-  readonly runMs = new Map<string, number>();
+  readonly runMsByJob = new Map<string, number>();
   /** Tasks of unfinished jobs that were stopped by command, on machines without a notice. */
   readonly stops: ModelTaskEvent[] = [];
   readonly starts: ModelTaskEvent[] = [];
   private nextMachine = 0;
 
-  constructor(private readonly surroundings: WorkerSurroundings) {}
+  constructor(private readonly context: WorkerContext) {}
 
   private get now(): number {
-    return this.surroundings.clock.now;
+    return this.context.clock.now;
   }
 
   /** A new machine, named after those before it. */
@@ -86,7 +86,7 @@
       fencingToken: 0,
       agentEpoch: 1,
       unreachableUntil: 0,
-      receivesNothing: false,
+      isInboundBlocked: false,
       reclaimedAt: null,
       heartbeatDueAt: 0,
       leaseRenewedAt: this.now + bootMs,
@@ -97,15 +97,15 @@
   }
 
   /** The machine on which a task runs; null: none. */
-  holderOf(name: string): string | null {
-    for (const { id, tasks } of this.machines.values()) if (isOnWorker(tasks.get(name))) return id;
+  machineOf(name: string): string | null {
+    for (const { id, tasks } of this.machines.values()) if (isActive(tasks.get(name))) return id;
     return null;
   }
 
   /** The tasks that run on a machine. */
   tasksOn(id: string): string[] {
     const tasks = this.machines.get(id)?.tasks ?? new Map<string, ModelTask>();
-    return [...tasks.keys()].filter((name) => isOnWorker(tasks.get(name)));
+    return [...tasks.keys()].filter((name) => isActive(tasks.get(name)));
   }
 
   /** A restart within its lease: what ran on it is gone, and a new agent epoch begins. */
@@ -129,7 +129,7 @@
       this.machines.delete(worker.id);
       return;
     }
-    this.endTasks(worker);
+    this.endDueTasks(worker);
     if (this.now - worker.leaseRenewedAt > LEASE_MS) {
       this.restart(worker.id);
       worker.leaseRenewedAt = this.now;
@@ -138,14 +138,14 @@
     if (heartbeatSentAt !== null && this.now - heartbeatSentAt > REPLY_TIMEOUT_MS)
       worker.heartbeatSentAt = null;
     const isDue = this.now >= worker.heartbeatDueAt && worker.heartbeatSentAt === null;
-    if (isDue && this.surroundings.isLeaderUp()) this.sendHeartbeat(worker);
+    if (isDue && this.context.isLeaderUp()) this.sendHeartbeat(worker);
   }
 
-  private endTasks({ tasks }: ModelWorker): void {
-    for (const [name, held] of tasks) {
-      const runMs = this.runMs.get(held.job) ?? Number.POSITIVE_INFINITY;
-      if (held.phase !== 'ended' && this.now - held.startedAt >= runMs)
-        tasks.set(name, { ...held, phase: 'ended', cause: 'done' });
+  private endDueTasks({ tasks }: ModelWorker): void {
+    for (const [name, current] of tasks) {
+      const runMs = this.runMsByJob.get(current.job) ?? Number.POSITIVE_INFINITY;
+      if (current.phase !== 'ended' && this.now - current.startedAt >= runMs)
+        tasks.set(name, { ...current, phase: 'ended', cause: 'done' });
     }
   }
 
@@ -161,17 +161,17 @@
       agentEpoch: worker.agentEpoch,
       reclaimNoticeS: reclaimedAt === null ? null : (reclaimedAt - this.now) / 1000,
     });
-    this.surroundings.sendHeartbeat(worker, heartbeat);
+    this.context.sendHeartbeat(worker, heartbeat);
   }
 
-  private isReached(worker: ModelWorker | undefined): worker is ModelWorker {
-    return worker !== undefined && !worker.receivesNothing && this.now >= worker.unreachableUntil;
+  private isReachable(worker: ModelWorker | undefined): worker is ModelWorker {
+    return worker !== undefined && !worker.isInboundBlocked && this.now >= worker.unreachableUntil;
   }
 
   /** The reply to a heartbeat; `commands`: null when the leader does not know the worker yet. */
   receiveReply(id: string, fencingToken: number, commands: readonly WorkerCommand[] | null): void {
     const worker = this.machines.get(id);
-    if (!this.isReached(worker)) return;
+    if (!this.isReachable(worker)) return;
     const { heartbeatSentAt } = worker;
     worker.heartbeatSentAt = null;
     if (!commands) return;
@@ -183,22 +183,23 @@
   /** Commands that the leader sends beside replies, to one agent epoch. */
   receiveCommands(id: string, agentEpoch: number, commands: readonly WorkerCommand[]): void {
     const worker = this.machines.get(id);
-    if (this.isReached(worker) && agentEpoch === worker.agentEpoch) this.execute(worker, commands);
+    if (this.isReachable(worker) && agentEpoch === worker.agentEpoch)
+      this.execute(worker, commands);
   }
 
   private execute(worker: ModelWorker, commands: readonly WorkerCommand[]): void {
     for (const command of commands) {
       const name = `${command.job}/${command.index}`;
-      const held = worker.tasks.get(name);
+      const current = worker.tasks.get(name);
       switch (command.op) {
         case 'start':
-          if (held?.attempt !== command.attempt) this.startTask(worker, name, command);
+          if (current?.attempt !== command.attempt) this.startTask(worker, name, command);
           break;
         case 'kill':
-          if (held?.attempt === command.attempt) this.stopTask(worker, name, held);
+          if (current?.attempt === command.attempt) this.stopTask(worker, name, current);
           break;
         case 'reap':
-          if (held?.phase === 'ended') worker.tasks.delete(name);
+          if (current?.phase === 'ended') worker.tasks.delete(name);
           break;
       }
       if (command.op !== 'reap')
@@ -207,18 +208,18 @@
   }
 
   private startTask(worker: ModelWorker, name: string, command: WorkerCommand): void {
-    const holder = this.holderOf(name);
+    const holder = this.machineOf(name);
     if (holder !== null)
-      this.surroundings.problems.push(`ran twice ${name} on ${holder} and ${worker.id}`);
+      this.context.violations.push(`ran twice ${name} on ${holder} and ${worker.id}`);
     const status = task(command.job, command.index, command.attempt);
     worker.tasks.set(name, { ...status, startedAt: this.now });
     this.starts.push({ task: name, machine: worker.id, at: this.now });
   }
 
-  private stopTask(worker: ModelWorker, name: string, held: ModelTask): void {
-    if (held.phase === 'ended') return;
-    worker.tasks.set(name, { ...held, phase: 'ended', cause: 'stopped' });
-    if (worker.reclaimedAt === null && this.surroundings.isJobUnfinished(held.job))
+  private stopTask(worker: ModelWorker, name: string, current: ModelTask): void {
+    if (current.phase === 'ended') return;
+    worker.tasks.set(name, { ...current, phase: 'ended', cause: 'stopped' });
+    if (worker.reclaimedAt === null && this.context.isJobUnfinished(current.job))
       this.stops.push({ task: name, machine: worker.id, at: this.now });
   }
 }
--- a/packages/drain/test/support/plain-model.ts
+++ b/packages/drain/test/support/plain-model.ts
@@ -5,7 +5,7 @@
 import type { AttemptView, MachineView } from '@robinspread/extension-api';
 
 /** What a task needs to leave its machine, by the letter of the design note. */
-const exitOf = (
+const removalOf = (
   attempt: AttemptView,
   letEndS: number,
   now: number,
@@ -27,7 +27,7 @@
 const lastFinishMs = (machine: MachineView, letEndS: number, now: number): number => {
   let last = 0;
   for (const attempt of machine.placements.values()) {
-    if (attempt.phase === 'ended' || exitOf(attempt, letEndS, now) !== 'finishes') continue;
+    if (attempt.phase === 'ended' || removalOf(attempt, letEndS, now) !== 'finishes') continue;
     const ran = attempt.startedAt === null ? 0 : now - attempt.startedAt;
     last = Math.max(last, attempt.job!.spec.estimateS * 1000 - ran);
   }
@@ -44,7 +44,7 @@
   const ways = (m: MachineView) =>
     [...m.placements.values()]
       .filter((attempt) => attempt.phase !== 'ended')
-      .map((attempt) => exitOf(attempt, letEndS, now));
+      .map((attempt) => removalOf(attempt, letEndS, now));
   const rank = (m: MachineView) => {
     const all = ways(m);
     if (all.length === 0) return 0;
@@ -62,7 +62,7 @@
 };
 
 /** One disruption in the model's list; nothing is ever forgotten or summed up. */
-export interface PlainDisruption {
+export interface ReferenceDisruption {
   readonly team: string;
   readonly jobClass: string;
   readonly at: number;
@@ -70,7 +70,7 @@
 }
 
 /** The limits of one scope. */
-export interface PlainLimits {
+export interface ReferenceLimits {
   readonly count: number | null;
   readonly share: number | null;
   readonly window: { readonly seconds: number; readonly count: number } | null;
@@ -78,8 +78,8 @@
 
 /** Whether limits have room for one more, counted anew from the whole list. */
 export const hasRoom = (
-  limits: PlainLimits,
-  all: readonly PlainDisruption[],
+  limits: ReferenceLimits,
+  all: readonly ReferenceDisruption[],
   /** Tasks of the scope that are on machines. */
   onMachines: number,
   /** Of the open ones, those whose task is still on its machine. */
--- a/packages/drain/test/support/settings.ts
+++ b/packages/drain/test/support/settings.ts
@@ -12,6 +12,6 @@
 };
 
 /** Nothing is let end that could be stopped, so that budgets are in use all the time. */
-export const TIGHT = `
+export const TIGHT_BUDGETS = `
   (drain (let-end-s 0) (ready-timeout-s 30) (stalled-after-s 20)
     (budgets (team blue (at-once 2)) (team green (at-once 1) (within 60 3))))`;
--- a/test/pinned-commands.test.ts
+++ b/test/pinned-commands.test.ts
@@ -5,7 +5,7 @@
 import { readFileSync } from 'node:fs';
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { parseDrainSettings } from '../packages/drain/src/adapters/settings-parser.js';
-import { DrainFleet, inZone } from '../packages/drain/test/support/drain-fleet.js';
+import { DrainFleet, machinesInZone } from '../packages/drain/test/support/drain-fleet.js';
 import { DEFAULT_POLICY, parsePolicy } from '../src/adapters/configuration/policy.js';
 import { parseSettings } from '../src/adapters/configuration/settings.js';
 import { run } from '../src/cli/main.js';
@@ -173,28 +173,28 @@
 
 describe('answers of the drain API', () => {
   it('are in the pinned form', () => {
-    const fleet = new DrainFleet(inZone(3));
-    fleet.submit('job-1', {
+    const fleet = new DrainFleet(machinesInZone(3));
+    fleet.submitJob('job-1', {
       tasks: 4,
       estimateS: 1000,
       checkpointIntervalS: 10,
       checkpointWriteS: 1,
     });
     fleet.run(5000);
-    const { status, body } = fleet.start('swap', {
+    const { status, body } = fleet.startDrain('swap', {
       select: { all: true },
       atOnce: 2,
       deadlineS: 600,
     });
     pins.check('drain started', { status, body });
     fleet.run(3000);
-    pins.check('drain under way', fleet.status('swap'));
-    pins.check('drains listed', fleet.call('list', '').body);
-    pins.check('drain paused', fleet.call('pause', 'swap'));
-    pins.check('drain resumed', fleet.call('resume', 'swap'));
-    pins.check('drain repeated otherwise', fleet.start('swap', { select: { all: true } }));
-    pins.check('drain cancelled', fleet.call('cancel', 'swap'));
-    pins.check('drain resumed after', fleet.call('resume', 'swap'));
+    pins.check('drain under way', fleet.drainStatus('swap'));
+    pins.check('drains listed', fleet.callOperatorApi('list', '').body);
+    pins.check('drain paused', fleet.callOperatorApi('pause', 'swap'));
+    pins.check('drain resumed', fleet.callOperatorApi('resume', 'swap'));
+    pins.check('drain repeated otherwise', fleet.startDrain('swap', { select: { all: true } }));
+    pins.check('drain cancelled', fleet.callOperatorApi('cancel', 'swap'));
+    pins.check('drain resumed after', fleet.callOperatorApi('resume', 'swap'));
   });
 });
 
