--- a/packages/drain/measure/drain-load.ts
+++ b/packages/drain/measure/drain-load.ts
@@ -1,6 +1,6 @@
 /**
- * Drains a fleet of stand-in workers under load in different ways and reports what each costs. Not
- * part of the tests: see `scripts/measure-drain.mjs`. Usage: drain-load WAY MACHINES [SEED]
+ * Empties a fleet of stand-in workers under load by one of `STRATEGIES` and prints its cost as one
+ * line of JSON. Run by `scripts/measure-drain.mjs`. Usage: drain-load [WAY [MACHINES [SEED]]]
  */
 import { writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -15,100 +15,106 @@
   tasksLostWithMachines,
 } from '../test/support/history-checker.js';
 
-/** How the fleet is emptied: the budgets of the file, and the share of the machines in a step. */
-interface Way {
+/** How the fleet is emptied: budgets in the settings file and share of the machines per step. */
+interface Strategy {
   readonly budgets: string;
-  readonly share: number;
-  /** Without the daemon: the cloud takes all machines at once. */
-  readonly byCloud?: boolean;
+  readonly atOnceShare: number;
+  /** The cloud deletes all machines at once, without a drain. */
+  readonly deletedByCloud?: boolean;
 }
 
-const WAYS: Readonly<Record<string, Way>> = {
+const STRATEGIES: Readonly<Record<string, Strategy>> = {
   budgets: {
     budgets: '(budgets (team blue (at-once-share 0.1)) (team green (at-once 4)))',
-    share: 0.1,
+    atOnceShare: 0.1,
   },
-  'no-budgets': { budgets: '(budgets)', share: 0.1 },
-  'all-at-once': { budgets: '(budgets)', share: 1 },
-  'taken-at-once': { budgets: '(budgets)', share: 1, byCloud: true },
+  'no-budgets': { budgets: '(budgets)', atOnceShare: 0.1 },
+  'all-at-once': { budgets: '(budgets)', atOnceShare: 1 },
+  'taken-at-once': { budgets: '(budgets)', atOnceShare: 1, deletedByCloud: true },
 };
 
 const CPUS_PER_MACHINE = 8;
-/** Shares of the fleet's processors that long tasks and replicas use. */
+/** Share of the fleet's processors that long tasks use. */
 const LONG_TASK_SHARE = 0.5;
+/** Share of the fleet's processors that service replicas use. */
 const REPLICA_SHARE = 0.05;
-/** Longer than any drain that is measured. */
+/** Longer than any measured drain. */
 const LONG_TASK_MS = 1_200_000;
 const SHORT_JOBS_PER_S = 4;
 const WARM_UP_MS = 5000;
-/** For the last stops and starts to be in the history. */
+/** Wait before the evaluation, so that the history has the last stops and starts. */
 const SETTLE_MS = 3000;
 const HEARTBEAT_MS = 1000;
 
 const BLUE = 'blue';
 const GREEN = 'green';
-const jobIdOf = (n: number): string => `job-${String(n).padStart(6, '0')}`;
+const jobIdFor = (n: number): string => `job-${String(n).padStart(6, '0')}`;
 
-const jobOf = (task: string): string => task.split('/')[0] ?? '';
+const jobIdOfTask = (task: string): string => task.split('/')[0] ?? '';
 const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
 type Fleet = Awaited<ReturnType<typeof startProcesses>>;
 
-/** The jobs that a measurement submits, and what the stand-in workers make of them. */
-class Load {
-  /** When each job was submitted. */
+/** Submits the jobs of a measurement and sets how long the stand-in workers run their tasks. */
+class LoadGenerator {
+  /** Submission times by job ID, in ms since the epoch. */
   readonly submittedAt = new Map<string, number>();
   private readonly teamByJob = new Map<string, string>();
-  /** How long each job's tasks run; null: for ever. */
+  /** Run time of each job's tasks in ms; null: they never end. */
   private readonly runMsByJob = new Map<string, number | null>();
-  private next = 0;
-  private isOn = true;
+  private nextJobNumber = 0;
+  private isSubmitting = true;
 
   constructor(private readonly fleet: Fleet) {
-    fleet.cloud.runMsOf = (task) => this.runMsByJob.get(jobOf(task)) ?? null;
-    fleet.cloud.writesCheckpoints = (task) => this.runMsByJob.get(jobOf(task)) === LONG_TASK_MS;
+    fleet.cloud.runMsOf = (task) => this.runMsByJob.get(jobIdOfTask(task)) ?? null;
+    fleet.cloud.writesCheckpoints = (task) =>
+      this.runMsByJob.get(jobIdOfTask(task)) === LONG_TASK_MS;
   }
 
-  teamOf(task: string): string {
-    return this.teamByJob.get(jobOf(task)) ?? '';
+  teamOfTask(task: string): string {
+    return this.teamByJob.get(jobIdOfTask(task)) ?? '';
   }
 
-  runningTasks(): number {
+  countRunningTasks(): number {
     const workers = [...this.fleet.cloud.workers.values()];
     return workers.reduce((sum, worker) => sum + worker.running().length, 0);
   }
 
-  /** Submits a job to the controllers in turn, until one takes it. */
+  /** Submits a job to the next controller in turn, and retries until it is accepted. */
   async submit(runMs: number | null, fields: Record<string, unknown>): Promise<void> {
     const { processes } = this.fleet;
-    const id = jobIdOf(this.next++);
+    const id = jobIdFor(this.nextJobNumber++);
     this.runMsByJob.set(id, runMs);
     this.teamByJob.set(id, String(fields.Crew));
     this.submittedAt.set(id, Date.now());
-    const controller = processes[this.next % processes.length];
-    if (!controller) throw new Error('no controller');
+    const controller = processes[this.nextJobNumber % processes.length];
+    if (!controller) throw new Error('no controller process was started');
     await until(async () => {
       const reply = await post(controller.api, '/api/jobs', body(id, fields));
       return [200, 201].includes(reply?.status ?? 0);
     });
   }
 
-  /** Submits short jobs until it is ended. */
+  /** Submits short jobs until `stop` is called. */
   async keepSubmitting(nextRunMs: () => number, nextGapS: () => number): Promise<void> {
-    while (this.isOn) {
+    while (this.isSubmitting) {
       await this.submit(nextRunMs(), { Crew: BLUE, Pieces: 2, Cpus: 1, GuessS: 2 });
       await sleep(nextGapS() * 1000);
     }
   }
 
-  end(): void {
-    this.isOn = false;
+  stop(): void {
+    this.isSubmitting = false;
   }
 }
 
-const startFleet = async (directory: string, way: Way, machines: number): Promise<Fleet> => {
+const startFleet = async (
+  directory: string,
+  strategy: Strategy,
+  machines: number,
+): Promise<Fleet> => {
   const file = join(directory, 'drain.scm');
-  await writeFile(file, `(drain (let-end-s 5) ${way.budgets})`);
+  await writeFile(file, `(drain (let-end-s 5) ${strategy.budgets})`);
   const cpus = machines * CPUS_PER_MACHINE;
   const fleet = await startProcesses(directory, 3, machines * 4, ['--enable', file], {
     workers: { report_s: 2, lease_s: 16, cancel_s: 40 },
@@ -122,8 +128,8 @@
   return fleet;
 };
 
-/** Submits the replicas and the long tasks; returns how many there are of both. */
-const submitLongWork = async (load: Load, cpus: number): Promise<number> => {
+/** Submits the replicas and the long tasks; returns their total number. */
+const submitLongRunningWork = async (load: LoadGenerator, cpus: number): Promise<number> => {
   const replicas = Math.round(cpus * REPLICA_SHARE);
   const longTasks = Math.round((cpus * LONG_TASK_SHARE) / 2);
   const service = { Crew: GREEN, Shape: 'daemon', Rank: 'standard', Pieces: replicas, Cpus: 1 };
@@ -139,31 +145,31 @@
   return replicas + longTasks;
 };
 
-/** Has the fleet emptied: by a drain, or by the cloud at once. */
+/** Starts a drain of all machines, or has the cloud delete them at once. */
 const emptyFleet = async (
   { cloudAt, processes }: Fleet,
-  way: Way,
+  strategy: Strategy,
   machines: readonly string[],
 ): Promise<void> => {
-  if (way.byCloud) {
+  if (strategy.deletedByCloud) {
     await post(cloudAt, '/machines/delete', { Berths: machines });
     return;
   }
   const controller = processes[0];
-  if (!controller) throw new Error('no controller');
-  const request = { name: 'whole', select: { all: true }, atOnceShare: way.share };
+  if (!controller) throw new Error('no controller process was started');
+  const request = { name: 'whole', select: { all: true }, atOnceShare: strategy.atOnceShare };
   const reply = await until(async () => {
     const answer = await post(controller.api, '/api/drains', request);
     return answer && answer.status !== 503 ? answer : null;
   });
-  if (reply.status !== 201) throw new Error(`refused: ${JSON.stringify(reply.body)}`);
+  if (reply.status !== 201) throw new Error(`the drain was refused: ${JSON.stringify(reply.body)}`);
 };
 
-/** How long the jobs that were submitted from a moment on waited for their first start. */
-const startDelays = ({ cloud }: Fleet, load: Load, from: number) => {
+/** Delays in ms from submission to first start, of short jobs submitted since `sinceMs`. */
+const measureStartDelays = ({ cloud }: Fleet, load: LoadGenerator, sinceMs: number) => {
   const delays = buildHistogram({ lowestDiscernibleValue: 1, highestTrackableValue: 3_600_000 });
   for (const [id, submittedAt] of load.submittedAt) {
-    if (submittedAt < from || id < jobIdOf(2)) continue;
+    if (submittedAt < sinceMs || id < jobIdFor(2)) continue;
     const started = cloud.history.find(
       ({ kind, task }) => kind === 'start' && task.startsWith(`${id}/`),
     );
@@ -172,39 +178,40 @@
   return delays;
 };
 
-const run = async (name: string, machines: number, seed: number): Promise<object> => {
-  const way = WAYS[name];
-  if (!way) throw new Error(`unknown way ${name}; known: ${Object.keys(WAYS).join(', ')}`);
+const measure = async (name: string, machines: number, seed: number): Promise<object> => {
+  const strategy = STRATEGIES[name];
+  if (!strategy)
+    throw new Error(`unknown way ${name}; known: ${Object.keys(STRATEGIES).join(', ')}`);
   const source = randomLcg(seed);
   const nextGapS = randomExponential.source(source)(SHORT_JOBS_PER_S);
   const nextRunMs = randomLogNormal.source(source)(Math.log(1500), 0.5);
   const { directory, remove } = await buildProgram();
-  const fleet = await startFleet(directory, way, machines);
+  const fleet = await startFleet(directory, strategy, machines);
   const { cloud } = fleet;
-  const load = new Load(fleet);
-  const longWork = await submitLongWork(load, machines * CPUS_PER_MACHINE);
-  await until(() => load.runningTasks() >= longWork);
+  const load = new LoadGenerator(fleet);
+  const longRunningTasks = await submitLongRunningWork(load, machines * CPUS_PER_MACHINE);
+  await until(() => load.countRunningTasks() >= longRunningTasks);
   const arrivals = load.keepSubmitting(nextRunMs, nextGapS);
   await sleep(WARM_UP_MS);
-  const before = [...cloud.workers.keys()];
-  const from = Date.now();
-  await emptyFleet(fleet, way, before);
-  await until(() => before.every((machine) => !cloud.workers.has(machine)));
-  await until(() => load.runningTasks() >= longWork);
-  const tookS = (Date.now() - from) / 1000;
-  load.end();
+  const initialMachines = [...cloud.workers.keys()];
+  const drainStartedAt = Date.now();
+  await emptyFleet(fleet, strategy, initialMachines);
+  await until(() => initialMachines.every((machine) => !cloud.workers.has(machine)));
+  await until(() => load.countRunningTasks() >= longRunningTasks);
+  const drainDurationS = (Date.now() - drainStartedAt) / 1000;
+  load.stop();
   await arrivals;
   await sleep(SETTLE_MS);
-  const delays = startDelays(fleet, load, from);
-  const most = maxStoppedByTeam(cloud.history, (task) => load.teamOf(task));
+  const delays = measureStartDelays(fleet, load, drainStartedAt);
+  const maxStopped = maxStoppedByTeam(cloud.history, (task) => load.teamOfTask(task));
   const result = {
     way: name,
-    machines: before.length,
+    machines: initialMachines.length,
     seed,
-    drainedInS: Math.round(tookS),
+    drainedInS: Math.round(drainDurationS),
     redoneTaskS: Math.round(cloud.redoneMs / 1000),
     stops: cloud.history.filter(({ kind }) => kind === 'stop').length,
-    mostStoppedAtOnce: Object.fromEntries(most),
+    mostStoppedAtOnce: Object.fromEntries(maxStopped),
     lostTasks: tasksLostWithMachines(cloud.history).length,
     ranTwice: findConcurrentRuns(cloud.history).length,
     otherJobs: delays.totalCount,
@@ -221,5 +228,5 @@
 };
 
 const [way = 'budgets', machines = '100', seed = '1'] = process.argv.slice(2);
-process.stdout.write(`${JSON.stringify(await run(way, Number(machines), Number(seed)))}\n`);
+process.stdout.write(`${JSON.stringify(await measure(way, Number(machines), Number(seed)))}\n`);
 process.exit(0);
