--- a/packages/drain/test/plain-model.test.ts
+++ b/packages/drain/test/plain-model.test.ts
@@ -1,4 +1,4 @@
-/** The order of candidates and the budget ledger against plain models, on drawn inputs. */
+/** Compares the drain order and the budget ledger with reference models, on random inputs. */
 import type {
   AttemptId,
   AttemptView,
@@ -28,7 +28,7 @@
 const LET_END_S = 30;
 const moment = (now: number): Moment => ({ now: now as Instant, wallClockMs: now });
 
-/** What the planner reads of an attempt; typed, so that a renamed field does not go unnoticed. */
+/** The attempt fields that the planner reads; typed, so that a renamed field fails to compile. */
 type DrawnAttempt = Pick<AttemptView, 'phase' | 'startedAt' | 'stopRequest' | 'isSuperseded'> & {
   readonly job:
     | (Pick<JobView, 'terminalState'> & {
@@ -37,7 +37,7 @@
     | null;
 };
 
-const attempt: fc.Arbitrary<DrawnAttempt> = fc.record({
+const drawnAttempt: fc.Arbitrary<DrawnAttempt> = fc.record({
   phase: fc.constantFrom<AttemptView['phase'][]>(
     'dispatched',
     'fetching',
@@ -61,7 +61,7 @@
   ),
 });
 
-/** What the planner reads of a machine. */
+/** A machine with only the fields that the planner reads. */
 const machineOf = (attempts: readonly DrawnAttempt[], i: number): MachineView => {
   const view: Pick<MachineView, 'id' | 'placements'> = {
     id: `n-${i}` as MachineId,
@@ -70,17 +70,19 @@
   return view as MachineView;
 };
 
-const machines = fc
-  .array(fc.array(attempt, { maxLength: 4 }), { minLength: 1, maxLength: 8 })
+const drawnMachines = fc
+  .array(fc.array(drawnAttempt, { maxLength: 4 }), { minLength: 1, maxLength: 8 })
   .map((all) => all.map(machineOf));
 
 describe('rankCandidates', () => {
-  it('orders machines as the plain model does', () => {
+  it('orders machines as the reference model does', () => {
     fc.assert(
-      fc.property(machines, (drawn) => {
+      fc.property(drawnMachines, (machines) => {
         const now = 100_000;
-        const order = rankCandidates(drawn, LET_END_S, moment(now)).map(({ machine }) => machine);
-        expect(order).toHaveLength(drawn.length);
+        const order = rankCandidates(machines, LET_END_S, moment(now)).map(
+          ({ machine }) => machine,
+        );
+        expect(order).toHaveLength(machines.length);
         for (let i = 1; i < order.length; i += 1) {
           expect(isDrainedBefore(order[i - 1]!, order[i]!, LET_END_S, now)).toBe(true);
         }
@@ -90,48 +92,48 @@
   });
 });
 
-/** A team's tasks: on a machine, stopped, or running again; enough of a fleet for the ledger. */
-class Tasks {
+/** A fleet with one job, whose tasks run or are stopped; it has only what the ledger reads. */
+class TaskFleet {
   readonly jobs = new Map<JobId, JobView>();
-  private readonly held = new Map<TaskIndex, AttemptView[]>();
-  private attempts = 0;
+  private readonly attemptsByTask = new Map<TaskIndex, AttemptView[]>();
+  private lastAttempt = 0;
 
   constructor(count: number) {
     const spec = job('job-1', { tasks: count, jobClass: 'settle' });
     const view: JobView = {
       spec,
       pendingTasks: 0,
-      attemptsByTask: this.held,
+      attemptsByTask: this.attemptsByTask,
       terminalState: 'none',
     };
     this.jobs.set('job-1' as JobId, view);
-    for (let i = 0; i < count; i += 1) this.run(i);
+    for (let i = 0; i < count; i += 1) this.runTask(i);
   }
 
-  /** The task runs, under a new attempt. */
-  run(index: number): void {
-    this.attempts += 1;
+  /** Starts a new attempt of the task. */
+  runTask(index: number): void {
+    this.lastAttempt += 1;
     const view: Omit<AttemptView, 'machine'> = {
-      entry: ledgerEntry(index, this.attempts),
+      entry: ledgerEntry(index, this.lastAttempt),
       job: this.jobs.get('job-1' as JobId) ?? null,
       phase: 'running',
       startedAt: null,
       stopRequest: null,
       isSuperseded: false,
     };
-    this.held.set(index as TaskIndex, [view as AttemptView]);
+    this.attemptsByTask.set(index as TaskIndex, [view as AttemptView]);
   }
 
-  stop(index: number): void {
-    this.held.delete(index as TaskIndex);
+  stopTask(index: number): void {
+    this.attemptsByTask.delete(index as TaskIndex);
   }
 
   attemptOf(index: number): AttemptView | null {
-    return this.held.get(index as TaskIndex)?.[0] ?? null;
+    return this.attemptsByTask.get(index as TaskIndex)?.[0] ?? null;
   }
 
-  get onMachines(): number {
-    return this.held.size;
+  get tasksOnMachines(): number {
+    return this.attemptsByTask.size;
   }
 
   get fleet(): FleetView {
@@ -144,15 +146,15 @@
   }
 }
 
-const TASKS = 12;
-const action = fc.oneof(
+const TASK_COUNT = 12;
+const drawnAction = fc.oneof(
   fc.record({
     kind: fc.constantFrom('disrupt', 'resume', 'lose'),
-    index: fc.integer({ min: 0, max: TASKS - 1 }),
+    index: fc.integer({ min: 0, max: TASK_COUNT - 1 }),
   }),
   fc.record({ kind: fc.constant('wait'), index: fc.integer({ min: 100, max: 40_000 }) }),
 );
-const limits = fc.record({
+const drawnLimits = fc.record({
   count: fc.option(fc.integer({ min: 0, max: 6 })),
   share: fc.option(fc.constantFrom(0.1, 0.25, 0.5, 0.75, 1)),
   window: fc.option(
@@ -160,7 +162,7 @@
   ),
 });
 
-const written = (l: ReferenceLimits): string =>
+const limitsText = (l: ReferenceLimits): string =>
   [
     l.count === null ? '' : `(at-once ${l.count})`,
     l.share === null ? '' : `(at-once-share ${l.share})`,
@@ -168,49 +170,53 @@
   ].join(' ');
 
 describe('BudgetLedger', () => {
-  it('grants what the plain model has room for, and nothing else, over drawn histories', () => {
+  it('grants a disruption exactly when the reference model has room, in random histories', () => {
     let granted = 0;
     let refused = 0;
     fc.assert(
       fc.property(
-        limits,
-        limits,
-        fc.array(action, { minLength: 10, maxLength: 60, size: 'max' }),
+        drawnLimits,
+        drawnLimits,
+        fc.array(drawnAction, { minLength: 10, maxLength: 60, size: 'max' }),
         (team, jobClass, actions) => {
-          const file = `(drain (budgets (team blue ${written(team)} (class settle ${written(jobClass)} ))))`;
-          const inner =
-            written(jobClass).trim() === '' ? file.replace(/\(class.*\)\)\)\)$/, ')))') : file;
-          const ledger = new BudgetLedger(settingsOf(inner));
-          const tasks = new Tasks(TASKS);
-          const list: (ReferenceDisruption & { index: number })[] = [];
+          const settingsText = `(drain (budgets (team blue ${limitsText(team)} (class settle ${limitsText(jobClass)} ))))`;
+          const text =
+            limitsText(jobClass).trim() === ''
+              ? settingsText.replace(/\(class.*\)\)\)\)$/, ')))')
+              : settingsText;
+          const ledger = new BudgetLedger(settingsOf(text));
+          const fleet = new TaskFleet(TASK_COUNT);
+          const disruptions: (ReferenceDisruption & { index: number })[] = [];
           let now = 1_000_000;
           for (const { kind, index } of actions) {
             if (kind === 'wait') now += index;
-            ledger.update(tasks.fleet, moment(now));
-            const on = tasks.attemptOf(index);
-            const openHere = list.find((d) => d.open && d.index === index);
-            if (kind === 'resume' && openHere && !on) {
-              tasks.run(index);
-              openHere.open = false;
-            } else if (kind === 'lose' && on) {
-              ledger.recordInvoluntary(on, moment(now));
-              tasks.stop(index);
-              list.push({ team: 'blue', jobClass: 'settle', at: now, open: true, index });
-            } else if (kind === 'disrupt' && on) {
-              const room = [team, jobClass].every((l) =>
-                hasRoom(l, list, tasks.onMachines, 0, now),
+            ledger.update(fleet.fleet, moment(now));
+            const attempt = fleet.attemptOf(index);
+            const openDisruption = disruptions.find((d) => d.open && d.index === index);
+            if (kind === 'resume' && openDisruption && !attempt) {
+              fleet.runTask(index);
+              openDisruption.open = false;
+            } else if (kind === 'lose' && attempt) {
+              ledger.recordInvoluntary(attempt, moment(now));
+              fleet.stopTask(index);
+              disruptions.push({ team: 'blue', jobClass: 'settle', at: now, open: true, index });
+            } else if (kind === 'disrupt' && attempt) {
+              const hasReferenceRoom = [team, jobClass].every((l) =>
+                hasRoom(l, disruptions, fleet.tasksOnMachines, 0, now),
               );
-              const result = ledger.requestDisruption(on, tasks.fleet, moment(now));
-              const isGrant = result !== null && 'phase' in result;
-              expect(isGrant, JSON.stringify({ team, jobClass, list, result, now })).toBe(room);
-              if (isGrant) granted += 1;
+              const result = ledger.requestDisruption(attempt, fleet.fleet, moment(now));
+              const isGranted = result !== null && 'phase' in result;
+              expect(isGranted, JSON.stringify({ team, jobClass, disruptions, result, now })).toBe(
+                hasReferenceRoom,
+              );
+              if (isGranted) granted += 1;
               else refused += 1;
-              if (!isGrant) continue;
+              if (!isGranted) continue;
               ledger.grant(result, moment(now));
-              tasks.stop(index);
-              list.push({ team: 'blue', jobClass: 'settle', at: now, open: true, index });
+              fleet.stopTask(index);
+              disruptions.push({ team: 'blue', jobClass: 'settle', at: now, open: true, index });
             }
-            ledger.update(tasks.fleet, moment(now));
+            ledger.update(fleet.fleet, moment(now));
           }
         },
       ),
--- a/packages/drain/test/support/plain-model.ts
+++ b/packages/drain/test/support/plain-model.ts
@@ -1,10 +1,10 @@
 /**
- * Plain models of the order of candidates and of the budgets: slow, written down directly from the
- * design note, for comparison with the real ones.
+ * Reference models of the drain order and of the budgets, for comparison with the real ones. They
+ * follow the text of the design note directly, without regard to speed.
  */
 import type { AttemptView, MachineView } from '@robinspread/extension-api';
 
-/** What a task needs to leave its machine, by the letter of the design note. */
+/** How a task is removed from its machine, according to the design note. */
 const removalOf = (
   attempt: AttemptView,
   letEndS: number,
@@ -19,49 +19,50 @@
   )
     return 'stopping';
   if (job.spec.shape === 'service') return 'moves';
-  const ran = attempt.startedAt === null ? 0 : now - attempt.startedAt;
-  const left = Math.max(0, job.spec.estimateS * 1000 - ran);
-  return job.spec.checkpointIntervalS > 0 && left > letEndS * 1000 ? 'checkpoints' : 'finishes';
+  const ranMs = attempt.startedAt === null ? 0 : now - attempt.startedAt;
+  const remainingMs = Math.max(0, job.spec.estimateS * 1000 - ranMs);
+  return job.spec.checkpointIntervalS > 0 && remainingMs > letEndS * 1000
+    ? 'checkpoints'
+    : 'finishes';
 };
 
-const lastFinishMs = (machine: MachineView, letEndS: number, now: number): number => {
-  let last = 0;
+const finishesInMs = (machine: MachineView, letEndS: number, now: number): number => {
+  let lastMs = 0;
   for (const attempt of machine.placements.values()) {
     if (attempt.phase === 'ended' || removalOf(attempt, letEndS, now) !== 'finishes') continue;
-    const ran = attempt.startedAt === null ? 0 : now - attempt.startedAt;
-    last = Math.max(last, attempt.job!.spec.estimateS * 1000 - ran);
+    const ranMs = attempt.startedAt === null ? 0 : now - attempt.startedAt;
+    lastMs = Math.max(lastMs, attempt.job!.spec.estimateS * 1000 - ranMs);
   }
-  return Math.max(0, last);
+  return Math.max(0, lastMs);
 };
 
-/** True when the first machine is to be taken before the second. */
+/** Whether machine `one` is drained before machine `other`. */
 export const isDrainedBefore = (
   one: MachineView,
   other: MachineView,
   letEndS: number,
   now: number,
 ): boolean => {
-  const ways = (m: MachineView) =>
+  const removalsOf = (m: MachineView) =>
     [...m.placements.values()]
       .filter((attempt) => attempt.phase !== 'ended')
       .map((attempt) => removalOf(attempt, letEndS, now));
   const rank = (m: MachineView) => {
-    const all = ways(m);
-    if (all.length === 0) return 0;
-    return all.every((way) => way === 'checkpoints' || way === 'stopping') ? 1 : 2;
+    const removals = removalsOf(m);
+    if (removals.length === 0) return 0;
+    return removals.every((removal) => removal === 'checkpoints' || removal === 'stopping') ? 1 : 2;
   };
   if (rank(one) !== rank(other)) return rank(one) < rank(other);
-  const ends = [lastFinishMs(one, letEndS, now), lastFinishMs(other, letEndS, now)] as const;
-  if (ends[0] !== ends[1]) return ends[0] < ends[1];
-  const moves = [one, other].map((m) => ways(m).filter((way) => way === 'moves').length) as [
-    number,
-    number,
-  ];
-  if (moves[0] !== moves[1]) return moves[0] < moves[1];
+  const finishTimes = [finishesInMs(one, letEndS, now), finishesInMs(other, letEndS, now)] as const;
+  if (finishTimes[0] !== finishTimes[1]) return finishTimes[0] < finishTimes[1];
+  const moveCounts = [one, other].map(
+    (m) => removalsOf(m).filter((removal) => removal === 'moves').length,
+  ) as [number, number];
+  if (moveCounts[0] !== moveCounts[1]) return moveCounts[0] < moveCounts[1];
   return one.id < other.id;
 };
 
-/** One disruption in the model's list; nothing is ever forgotten or summed up. */
+/** A disruption in the model's list, which keeps every disruption and no totals. */
 export interface ReferenceDisruption {
   readonly team: string;
   readonly jobClass: string;
@@ -69,30 +70,30 @@
   open: boolean;
 }
 
-/** The limits of one scope. */
+/** The limits of one budget scope. */
 export interface ReferenceLimits {
   readonly count: number | null;
   readonly share: number | null;
   readonly window: { readonly seconds: number; readonly count: number } | null;
 }
 
-/** Whether limits have room for one more, counted anew from the whole list. */
+/** Whether the limits have room for one more disruption, counted from the whole list. */
 export const hasRoom = (
   limits: ReferenceLimits,
-  all: readonly ReferenceDisruption[],
-  /** Tasks of the scope that are on machines. */
-  onMachines: number,
-  /** Of the open ones, those whose task is still on its machine. */
-  openOnMachines: number,
+  disruptions: readonly ReferenceDisruption[],
+  /** Number of the scope's tasks that are on machines. */
+  tasksOnMachines: number,
+  /** Number of open disruptions whose task is still on its machine. */
+  openTasksOnMachines: number,
   now: number,
 ): boolean => {
-  const open = all.filter((d) => d.open).length;
+  const open = disruptions.filter((d) => d.open).length;
   if (limits.count !== null && open >= limits.count) return false;
   if (limits.share !== null) {
-    const tasks = onMachines + open - openOnMachines;
+    const tasks = tasksOnMachines + open - openTasksOnMachines;
     if (open >= Math.floor(limits.share * tasks)) return false;
   }
   if (!limits.window) return true;
   const from = now - limits.window.seconds * 1000;
-  return all.filter((d) => d.open || d.at >= from).length < limits.window.count;
+  return disruptions.filter((d) => d.open || d.at >= from).length < limits.window.count;
 };
