--- a/packages/drain/test/plain-model.test.ts
+++ b/packages/drain/test/plain-model.test.ts
@@ -136,7 +136,7 @@
     return this.attemptsByTask.size;
   }
 
-  get fleet(): FleetView {
+  get view(): FleetView {
     const fleet: Pick<FleetView, 'jobs' | 'isTaskDone' | 'teams'> = {
       jobs: this.jobs,
       isTaskDone: () => false,
@@ -190,7 +190,7 @@
           let now = 1_000_000;
           for (const { kind, index } of actions) {
             if (kind === 'wait') now += index;
-            ledger.update(fleet.fleet, moment(now));
+            ledger.update(fleet.view, moment(now));
             const attempt = fleet.attemptOf(index);
             const openDisruption = disruptions.find((d) => d.open && d.index === index);
             if (kind === 'resume' && openDisruption && !attempt) {
@@ -204,7 +204,7 @@
               const hasReferenceRoom = [team, jobClass].every((l) =>
                 hasRoom(l, disruptions, fleet.tasksOnMachines, 0, now),
               );
-              const result = ledger.requestDisruption(attempt, fleet.fleet, moment(now));
+              const result = ledger.requestDisruption(attempt, fleet.view, moment(now));
               const isGranted = result !== null && 'phase' in result;
               expect(isGranted, JSON.stringify({ team, jobClass, disruptions, result, now })).toBe(
                 hasReferenceRoom,
@@ -216,7 +216,7 @@
               fleet.stopTask(index);
               disruptions.push({ team: 'blue', jobClass: 'settle', at: now, open: true, index });
             }
-            ledger.update(fleet.fleet, moment(now));
+            ledger.update(fleet.view, moment(now));
           }
         },
       ),
--- a/packages/drain/test/recovery.test.ts
+++ b/packages/drain/test/recovery.test.ts
@@ -1,11 +1,16 @@
-/** Drains through failovers, outages of services, and faults of the machines that are drained. */
+/**
+ * Drains during failovers, outages of the cloud or the key-value store, and faults of the drained
+ * machines. Guards against steps that are lost or repeated: work stopped beyond the budget, machines
+ * returned with work on them, and replacements provisioned twice.
+ */
 import { describe, expect, it } from 'vitest';
 import { CHECKPOINTING, DrainFleet, machinesInZone } from './support/drain-fleet.js';
 
-const BUDGET_1 = '(drain (let-end-s 5) (ready-timeout-s 60) (budgets (team blue (at-once 1))))';
+const ONE_AT_A_TIME =
+  '(drain (let-end-s 5) (ready-timeout-s 60) (budgets (team blue (at-once 1))))';
 
-/** Two machines, each with a task that saves, to be replaced one by one. */
-const startDrain = (settings = BUDGET_1, cloudUnavailable = false): DrainFleet => {
+/** Starts a drain of two machines, each with a checkpointing task, which replaces one at a time. */
+const startTwoMachineDrain = (settings = ONE_AT_A_TIME, cloudUnavailable = false): DrainFleet => {
   const fleet = new DrainFleet(machinesInZone(2), settings);
   fleet.submitJob('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 2 });
   fleet.run(4000);
@@ -14,38 +19,38 @@
   return fleet;
 };
 
-/** Each machine was returned and replaced once, and no task was lost or ran twice. */
+/** Expects each machine returned and replaced once, with no task lost or run twice at once. */
 const expectCompleted = (fleet: DrainFleet, provisioned = 2): void => {
   expect(fleet.violations).toEqual([]);
   expect(fleet.cloud.returned.filter((id) => id < 'n-0002').sort()).toEqual(['n-0000', 'n-0001']);
-  const names = [...fleet.cloud.provisioned.keys()].filter((name) => name.startsWith('drain-'));
-  expect(names, [...fleet.cloud.provisioned].join(' ')).toHaveLength(provisioned);
+  const requests = [...fleet.cloud.provisioned.keys()].filter((name) => name.startsWith('drain-'));
+  expect(requests, [...fleet.cloud.provisioned].join(' ')).toHaveLength(provisioned);
   fleet.run(5000);
   for (const name of ['job-1/0', 'job-1/1']) expect(fleet.machineOf(name), name).not.toBeNull();
   expect(fleet.drainStatus('swap')).toMatchObject({ status: 'done', returned: 2, failed: 0 });
 };
 
 const countWritesOfDrain = (): number => {
-  const fleet = startDrain();
+  const fleet = startTwoMachineDrain();
   fleet.runUntil(() => fleet.drainPhase('swap') === 'done');
   expectCompleted(fleet);
   return fleet.store.recordWrites.length;
 };
 
 describe('a failover', () => {
-  it('between any two changes of a drain goes on at the same step', () => {
-    const all = countWritesOfDrain();
-    expect(all).toBeGreaterThan(12);
-    for (let write = 2; write <= all; write += 1) {
+  it('before or after any write of a drain resumes it at the same step', () => {
+    const writeCount = countWritesOfDrain();
+    expect(writeCount).toBeGreaterThan(12);
+    for (let write = 2; write <= writeCount; write += 1) {
       for (const crashLeaderAfterWrite of [false, true]) {
-        const fleet = startDrain();
+        const fleet = startTwoMachineDrain();
         Object.assign(fleet.faults, { crashLeaderAtWrite: write, crashLeaderAfterWrite });
-        const expectOneOpenAtMost = () => {
-          const open = ['job-1/0', 'job-1/1'].filter((name) => fleet.machineOf(name) === null);
-          expect(open.length, `write ${write}`).toBeLessThanOrEqual(1);
+        const expectAtMostOneStopped = () => {
+          const stopped = ['job-1/0', 'job-1/1'].filter((name) => fleet.machineOf(name) === null);
+          expect(stopped.length, `write ${write}`).toBeLessThanOrEqual(1);
         };
         fleet.runUntil(() => {
-          expectOneOpenAtMost();
+          expectAtMostOneStopped();
           return fleet.hasLeaderCrashed || fleet.drainPhase('swap') === 'done';
         });
         fleet.faults.crashLeaderAtWrite = 0;
@@ -54,7 +59,7 @@
           fleet.failOver();
         }
         fleet.runUntil(() => {
-          expectOneOpenAtMost();
+          expectAtMostOneStopped();
           return fleet.drainPhase('swap') === 'done';
         });
         expectCompleted(fleet);
@@ -62,8 +67,8 @@
     }
   }, 60_000);
 
-  it('keeps disruptions counted: the new leader stops no more until their work runs again', () => {
-    const fleet = new DrainFleet(machinesInZone(3), BUDGET_1);
+  it('keeps the count of disruptions: nothing more is stopped until their work runs again', () => {
+    const fleet = new DrainFleet(machinesInZone(3), ONE_AT_A_TIME);
     fleet.submitJob('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 3 });
     fleet.run(4000);
     fleet.faults.refuseProvisioning = true;
@@ -73,16 +78,16 @@
     fleet.failOver();
     fleet.run(60_000);
     expect(fleet.workers.stops).toHaveLength(1);
-    const kept = [...fleet.store.records.keys()].filter((key) => key.startsWith('b/'));
-    expect(kept.length).toBe(1);
-    // Without its record the next one would have been stopped: the record is what counts it.
-    for (const key of kept) fleet.store.records.delete(key);
+    const disruptionKeys = [...fleet.store.records.keys()].filter((key) => key.startsWith('b/'));
+    expect(disruptionKeys.length).toBe(1);
+    // Without the record of the disruption a new leader stops the next task.
+    for (const key of disruptionKeys) fleet.store.records.delete(key);
     fleet.failOver();
     fleet.runUntil(() => fleet.workers.stops.length === 2);
   });
 
-  it('to a version without the package leaves the records as they are, and back goes on from them', () => {
-    const fleet = startDrain();
+  it('to a version without drains keeps their records, and a failover back resumes them', () => {
+    const fleet = startTwoMachineDrain();
     fleet.runUntil(
       () => fleet.machinePhase('swap', 'n-0000') === 'draining' || fleet.cloud.returned.length > 0,
     );
@@ -96,9 +101,9 @@
   });
 });
 
-describe('a record that cannot be read', () => {
-  it('pauses its drain and leaves the others alone', () => {
-    const fleet = startDrain();
+describe('an unreadable drain record', () => {
+  it('pauses its drain and does not affect other drains', () => {
+    const fleet = startTwoMachineDrain();
     fleet.runUntil(
       () =>
         fleet.machinePhase('swap', 'n-0000') !== null ||
@@ -127,9 +132,9 @@
 });
 
 describe('an outage in the middle of a step', () => {
-  it('of the key-value store lets nothing be stopped, returned or provisioned that is not stored', () => {
-    const fleet = startDrain();
-    // The first request's name was stored with the drain.
+  it('of the key-value store holds back stops, returns and provisioning until stored', () => {
+    const fleet = startTwoMachineDrain();
+    // The ID of the first provision request was stored together with the drain.
     expect(fleet.cloud.provisioned.size).toBe(1);
     fleet.faults.storeUnavailable = true;
     fleet.run(60_000);
@@ -148,8 +153,8 @@
     expectCompleted(fleet);
   });
 
-  it('of the cloud, and lost answers, repeat provision requests and returns under the same ids', () => {
-    const fleet = startDrain(BUDGET_1, true);
+  it('of the cloud, with responses lost, leads to retries under the same ids', () => {
+    const fleet = startTwoMachineDrain(ONE_AT_A_TIME, true);
     fleet.run(40_000);
     expect(fleet.drainStatus('swap').machines[0]?.blocked?.kind).toBe('replacement-booting');
     Object.assign(fleet.faults, {
@@ -165,8 +170,8 @@
     expectCompleted(fleet);
   });
 
-  it('of the cloud during a failover repeats the return, and its machine gets no work meanwhile', () => {
-    const fleet = startDrain();
+  it('of the cloud during a failover leads to a retried return; the machine gets no work', () => {
+    const fleet = startTwoMachineDrain();
     fleet.runUntil(() =>
       [...fleet.store.records.values()].some(
         (r) => (r as { phase?: string }).phase === 'returning',
@@ -189,9 +194,9 @@
   });
 });
 
-describe('a machine of a drain', () => {
-  const startHalfDrained = (): { fleet: DrainFleet; id: string } => {
-    const fleet = new DrainFleet(machinesInZone(2), BUDGET_1);
+describe('a machine selected by a drain', () => {
+  const startDrainOfBusyMachine = (): { fleet: DrainFleet; id: string } => {
+    const fleet = new DrainFleet(machinesInZone(2), ONE_AT_A_TIME);
     fleet.submitJob('job-1', { cpus: 8 });
     fleet.run(3000);
     const id = fleet.machineOf('job-1/0')!;
@@ -200,8 +205,8 @@
     return { fleet, id };
   };
 
-  it('counts as failed when it is cut off for good, and its work runs again elsewhere', () => {
-    const { fleet, id } = startHalfDrained();
+  it('counts as failed when it stays unreachable, and its work runs again elsewhere', () => {
+    const { fleet, id } = startDrainOfBusyMachine();
     fleet.workers.machines.get(id)!.unreachableUntil = Number.POSITIVE_INFINITY;
     fleet.runUntil(() => fleet.machineOf('job-1/0') !== id && fleet.machineOf('job-1/0') !== null);
     fleet.runUntil(() => fleet.drainPhase('out') === 'done');
@@ -210,8 +215,8 @@
     expect(fleet.violations).toEqual([]);
   });
 
-  it('loses its work with its lease when nothing reaches it; the work runs elsewhere, and it leaves', () => {
-    const { fleet, id } = startHalfDrained();
+  it('loses its work to another machine when its lease expires, and leaves the fleet', () => {
+    const { fleet, id } = startDrainOfBusyMachine();
     fleet.workers.machines.get(id)!.isInboundBlocked = true;
     fleet.runUntil(() => fleet.drainPhase('out') === 'done');
     const { returned, failed } = fleet.drainStatus('out');
@@ -229,11 +234,13 @@
 
     fleet.startDrain('out', { select: { all: true }, atOnce: 1 });
     fleet.runUntil(() => fleet.drainStatus('out').machines[0]?.state === 'cordoned');
-    const taken = fleet.drainStatus('out').machines[0]!.name;
-    const waiting = ['n-0000', 'n-0001', 'n-0002'].find((id) => id !== taken)!;
-    fleet.workers.machines.get(waiting)!.unreachableUntil = Number.POSITIVE_INFINITY;
+    const firstDrained = fleet.drainStatus('out').machines[0]!.name;
+    const waitingMachine = ['n-0000', 'n-0001', 'n-0002'].find((id) => id !== firstDrained)!;
+    fleet.workers.machines.get(waitingMachine)!.unreachableUntil = Number.POSITIVE_INFINITY;
     fleet.runUntil(
-      () => fleet.machineOf('job-1/0') !== waiting && !fleet.workers.machines.has(waiting),
+      () =>
+        fleet.machineOf('job-1/0') !== waitingMachine &&
+        !fleet.workers.machines.has(waitingMachine),
     );
     fleet.workers.runMsByJob.set('job-1', 0);
     fleet.runUntil(() => fleet.drainPhase('out') === 'done');
@@ -241,8 +248,8 @@
     expect(fleet.drainStatus('out')).toMatchObject({ returned: 2, failed: 1 });
   });
 
-  it('goes on where it was when it comes back late', () => {
-    const { fleet, id } = startHalfDrained();
+  it('continues draining when it reconnects within its lease', () => {
+    const { fleet, id } = startDrainOfBusyMachine();
     fleet.workers.machines.get(id)!.unreachableUntil = fleet.now + 5000;
     fleet.workers.runMsByJob.set('job-1', 40_000);
     fleet.runUntil(() => fleet.drainPhase('out') === 'done');
@@ -252,8 +259,8 @@
     expect(fleet.workers.starts).toHaveLength(1);
   });
 
-  it('is left to its reclaim notice, and the work that it loses counts against the budget', () => {
-    const fleet = new DrainFleet(machinesInZone(2), BUDGET_1);
+  it('is left to its reclaim notice, and its lost work counts against the budget', () => {
+    const fleet = new DrainFleet(machinesInZone(2), ONE_AT_A_TIME);
     fleet.submitJob('job-1', { cpus: 8 });
     fleet.submitJob('job-2', { cpus: 8 });
     fleet.run(3000);
@@ -274,8 +281,8 @@
     expect(fleet.drainStatus('out')).toMatchObject({ returned: 0, failed: 1 });
   });
 
-  it('loses its work when it restarts, which counts until it runs again', () => {
-    const { fleet, id } = startHalfDrained();
+  it('loses its work when it restarts; the disruption counts until the work runs again', () => {
+    const { fleet, id } = startDrainOfBusyMachine();
     fleet.workers.restart(id);
     fleet.run(6000);
     fleet.runUntil(() => fleet.drainPhase('out') === 'done');
