--- a/packages/drain/test/steps.test.ts
+++ b/packages/drain/test/steps.test.ts
@@ -1,9 +1,12 @@
-/** The steps of drains, their replacements, and disruption budgets. */
+/**
+ * Drain steps, replacement machines and disruption budgets, in scripted cases. Guards against work
+ * that is stopped beyond a budget or before the replacement of its machine is ready.
+ */
 import type { MachineId } from '@robinspread/extension-api';
 import { describe, expect, it } from 'vitest';
 import { CHECKPOINTING, DrainFleet, machinesInZone } from './support/drain-fleet.js';
 
-const BUDGET_1 = '(drain (let-end-s 5) (budgets (team blue (at-once 1))))';
+const ONE_AT_A_TIME = '(drain (let-end-s 5) (budgets (team blue (at-once 1))))';
 
 const tasksByMachine = (fleet: DrainFleet) =>
   [...fleet.workers.machines.keys()].map((id) => fleet.tasksOn(id).length);
@@ -13,16 +16,16 @@
     const fleet = new DrainFleet(machinesInZone(3));
     fleet.submitJob('job-1', { ...CHECKPOINTING, tasks: 4 });
     fleet.run(5000);
-    const before = [...fleet.workers.machines.keys()];
+    const initialMachines = [...fleet.workers.machines.keys()];
 
     expect(fleet.startDrain('swap', { select: { all: true }, atOnce: 1 }).status).toBe(201);
     fleet.runUntil(() => fleet.drainPhase('swap') === 'done');
-    expect(fleet.cloud.returned.sort()).toEqual(before);
+    expect(fleet.cloud.returned.sort()).toEqual(initialMachines);
     expect(fleet.cloud.provisioned.size).toBe(3);
     expect(fleet.workers.machines.size).toBe(3);
     expect(fleet.machineOf('job-1/3')).not.toBeNull();
     expect(tasksByMachine(fleet).reduce((a, b) => a + b)).toBe(4);
-    // The idle one went first, then each of the others: four tasks stopped once each.
+    // The idle machine is drained first, then the other two: four tasks are stopped once each.
     expect(fleet.workers.stops).toHaveLength(4);
     for (const { task } of fleet.workers.stops)
       expect(fleet.workers.starts.filter((s) => s.task === task)).toHaveLength(2);
@@ -32,30 +35,34 @@
       step: 3,
       machines: [],
     });
-    // A step's work ran again before the next began.
-    const phases = fleet.store.recordWrites.filter(
+    // Each step stores its phases; the next step starts once the work of the last runs again.
+    const phaseWrites = fleet.store.recordWrites.filter(
       (key) => key.startsWith('m/swap') || key.startsWith('d/swap'),
     );
-    expect(phases.length).toBeGreaterThan(9);
+    expect(phaseWrites.length).toBeGreaterThan(9);
     expect(fleet.violations).toEqual([]);
-    // What is over leaves no records but its own.
+    // A finished drain leaves no record but its own.
     fleet.run(5000);
 
     expect([...fleet.store.records.keys()]).toEqual(['d/swap']);
   });
 
-  it('takes the least disturbing machines first: idle, then checkpointing, then finishing ones', () => {
+  it('takes idle machines first, then checkpointing ones, then those with work to finish', () => {
     const fleet = new DrainFleet(machinesInZone(3));
     fleet.submitJob('job-1', { cpus: 8, estimateS: 100 });
     fleet.run(3000);
     fleet.submitJob('job-2', { cpus: 8, checkpointIntervalS: 5, checkpointWriteS: 1 });
     fleet.run(3000);
-    const [ends, saves] = ['job-1/0', 'job-2/0'].map((name) => fleet.machineOf(name));
+    const [finishing, checkpointing] = ['job-1/0', 'job-2/0'].map((name) => fleet.machineOf(name));
     const idle = [...fleet.workers.machines.keys()].find((id) => fleet.tasksOn(id).length === 0);
 
     const { body } = fleet.callOperatorApi('plan', '', { select: { all: true } });
 
-    expect((body.plan as { name: string }[]).map((m) => m.name)).toEqual([idle, saves, ends]);
+    expect((body.plan as { name: string }[]).map((m) => m.name)).toEqual([
+      idle,
+      checkpointing,
+      finishing,
+    ]);
     expect(body).toMatchObject({ machines: 3, steps: 3, refused: null });
     expect(fleet.store.records.size).toBe(0);
   });
@@ -65,9 +72,9 @@
     fleet.submitJob('job-1', { cpus: 8, estimateS: 30 });
     fleet.workers.runMsByJob.set('job-1', 30_000);
     fleet.run(3000);
-    const holder = fleet.machineOf('job-1/0')!;
+    const busyMachine = fleet.machineOf('job-1/0')!;
 
-    fleet.startDrain('out', { select: { machines: [holder] }, replace: false });
+    fleet.startDrain('out', { select: { machines: [busyMachine] }, replace: false });
     fleet.run(8000);
     expect(fleet.drainStatus('out').machines[0]).toMatchObject({
       state: 'cordoned',
@@ -85,12 +92,12 @@
     fleet.submitJob('job-1', { shape: 'service', cpus: 6, estimateS: 0 });
     fleet.submitJob('job-2', { cpus: 6 });
     fleet.run(4000);
-    const from = fleet.machineOf('job-1/0')!;
+    const replicaMachine = fleet.machineOf('job-1/0')!;
     fleet.faults.refuseProvisioning = true;
 
-    fleet.startDrain('out', { select: { machines: [from] }, replace: false });
+    fleet.startDrain('out', { select: { machines: [replicaMachine] }, replace: false });
     fleet.run(20_000);
-    expect(fleet.machineOf('job-1/0')).toBe(from);
+    expect(fleet.machineOf('job-1/0')).toBe(replicaMachine);
     expect(fleet.drainStatus('out').machines[0]?.blocked?.kind).toBe('replica-needs-room');
     fleet.workers.runMsByJob.set('job-2', 0);
     fleet.runUntil(() => fleet.drainPhase('out') === 'done');
@@ -99,50 +106,50 @@
     expect(fleet.violations).toEqual([]);
   });
 
-  it('places no work on a cordoned machine, and uncordons it when cancelled half empty', () => {
+  it('places no work on a cordoned machine, and uncordons it when the drain is cancelled', () => {
     const fleet = new DrainFleet(machinesInZone(2));
     fleet.submitJob('job-1', { cpus: 4, tasks: 2 });
     fleet.run(3000);
-    const holder = fleet.machineOf('job-1/0')!;
+    const busyMachine = fleet.machineOf('job-1/0')!;
     fleet.workers.runMsByJob.set('job-1', 60_000);
 
-    fleet.startDrain('out', { select: { machines: [holder] }, replace: false });
+    fleet.startDrain('out', { select: { machines: [busyMachine] }, replace: false });
     fleet.run(3000);
     fleet.submitJob('job-2', { cpus: 8, tasks: 2 });
     fleet.run(90_000 - fleet.now);
-    expect(fleet.tasksOn(holder)).toEqual([]);
-    const again = new DrainFleet(machinesInZone(1));
-    again.submitJob('job-1', { cpus: 4 });
-    again.run(3000);
-    again.startDrain('out', { select: { all: true } });
-    again.faults.refuseProvisioning = true;
-    again.run(5000);
-    again.faults.refuseProvisioning = false;
-    again.runUntil(() => again.machinePhase('out', 'n-0000') === 'cordoned');
-    expect(again.callOperatorApi('cancel', 'out').body).toMatchObject({
+    expect(fleet.tasksOn(busyMachine)).toEqual([]);
+    const otherFleet = new DrainFleet(machinesInZone(1));
+    otherFleet.submitJob('job-1', { cpus: 4 });
+    otherFleet.run(3000);
+    otherFleet.startDrain('out', { select: { all: true } });
+    otherFleet.faults.refuseProvisioning = true;
+    otherFleet.run(5000);
+    otherFleet.faults.refuseProvisioning = false;
+    otherFleet.runUntil(() => otherFleet.machinePhase('out', 'n-0000') === 'cordoned');
+    expect(otherFleet.callOperatorApi('cancel', 'out').body).toMatchObject({
       status: 'cancelled',
       machines: [],
     });
-    again.submitJob('job-2', { cpus: 4, tasks: 3 });
-    again.run(5000);
+    otherFleet.submitJob('job-2', { cpus: 4, tasks: 3 });
+    otherFleet.run(5000);
 
-    expect(again.tasksOn('n-0000')).toHaveLength(2);
-    expect(again.cloud.returned).toEqual([]);
-    expect(again.callOperatorApi('resume', 'out').status).toBe(409);
+    expect(otherFleet.tasksOn('n-0000')).toHaveLength(2);
+    expect(otherFleet.cloud.returned).toEqual([]);
+    expect(otherFleet.callOperatorApi('resume', 'out').status).toBe(409);
   });
 
   it('goes on when a job is cancelled on a draining machine', () => {
     const fleet = new DrainFleet(machinesInZone(2));
     fleet.submitJob('job-1', { cpus: 8 });
     fleet.run(3000);
-    const holder = fleet.machineOf('job-1/0')!;
+    const busyMachine = fleet.machineOf('job-1/0')!;
 
-    fleet.startDrain('out', { select: { machines: [holder] }, replace: false });
+    fleet.startDrain('out', { select: { machines: [busyMachine] }, replace: false });
     fleet.run(5000);
     fleet.cancelJob('job-1');
     fleet.runUntil(() => fleet.drainPhase('out') === 'done');
 
-    expect(fleet.cloud.returned).toEqual([holder]);
+    expect(fleet.cloud.returned).toEqual([busyMachine]);
     expect(fleet.store.completions.get('job-1')).toBe('cancelled');
   });
 
@@ -150,24 +157,24 @@
     const fleet = new DrainFleet(machinesInZone(2));
     fleet.submitJob('job-1', { cpus: 8 });
     fleet.run(3000);
-    const holder = fleet.machineOf('job-1/0')!;
+    const busyMachine = fleet.machineOf('job-1/0')!;
 
-    fleet.startDrain('out', { select: { machines: [holder] }, replace: false, deadlineS: 20 });
+    fleet.startDrain('out', { select: { machines: [busyMachine] }, replace: false, deadlineS: 20 });
     fleet.run(30_000);
     expect(fleet.drainStatus('out')).toMatchObject({
       status: 'paused',
       why: 'its deadline has passed',
     });
-    expect(fleet.tasksOn(holder)).toEqual(['job-1/0']);
+    expect(fleet.tasksOn(busyMachine)).toEqual(['job-1/0']);
     fleet.workers.runMsByJob.set('job-1', 1000);
     fleet.run(10_000);
-    // While it is paused an empty machine stays, out of use.
-    expect(fleet.machinePhase('out', holder)).toBe('cordoned');
+    // A paused drain keeps an empty machine cordoned and does not return it.
+    expect(fleet.machinePhase('out', busyMachine)).toBe('cordoned');
     expect(fleet.callOperatorApi('resume', 'out').status).toBe(200);
     fleet.runUntil(() => fleet.drainPhase('out') === 'done');
   });
 
-  it('is refused when it would leave no machine that the head of the queue ever fits', () => {
+  it('is refused when it would leave no machine that the queue head fits', () => {
     const fleet = new DrainFleet([...machinesInZone(1, 'a'), ...machinesInZone(1, 'b')]);
     fleet.submitJob('job-1', { cpus: 8, zone: 'b', tasks: 2 });
     fleet.run(3000);
@@ -202,7 +209,7 @@
     return fleet;
   };
 
-  it('is given up for another request when it never becomes ready; the machine works on meanwhile', () => {
+  it('is requested anew when it never becomes ready; the drained machine stays in use', () => {
     const fleet = startFleet();
     fleet.faults.neverBoot = true;
 
@@ -225,7 +232,7 @@
     expect(fleet.violations).toEqual([]);
   });
 
-  it('is requested again under the same id when capacity is lacking, and the status says so', () => {
+  it('is requested again under the same id when capacity is lacking; the status says so', () => {
     const fleet = startFleet();
     fleet.faults.refuseProvisioning = true;
 
@@ -251,23 +258,23 @@
     fleet.runUntil(() => fleet.drainPhase('swap') === 'done');
     const requests = [...fleet.cloud.provisioned.keys()].map((name) => name.split('#')[0]);
 
-    // Two came with the first request; each of the others has one of its own.
+    // The first request provisioned two; each of the other three has a request of its own.
     expect(fleet.cloud.provisioned.size).toBe(5);
     expect(new Set(requests).size).toBe(4);
     expect(fleet.cloud.returned).toHaveLength(5);
     expect(fleet.violations).toEqual([]);
   });
 
-  it('is replaced in turn when it is lost once ready; the drained machine is in use meanwhile', () => {
+  it('is replaced when it is lost after becoming ready; the drained machine stays in use', () => {
     const fleet = new DrainFleet(machinesInZone(1));
     fleet.submitJob('job-1', { cpus: 4 });
     fleet.run(3000);
 
     fleet.startDrain('swap', { select: { machines: ['n-0000'] } });
     fleet.runUntil(() => (fleet.machinePhase('swap', 'n-0000') ?? 'waiting') !== 'waiting');
-    const first = fleet.drainStatus('swap').machines[0]!.replacement!;
+    const replacement = fleet.drainStatus('swap').machines[0]!.replacement!;
     fleet.faults.refuseProvisioning = true;
-    fleet.workers.machines.delete(first);
+    fleet.workers.machines.delete(replacement);
     fleet.runUntil(() => fleet.machinePhase('swap', 'n-0000') === 'waiting');
     expect(fleet.state.machines.get('n-0000' as MachineId)?.isCordoned).toBe(false);
     fleet.workers.runMsByJob.set('job-1', 0);
@@ -293,18 +300,18 @@
 });
 
 describe('a disruption budget', () => {
-  it('holds up a drain that begins while it is used up, until the work runs again', () => {
-    const fleet = new DrainFleet(machinesInZone(3), BUDGET_1);
+  it('that is used up blocks a new drain until the disrupted work runs again', () => {
+    const fleet = new DrainFleet(machinesInZone(3), ONE_AT_A_TIME);
     fleet.submitJob('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 3 });
     fleet.run(4000);
-    // A machine is lost: one task is disrupted, and finds no room.
-    const lost = fleet.machineOf('job-1/0')!;
+    // A machine is lost, and its task cannot be placed elsewhere: one task is disrupted.
+    const lostMachine = fleet.machineOf('job-1/0')!;
     fleet.faults.refuseProvisioning = true;
-    fleet.workers.machines.delete(lost);
-    fleet.runUntil(() => fleet.state.machines.get(lost as MachineId) === undefined);
-    const drained = fleet.machineOf('job-1/1')!;
+    fleet.workers.machines.delete(lostMachine);
+    fleet.runUntil(() => fleet.state.machines.get(lostMachine as MachineId) === undefined);
+    const drainedMachine = fleet.machineOf('job-1/1')!;
 
-    fleet.startDrain('out', { select: { machines: [drained] }, replace: false });
+    fleet.startDrain('out', { select: { machines: [drainedMachine] }, replace: false });
     fleet.run(60_000);
     expect(fleet.workers.stops).toEqual([]);
     expect(fleet.drainStatus('out').machines[0]?.blocked?.text).toBe(
@@ -332,10 +339,10 @@
       replace: false,
     });
     fleet.run(90_000);
-    const told = fleet.drainStatus('out');
+    const status = fleet.drainStatus('out');
 
-    expect(told.status).toBe('stalled');
-    expect(told.machines[0]?.blocked?.text).toBe(
+    expect(status.status).toBe('stalled');
+    expect(status.machines[0]?.blocked?.text).toBe(
       'budget of team blue is 0: none of its work may be disrupted',
     );
     expect(fleet.workers.stops).toEqual([]);
@@ -347,16 +354,16 @@
     fleet.submitJob('job-1', { ...CHECKPOINTING, cpus: 8, jobClass: 'settle' });
     fleet.submitJob('job-2', { ...CHECKPOINTING, cpus: 8, tasks: 3 });
     fleet.run(5000);
-    const kept = fleet.machineOf('job-1/0')!;
+    const settleMachine = fleet.machineOf('job-1/0')!;
 
     fleet.startDrain('swap', { select: { all: true }, atOnce: 1 });
     fleet.runUntil(() => fleet.cloud.returned.length === 3);
 
-    expect(fleet.cloud.returned).not.toContain(kept);
-    expect(fleet.machineOf('job-1/0')).toBe(kept);
+    expect(fleet.cloud.returned).not.toContain(settleMachine);
+    expect(fleet.machineOf('job-1/0')).toBe(settleMachine);
   });
 
-  it('that is lowered below its use lets nothing new be stopped', () => {
+  it('that is lowered below its usage allows no further stop', () => {
     const fleet = new DrainFleet(
       machinesInZone(4),
       '(drain (let-end-s 5) (budgets (team blue (at-once 2))))',
@@ -368,7 +375,7 @@
     fleet.startDrain('out', { select: { all: true }, atOnce: 4, replace: false });
     fleet.runUntil(() => fleet.workers.stops.length === 2);
     fleet.run(5000);
-    fleet.failOver({ settings: BUDGET_1 });
+    fleet.failOver({ settings: ONE_AT_A_TIME });
     fleet.run(60_000);
 
     expect(fleet.workers.stops).toHaveLength(2);
@@ -377,43 +384,48 @@
     ]);
   });
 
-  it('holds for a job class, for a share, and within a window', () => {
+  it('limits a job class, a share of the tasks, and disruptions within a window', () => {
     const settings = `(drain (let-end-s 5) (budgets
       (team blue (at-once-share 0.5) (within 300 3) (class settle (at-once 0)))))`;
     const fleet = new DrainFleet(machinesInZone(4), settings);
     fleet.submitJob('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 3 });
     fleet.submitJob('job-2', { ...CHECKPOINTING, cpus: 8, jobClass: 'settle' });
     fleet.run(5000);
-    const settle = fleet.machineOf('job-2/0')!;
+    const settleMachine = fleet.machineOf('job-2/0')!;
 
     fleet.startDrain('swap', { select: { all: true }, atOnce: 4 });
-    // Of four tasks half at once, by the third the window is full, and the class may lose none.
-    const first = fleet.now;
+    // Two of four tasks may be disrupted at once, three within 300 s, and none of class settle.
+    const drainStartedAt = fleet.now;
     fleet.runUntil(() => fleet.workers.stops.length === 3);
     fleet.run(100_000);
     expect(fleet.workers.stops).toHaveLength(3);
-    expect(fleet.tasksOn(settle)).toEqual(['job-2/0']);
+    expect(fleet.tasksOn(settleMachine)).toEqual(['job-2/0']);
     expect(fleet.drainStatus('swap').machines[0]?.blocked?.text).toContain('class settle is 0');
     fleet.submitJob('job-3', { ...CHECKPOINTING, cpus: 8, tasks: 1 });
     fleet.run(4000);
-    // It may have begun on the replacement of the machine that waits.
+    // job-3 may run on the replacement of the machine that is still blocked.
     fleet.callOperatorApi('cancel', 'swap');
-    const later = fleet.machineOf('job-3/0')!;
-    fleet.startDrain('more', { select: { machines: [later] } });
+    const job3Machine = fleet.machineOf('job-3/0')!;
+    fleet.startDrain('more', { select: { machines: [job3Machine] } });
     fleet.run(20_000);
     expect(fleet.drainStatus('more').machines[0]?.blocked?.text).toContain(
       '3 of 3 disrupted within 300 s',
     );
     fleet.runUntil(() => fleet.drainPhase('more') === 'done');
 
-    expect(fleet.now - first).toBeGreaterThan(299_000);
+    expect(fleet.now - drainStartedAt).toBeGreaterThan(299_000);
   });
 
   it('is used up by a lost zone: the drain waits until the work runs again', () => {
-    const fleet = new DrainFleet([...machinesInZone(2, 'a'), ...machinesInZone(2, 'b')], BUDGET_1);
+    const fleet = new DrainFleet(
+      [...machinesInZone(2, 'a'), ...machinesInZone(2, 'b')],
+      ONE_AT_A_TIME,
+    );
     fleet.submitJob('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 4 });
     fleet.run(4000);
-    const inA = [...fleet.workers.machines.values()].filter((m) => m.zone === 'a').map((m) => m.id);
+    const machinesInA = [...fleet.workers.machines.values()]
+      .filter((m) => m.zone === 'a')
+      .map((m) => m.id);
     fleet.faults.refuseProvisioning = true;
     for (const m of [...fleet.workers.machines.values()])
       if (m.zone === 'b') fleet.workers.machines.delete(m.id);
@@ -426,7 +438,7 @@
     fleet.faults.refuseProvisioning = false;
     fleet.runUntil(() => fleet.drainPhase('out') === 'done');
 
-    expect(fleet.cloud.returned).toEqual(expect.arrayContaining(inA));
+    expect(fleet.cloud.returned).toEqual(expect.arrayContaining(machinesInA));
     expect(fleet.violations).toEqual([]);
   });
 
@@ -434,21 +446,21 @@
     const fleet = new DrainFleet(machinesInZone(3), '(drain (budgets (team blue (at-once 0))))');
     fleet.submitJob('job-1', { shape: 'service', cpus: 2, estimateS: 0 });
     fleet.run(4000);
-    const from = fleet.machineOf('job-1/0')!;
-    fleet.state.machines.get(from as MachineId)!.isDraining = true;
+    const replicaMachine = fleet.machineOf('job-1/0')!;
+    fleet.state.machines.get(replicaMachine as MachineId)!.isDraining = true;
     fleet.run(30_000);
-    expect(fleet.machineOf('job-1/0')).toBe(from);
-    // A notice leaves no choice.
-    fleet.workers.machines.get(from)!.reclaimedAt = fleet.now + 15_000;
+    expect(fleet.machineOf('job-1/0')).toBe(replicaMachine);
+    // A reclaim notice overrides the budget, since the machine is lost anyway.
+    fleet.workers.machines.get(replicaMachine)!.reclaimedAt = fleet.now + 15_000;
     fleet.runUntil(
-      () => fleet.machineOf('job-1/0') !== from && fleet.machineOf('job-1/0') !== null,
+      () => fleet.machineOf('job-1/0') !== replicaMachine && fleet.machineOf('job-1/0') !== null,
     );
   });
 });
 
 describe('two drains of the same machines', () => {
   it('share the budget and return each machine once', () => {
-    const fleet = new DrainFleet(machinesInZone(3), BUDGET_1);
+    const fleet = new DrainFleet(machinesInZone(3), ONE_AT_A_TIME);
     fleet.submitJob('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 3 });
     fleet.run(4000);
 
