--- a/packages/drain/measure/drain-load.ts
+++ b/packages/drain/measure/drain-load.ts
@@ -15,7 +15,7 @@
   tasksLostWithMachines,
 } from '../test/support/history-checker.js';
 
-/** How the fleet is emptied: budgets in the settings file and share of the machines per step. */
+/** How the fleet is emptied: the budgets in effect and the share of machines per step. */
 interface Strategy {
   readonly budgets: string;
   readonly atOnceShare: number;
@@ -34,15 +34,14 @@
 };
 
 const CPUS_PER_MACHINE = 8;
-/** Share of the fleet's processors that long tasks use. */
+/** Shares of the fleet's processors that long tasks and service replicas use. */
 const LONG_TASK_SHARE = 0.5;
-/** Share of the fleet's processors that service replicas use. */
 const REPLICA_SHARE = 0.05;
 /** Longer than any measured drain. */
 const LONG_TASK_MS = 1_200_000;
 const SHORT_JOBS_PER_S = 4;
 const WARM_UP_MS = 5000;
-/** Wait before the evaluation, so that the history has the last stops and starts. */
+/** Lets the last stops and starts reach the history. */
 const SETTLE_MS = 3000;
 const HEARTBEAT_MS = 1000;
 
@@ -55,9 +54,9 @@
 
 type Fleet = Awaited<ReturnType<typeof startProcesses>>;
 
-/** Submits the jobs of a measurement and sets how long the stand-in workers run their tasks. */
+/** Submits the jobs and sets how long the stand-in workers run their tasks. */
 class LoadGenerator {
-  /** Submission times by job ID, in ms since the epoch. */
+  /** Submission times by job ID, in Unix ms. */
   readonly submittedAt = new Map<string, number>();
   private readonly teamByJob = new Map<string, string>();
   /** Run time of each job's tasks in ms; null: they never end. */
--- a/packages/drain/test/histories.test.ts
+++ b/packages/drain/test/histories.test.ts
@@ -1,6 +1,6 @@
 /**
  * Random histories of drains, faults and failovers in the simulated world. Budgets are checked
- * against the simulated machines' own record of stops, not against the leader's ledger.
+ * against the stops that the machines recorded, not the leader's ledger.
  */
 import * as fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
@@ -16,16 +16,16 @@
   machines: { blocked: { text: string } | null }[];
 }
 
-/** Maximum number of each team's tasks that are stopped voluntarily and not yet running again. */
+/** Maximum of a team's tasks stopped voluntarily and not yet running again. */
 const MAX_STOPPED: Readonly<Record<string, number>> = { blue: 2, green: 1 };
 const WINDOW = { team: 'green', ms: 60_000, count: 3 };
 /** Shortens the checked window: machines execute stops some time after these are granted. */
 const WINDOW_SLACK_MS = 20_000;
 
-/** Totals over all histories, to check that the histories exercise drains and faults at all. */
+/** Totals over all histories, to check that they exercise drains and failovers. */
 const totals = { stops: 0, drains: 0, failovers: 0, done: 0 };
 
-/** A simulated world that checks the budgets every 500 ms of simulated time. */
+/** A simulated world that checks the budgets regularly. */
 class BudgetCheckedWorld {
   readonly world: SimulatedWorld;
   readonly startedDrains = new Set<string>();
@@ -45,7 +45,7 @@
     };
   }
 
-  /** Counts disruptions from the machines' record and compares them with the budgets. */
+  /** Compares the stops that the machines recorded with the budgets. */
   check(): void {
     expect(this.world.problems).toEqual([]);
     for (const [team, most] of Object.entries(MAX_STOPPED)) {
@@ -57,7 +57,7 @@
     expect(recent.length, `window at ${this.world.now}`).toBeLessThanOrEqual(WINDOW.count);
   }
 
-  /** Advances in steps of 500 ms, so that no brief excess over a budget is missed. */
+  /** Advances in small steps, so that no brief excess is missed. */
   advance(ms: number, withoutEvents: boolean): void {
     for (let advancedMs = 0; advancedMs < ms; advancedMs += 500) {
       this.world.play(500, withoutEvents);
@@ -182,12 +182,12 @@
 /** Ends all faults; then every job must end, and every drain must end or report its blocker. */
 const endHistory = (real: BudgetCheckedWorld): void => {
   real.world.heal();
-  // A team at its quota finishes a large backlog one task at a time.
+  // A team at its limit finishes its backlog one task at a time.
   for (let i = 0; i < 400 && real.world.unfinished().length > 0; i += 1) real.advance(30_000, true);
   expect(real.world.unfinished()).toEqual([]);
   for (const name of real.startedDrains) {
     let answer: DrainStatusAnswer | undefined;
-    // A drain that is changing state may report no reason for a moment.
+    // A drain that changes state may briefly report no reason.
     for (let i = 0; i < 20 && !isExplained(answer); i += 1) {
       real.advance(1000, true);
       answer = real.callOperatorApi('status', name)?.body as DrainStatusAnswer | undefined;
--- a/packages/drain/test/input.test.ts
+++ b/packages/drain/test/input.test.ts
@@ -1,4 +1,4 @@
-/** Parsing of drain settings files and drain requests, and the error messages for faulty ones. */
+/** Drain settings files and requests, and the error messages for faulty ones. */
 import { describe, expect, it } from 'vitest';
 import { parseDrainRequest } from '../src/adapters/drain-request-parser.js';
 import { parseDrainSettings } from '../src/adapters/settings-parser.js';
--- a/packages/drain/test/large-fleet.test.ts
+++ b/packages/drain/test/large-fleet.test.ts
@@ -1,7 +1,4 @@
-/**
- * Drains of large fleets must not slow down every tick: their work is measured as the number of
- * machines or jobs visited, which does not depend on the speed of the host.
- */
+/** Guards against work per tick that grows with the fleet; counts visits instead of time. */
 import { describe, expect, it } from 'vitest';
 import { CountingMap } from '../../../test/support/counting-map.js';
 import { CHECKPOINTING, DrainFleet, machinesInZone } from './support/drain-fleet.js';
@@ -56,8 +53,8 @@
     fleet.startDrain('part', { select: { all: true }, atOnceShare: 0.5, replace: false });
     fleet.runUntil(() => fleet.workers.stops.length >= 20);
 
-    // 500 machines with 1,000 tasks are cordoned; the number of walks over the jobs depends on
-    // the disruptions granted, not on those requested.
+    // 500 machines with 1,000 tasks are cordoned; walks over the jobs depend on the disruptions
+    // granted, not on those requested.
     expect(countWalks() - walksWhenIdle).toBeLessThan(1000);
     expect(fleet.violations).toEqual([]);
   }, 120_000);
--- a/packages/drain/test/loopback.test.ts
+++ b/packages/drain/test/loopback.test.ts
@@ -1,7 +1,6 @@
 /**
- * Drains over loopback: controllers run as processes of the built program, the cloud, the workers
- * and the key-value store are stand-ins in the test. Guards against lost jobs, tasks that run twice
- * and exceeded budgets when leaders are killed in the middle of a drain.
+ * Real controller processes drain a fleet of stand-ins under load. Guards against lost jobs, double
+ * runs and exceeded budgets when leaders are killed on the way.
  */
 import { writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -67,14 +66,14 @@
     expect(initialMachines.length).toBeGreaterThanOrEqual(4);
 
     const startCommand = ['drain', 'start', 'whole', '--all', '--at-once', '2', '--at', apiOf(1)];
-    // On a busy host the leader may have just changed; the new one answers 503 until it is ready.
+    // On a busy host the leader may have just changed; a new one answers 503 at first.
     const startResult = await until(async () => {
       const result = await runCommand(directory, startCommand);
       return result.code === EXIT_CODE_UNAVAILABLE ? null : result;
     });
     expect([startResult.code, startResult.error]).toEqual([0, '']);
     expect(startResult.out).toContain(`of ${initialMachines.length} returned`);
-    // Steady load during the drain, submitted to the nodes in turn.
+    // Steady load during the drain, through each node in turn.
     let nextJobNumber = 10;
     let isSubmitting = true;
     const arrivals = (async () => {
@@ -118,7 +117,7 @@
     expect(countDeleted()).toBe(initialMachines.length);
     expect(finalStatus.returned + finalStatus.failed).toBe(initialMachines.length);
     expect(cloud.history.some(({ kind }) => kind === 'crashed')).toBe(true);
-    // Every job of the load completes; the tasks of the long jobs keep running.
+    // Every job of the load completes; the long jobs run on.
     for (let n = 10; n < nextJobNumber; n += 1) {
       await until(async () => (await status(apiOf(n), jobId(n)))?.body.Status === 'done');
     }
--- a/packages/drain/test/recovery.test.ts
+++ b/packages/drain/test/recovery.test.ts
@@ -1,15 +1,11 @@
-/**
- * Drains during failovers, outages of the cloud or the key-value store, and faults of the drained
- * machines. Guards against steps that are lost or repeated: work stopped beyond the budget, machines
- * returned with work on them, and replacements provisioned twice.
- */
+/** Guards against drain steps that failovers, outages or machine faults lose or repeat. */
 import { describe, expect, it } from 'vitest';
 import { CHECKPOINTING, DrainFleet, machinesInZone } from './support/drain-fleet.js';
 
 const ONE_AT_A_TIME =
   '(drain (let-end-s 5) (ready-timeout-s 60) (budgets (team blue (at-once 1))))';
 
-/** Starts a drain of two machines, each with a checkpointing task, which replaces one at a time. */
+/** Two machines, each with a checkpointing task, to be replaced one by one. */
 const startTwoMachineDrain = (settings = ONE_AT_A_TIME, cloudUnavailable = false): DrainFleet => {
   const fleet = new DrainFleet(machinesInZone(2), settings);
   fleet.submitJob('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 2 });
@@ -19,7 +15,7 @@
   return fleet;
 };
 
-/** Expects each machine returned and replaced once, with no task lost or run twice at once. */
+/** Each machine was returned and replaced once, and no task was lost or ran twice. */
 const expectCompleted = (fleet: DrainFleet, provisioned = 2): void => {
   expect(fleet.violations).toEqual([]);
   expect(fleet.cloud.returned.filter((id) => id < 'n-0002').sort()).toEqual(['n-0000', 'n-0001']);
@@ -134,7 +130,7 @@
 describe('an outage in the middle of a step', () => {
   it('of the key-value store holds back stops, returns and provisioning until stored', () => {
     const fleet = startTwoMachineDrain();
-    // The ID of the first provision request was stored together with the drain.
+    // The ID of the first provision request was stored with the drain.
     expect(fleet.cloud.provisioned.size).toBe(1);
     fleet.faults.storeUnavailable = true;
     fleet.run(60_000);
--- a/packages/drain/test/steps.test.ts
+++ b/packages/drain/test/steps.test.ts
@@ -1,7 +1,4 @@
-/**
- * Drain steps, replacement machines and disruption budgets, in scripted cases. Guards against work
- * that is stopped beyond a budget or before the replacement of its machine is ready.
- */
+/** Guards against work stopped beyond a budget or before its replacement machine is ready. */
 import type { MachineId } from '@robinspread/extension-api';
 import { describe, expect, it } from 'vitest';
 import { CHECKPOINTING, DrainFleet, machinesInZone } from './support/drain-fleet.js';
@@ -25,7 +22,7 @@
     expect(fleet.workers.machines.size).toBe(3);
     expect(fleet.machineOf('job-1/3')).not.toBeNull();
     expect(tasksByMachine(fleet).reduce((a, b) => a + b)).toBe(4);
-    // The idle machine is drained first, then the other two: four tasks are stopped once each.
+    // The idle machine is drained first: four tasks are stopped once each.
     expect(fleet.workers.stops).toHaveLength(4);
     for (const { task } of fleet.workers.stops)
       expect(fleet.workers.starts.filter((s) => s.task === task)).toHaveLength(2);
@@ -35,7 +32,7 @@
       step: 3,
       machines: [],
     });
-    // Each step stores its phases; the next step starts once the work of the last runs again.
+    // Each step is stored; the next starts once the work of the last runs again.
     const phaseWrites = fleet.store.recordWrites.filter(
       (key) => key.startsWith('m/swap') || key.startsWith('d/swap'),
     );
@@ -168,7 +165,7 @@
     expect(fleet.tasksOn(busyMachine)).toEqual(['job-1/0']);
     fleet.workers.runMsByJob.set('job-1', 1000);
     fleet.run(10_000);
-    // A paused drain keeps an empty machine cordoned and does not return it.
+    // A paused drain keeps an empty machine cordoned.
     expect(fleet.machinePhase('out', busyMachine)).toBe('cordoned');
     expect(fleet.callOperatorApi('resume', 'out').status).toBe(200);
     fleet.runUntil(() => fleet.drainPhase('out') === 'done');
@@ -258,7 +255,7 @@
     fleet.runUntil(() => fleet.drainPhase('swap') === 'done');
     const requests = [...fleet.cloud.provisioned.keys()].map((name) => name.split('#')[0]);
 
-    // The first request provisioned two; each of the other three has a request of its own.
+    // The first request provisioned two; the others have one request each.
     expect(fleet.cloud.provisioned.size).toBe(5);
     expect(new Set(requests).size).toBe(4);
     expect(fleet.cloud.returned).toHaveLength(5);
@@ -304,7 +301,7 @@
     const fleet = new DrainFleet(machinesInZone(3), ONE_AT_A_TIME);
     fleet.submitJob('job-1', { ...CHECKPOINTING, cpus: 8, tasks: 3 });
     fleet.run(4000);
-    // A machine is lost, and its task cannot be placed elsewhere: one task is disrupted.
+    // A machine is lost; its task is disrupted and fits nowhere else.
     const lostMachine = fleet.machineOf('job-1/0')!;
     fleet.faults.refuseProvisioning = true;
     fleet.workers.machines.delete(lostMachine);
@@ -394,7 +391,7 @@
     const settleMachine = fleet.machineOf('job-2/0')!;
 
     fleet.startDrain('swap', { select: { all: true }, atOnce: 4 });
-    // Two of four tasks may be disrupted at once, three within 300 s, and none of class settle.
+    // Up to two of four tasks may stop at once, three within 300 s, and none of class settle.
     const drainStartedAt = fleet.now;
     fleet.runUntil(() => fleet.workers.stops.length === 3);
     fleet.run(100_000);
@@ -450,7 +447,7 @@
     fleet.state.machines.get(replicaMachine as MachineId)!.isDraining = true;
     fleet.run(30_000);
     expect(fleet.machineOf('job-1/0')).toBe(replicaMachine);
-    // A reclaim notice overrides the budget, since the machine is lost anyway.
+    // A reclaim notice overrides the budget.
     fleet.workers.machines.get(replicaMachine)!.reclaimedAt = fleet.now + 15_000;
     fleet.runUntil(
       () => fleet.machineOf('job-1/0') !== replicaMachine && fleet.machineOf('job-1/0') !== null,
--- a/packages/drain/test/support/drain-fleet.ts
+++ b/packages/drain/test/support/drain-fleet.ts
@@ -1,7 +1,6 @@
 /**
- * Drives a fleet under one leader after the other, for scripted cases: what is stored, provisioned,
- * started, stopped and returned happens at once unless a test says otherwise, and is remembered by
- * the model's workers, cloud and key-value store.
+ * A simulated fleet with one leader at a time, for scripted cases. Its workers, cloud and key-value
+ * store execute requests at once, except for faults that tests set, and record them.
  */
 import { applyCommands } from '../../../../src/core/apply-commands.js';
 import type { CoreState } from '../../../../src/core/core-state.js';
@@ -26,21 +25,20 @@
 import { settingsOf } from './settings.js';
 
 const LIST_INTERVAL_MS = 4000;
-/** Until the first leader has heard of every machine. */
+/** Time for the first leader to hear from every machine. */
 const START_UP_MS = 6000;
-/** How long an operator's call may take. */
+/** Time-out of an operator API call, in steps of `STEP_MS`. */
 const MAX_STEPS_PER_CALL = 80;
 
-/** The answer to an operator's call. */
-type Answer = { readonly status: number; readonly body: Record<string, unknown> };
+type OperatorAnswer = { readonly status: number; readonly body: Record<string, unknown> };
 
-/** What an operator is told of what holds something up. */
+/** A blocker as the operator API reports it. */
 interface BlockerAnswer {
   readonly kind: string;
   readonly text: string;
 }
 
-/** What an operator is told of one drain. */
+/** The status of a drain as the operator API reports it. */
 export interface DrainStatusAnswer {
   readonly status: string;
   readonly why: string | null;
@@ -56,35 +54,34 @@
   }[];
 }
 
-/** A change of leader: to a version without the package, or with another file. */
-export interface Failover {
+/** A failover to a version without the drain package, or to other settings. */
+export interface FailoverOptions {
   readonly withoutExtension?: boolean;
   readonly settings?: string;
 }
 
-/** A fleet, its services and its present leader. */
+/** A fleet, its services and its current leader. */
 export class DrainFleet {
-  /** What must never happen, and did. */
+  /** Violated invariants. */
   readonly violations: string[] = [];
   readonly faults = noFaults();
   readonly store: ModelKeyValueStore;
   readonly workers: ModelWorkers;
   readonly cloud: ModelCloud;
-  /** The present leader's state. */
   state: CoreState;
-  /** A fault has ended the leader. */
+  /** A fault has crashed the current leader. */
   hasLeaderCrashed = false;
   private readonly clock: Clock = { now: 0 };
   private fencingToken = 10;
   private queue: Command[] = [];
-  /** Answers of the cloud that have not arrived yet. */
+  /** Replies still on their way to the leader. */
   private pendingCloudReplies: { readonly at: number; readonly command: Command }[] = [];
   private pendingBatch: { readonly batch: number; readonly ops: readonly StoreOperation[] } | null =
     null;
   private nextTicket = 1;
-  /** Which worker waits for the reply under a ticket. */
+  /** The worker that waits for the reply with a ticket. */
   private readonly workerByTicket = new Map<number, string>();
-  private readonly answersByTicket = new Map<number, Answer>();
+  private readonly answersByTicket = new Map<number, OperatorAnswer>();
 
   constructor(
     machines: readonly { zone?: string; spot?: boolean }[],
@@ -117,10 +114,10 @@
     return this.clock.now;
   }
 
-  // ---- leaders ----
+  // ---- Leaders ----
 
-  /** A new leader goes on from what is stored. */
-  failOver({ withoutExtension = false, settings = this.settings }: Failover = {}): void {
+  /** Elects a leader that recovers from the stored data. */
+  failOver({ withoutExtension = false, settings = this.settings }: FailoverOptions = {}): void {
     this.settings = settings;
     this.state = this.electLeader(withoutExtension);
   }
@@ -138,7 +135,7 @@
         wallClockOffsetMs: 1_000_000,
         maxValueBytes: MAX_VALUE_BYTES,
       },
-      // The fleet is neither scaled out nor scaled in but by drains.
+      // Disables all scaling out and in except by drains.
       { baselineCapacityShare: 0, capacityHeadroom: 1, scaleInAfterIdleS: 80_000 },
     );
     if (!withoutExtension) {
@@ -168,62 +165,58 @@
     return commands;
   }
 
-  // ---- users and operators ----
+  // ---- Users and operators ----
 
-  /** Submits a job; its tasks run for ever unless `workers.runMs` says otherwise. */
+  /** Submits a job; its tasks never end unless `workers.runMsByJob` says so. */
   submitJob(id: string, change: JobChange = {}): void {
     const spec = job(id, { estimateS: 600, ...change });
     this.store.jobs.set(id, spec);
     this.queue.push({ kind: 'job', spec, submittedAt: this.now as Instant });
   }
 
-  /** Cancels a job. */
   cancelJob(id: string): void {
     const ticket = this.nextTicket++ as ReplyTicket;
     this.queue.push({ kind: 'cancel-job', job: id as JobId, ticket });
   }
 
-  /** An operator's call; plays on until it is answered. */
-  callOperatorApi(route: string, subject = '', body: object = {}): Answer {
+  /** Calls the operator API and runs until it answers; throws on time-out. */
+  callOperatorApi(route: string, subject = '', body: object = {}): OperatorAnswer {
     const ticket = this.nextTicket++ as ReplyTicket;
     const call = { route, subject, body };
     this.queue.push({ kind: 'operator-call', extension: 'drain', call, ticket });
     for (let step = 0; step < MAX_STEPS_PER_CALL && !this.answersByTicket.has(ticket); step += 1)
       this.run(STEP_MS);
     const answer = this.answersByTicket.get(ticket);
-    if (!answer) throw new Error(`${route} was not answered`);
+    if (!answer) throw new Error(`no answer to ${route} from the leader`);
     return answer;
   }
 
-  /** Starts a drain. */
-  startDrain(name: string, body: object): Answer {
+  startDrain(name: string, body: object): OperatorAnswer {
     return this.callOperatorApi('start', '', { name, ...body });
   }
 
-  /** What an operator is told of a drain. */
   drainStatus(name: string): DrainStatusAnswer {
     return this.callOperatorApi('status', name).body as unknown as DrainStatusAnswer;
   }
 
-  // ---- what is seen ----
+  // ---- Observations ----
 
   /** The stored phase of a drain. */
   drainPhase(drain: string): string {
     return (this.store.records.get(`d/${drain}`) as { phase: string }).phase;
   }
 
-  /** The stored phase of a machine in a drain's step; null: it is in none. */
+  /** The stored phase of a machine in a drain's step; null if it is in no step. */
   machinePhase(drain: string, machine: string): string | null {
     const record = this.store.records.get(`m/${drain}/${machine}`) as { phase: string } | undefined;
     return record?.phase ?? null;
   }
 
-  /** The machine on which a task runs; null: none. */
+  /** The machine that runs a task, or null. */
   machineOf(task: string): string | null {
     return this.workers.machineOf(task);
   }
 
-  /** The tasks that run on a machine. */
   tasksOn(machine: string): string[] {
     return this.workers.tasksOn(machine);
   }
@@ -233,16 +226,16 @@
     return known !== undefined && known.lostAt === null && known.hasReported;
   }
 
-  // ---- the course of time ----
+  // ---- Simulated time ----
 
-  /** Plays until the condition holds; fails when it does not come to that. */
+  /** Runs until the condition holds; throws if it does not hold within `maxMs`. */
   runUntil(condition: () => boolean, maxMs = 600_000): void {
     for (const end = this.now + maxMs; !condition(); this.run(STEP_MS)) {
-      if (this.now > end) throw new Error(`not within ${maxMs} ms: ${condition}`);
+      if (this.now > end) throw new Error(`condition not met within ${maxMs} ms: ${condition}`);
     }
   }
 
-  /** Plays for some time. */
+  /** Advances the simulated time. */
   run(ms: number): void {
     for (const end = this.now + ms; this.now < end; ) {
       this.clock.now += STEP_MS;
@@ -289,7 +282,7 @@
         this.pendingBatch = { batch: effect.batch, ops: effect.operations };
         return this.storeBatch();
       case 'operator-answer':
-        this.answersByTicket.set(effect.ticket, effect.answer as Answer);
+        this.answersByTicket.set(effect.ticket, effect.answer as OperatorAnswer);
         return;
       case 'provision':
         return this.cloud.provision(effect);
@@ -305,7 +298,7 @@
     }
   }
 
-  /** Stores the batch that waits, unless the key-value store is away or a fault ends the leader. */
+  /** Stores the pending batch; keeps it while the key-value store is unavailable. */
   private storeBatch(): void {
     if (!this.pendingBatch || this.faults.storeUnavailable || this.hasLeaderCrashed) return;
     const { batch, ops } = this.pendingBatch;
@@ -315,7 +308,7 @@
   }
 }
 
-/** Machines of one zone, for a new fleet. */
+/** Machines of one zone, for a new `DrainFleet`. */
 export const machinesInZone = (
   count: number,
   zone = 'a',
--- a/packages/drain/test/support/faults.ts
+++ b/packages/drain/test/support/faults.ts
@@ -1,26 +1,25 @@
-/** Faults of the model's cloud, key-value store and leader, switched on and off by tests. */
+/** Faults of the modelled cloud, key-value store and leader, which tests switch on and off. */
 
-/** All faults are off at first. */
+/** Faults that are in effect. */
 export interface Faults {
   /** The cloud refuses new provision requests for lack of capacity. */
   refuseProvisioning: boolean;
-  /** Machines that are provisioned never come up. */
+  /** Newly provisioned machines never finish booting. */
   neverBoot: boolean;
   cloudUnavailable: boolean;
   storeUnavailable: boolean;
-  /** The answers to so many deletions are lost; they are carried out. */
+  /** Number of deletions that are carried out but whose responses are lost. */
   deletionResponsesToLose: number;
-  /** The answers to so many provision requests are lost; they are carried out. */
+  /** Number of provision requests that are carried out but whose responses are lost. */
   provisionResponsesToLose: number;
-  /** The cloud fills requests up to this many machines. */
+  /** The cloud provisions at most this many per request. */
   maxMachinesPerRequest: number;
-  /** The leader ends before it stores this change of a record, counted from 1; 0: never. */
+  /** Number, from 1, of the write of records before which the leader crashes; 0: never. */
   crashLeaderAtWrite: number;
-  /** It ends just after that change is stored instead. */
+  /** The leader crashes just after that write instead. */
   crashLeaderAfterWrite: boolean;
 }
 
-/** No faults. */
 export const noFaults = (): Faults => ({
   refuseProvisioning: false,
   neverBoot: false,
@@ -33,10 +32,10 @@
   crashLeaderAfterWrite: false,
 });
 
-/** The steady clock that all parts of the model share, in milliseconds. */
+/** The steady clock that all parts of the model share, in ms. */
 export interface Clock {
   now: number;
 }
 
-/** How far the clock goes on at a time. */
+/** Duration of one simulation step. */
 export const STEP_MS = 250;
--- a/packages/drain/test/support/history-checker.ts
+++ b/packages/drain/test/support/history-checker.ts
@@ -1,7 +1,7 @@
-/** Checks the machines' own history against the budgets, not what the code under test believes. */
+/** Evaluates the stand-in workers' own history of tasks, independently of the code under test. */
 import type { TaskEvent } from '../../../../test/stand-ins/worker.js';
 
-/** The most tasks of each team that were stopped at a time and did not run again yet. */
+/** Maximum number of each team's tasks that were stopped and not yet running again, by team. */
 export const maxStoppedByTeam = (
   history: readonly TaskEvent[],
   teamOf: (task: string) => string,
@@ -19,7 +19,7 @@
   return most;
 };
 
-/** Tasks that ran on two machines at a time. */
+/** Tasks that ran on two machines at once, with both machines. */
 export const findConcurrentRuns = (history: readonly TaskEvent[]): string[] => {
   const runs = new Map<string, string>();
   const twice: string[] = [];
@@ -34,6 +34,6 @@
   return twice;
 };
 
-/** Tasks that were on a machine when it was returned. */
+/** Tasks that were running on a machine when it was returned. */
 export const tasksLostWithMachines = (history: readonly TaskEvent[]): string[] =>
   history.filter(({ kind }) => kind === 'lost').map(({ task }) => task);
--- a/packages/drain/test/support/model-cloud.ts
+++ b/packages/drain/test/support/model-cloud.ts
@@ -1,4 +1,4 @@
-/** The cloud of the model: provisions, deletes and lists machines at once, but for faults. */
+/** Model of the cloud: provisions, deletes and lists machines at once, except for faults. */
 import type { Command } from '../../../../src/core/model/command.js';
 import type { Effect } from '../../../../src/core/model/effect.js';
 import type { MachineId, MachineTypeName, ZoneName } from '../../../../src/core/model/ids.js';
@@ -10,29 +10,28 @@
 
 type ProvisionEffect = Extract<Effect, { kind: 'provision' }>;
 
-/** What the cloud needs of the rest of the model. */
+/** What the cloud needs from the rest of the model. */
 export interface CloudContext {
   readonly clock: Clock;
   readonly faults: Faults;
   readonly violations: string[];
   readonly workers: ModelWorkers;
-  /** Whether the leader holds the machine for one that is up and heard of. */
+  /** Whether the machine has reported to the leader and is not considered lost. */
   isMachineHealthy(machine: MachineId): boolean;
-  /** Hands an answer to the leader, one step later. */
+  /** Delivers a reply to the leader one step later. */
   reply(command: Command): void;
 }
 
-/** Machines that were provisioned and returned. */
 export class ModelCloud {
-  /** Machines that were provisioned, by request and position in it: `request#position`. */
+  /** Provisioned machines, by request and position in it: `request#position`. */
   readonly provisioned = new Map<string, string>();
   readonly returned: string[] = [];
-  /** What each request provisioned: a repeat provisions nothing new. */
+  /** Machines by request: repeating a request provisions nothing new. */
   private readonly machinesByRequest = new Map<string, MachineId[]>();
 
   constructor(private readonly context: CloudContext) {}
 
-  /** All machines; null while the cloud does not answer. */
+  /** All machines; null while the cloud is unavailable. */
   list(): Command | null {
     const { clock, faults, workers } = this.context;
     if (faults.cloudUnavailable) return null;
@@ -48,7 +47,7 @@
     return { kind: 'machines-listed', requestedAt: clock.now as Instant, machines };
   }
 
-  /** Provisions machines, or repeats the answer to a request that was carried out. */
+  /** Provisions machines, or repeats the reply to a request that was already carried out. */
   provision({ request, zone, spot, count }: ProvisionEffect): void {
     const { faults } = this.context;
     const reply = (result: 'ok' | 'refused' | 'unknown', machines: readonly MachineId[]) =>
@@ -77,7 +76,7 @@
     return ids;
   }
 
-  /** Deletes machines; one that is healthy and has work on it is a problem. */
+  /** Deletes machines; reports a healthy one with tasks as a violation. */
   delete(ids: readonly MachineId[]): void {
     const { faults, workers, violations } = this.context;
     const reply = (ok: boolean) =>
@@ -85,7 +84,7 @@
     if (faults.cloudUnavailable) return reply(false);
     for (const id of ids) {
       if (this.context.isMachineHealthy(id) && workers.tasksOn(id).length > 0)
-        violations.push(`returned with work ${id}`);
+        violations.push(`machine returned with tasks on it: ${id}`);
       if (workers.machines.delete(id)) this.returned.push(id);
     }
     if (faults.deletionResponsesToLose > 0) {
--- a/packages/drain/test/support/model-key-value-store.ts
+++ b/packages/drain/test/support/model-key-value-store.ts
@@ -1,10 +1,9 @@
-/** The key-value store of the model: what outlives a leader. */
+/** Model of the key-value store: the data that outlive a leader. */
 import type { JobId, SegmentKey } from '../../../../src/core/model/ids.js';
 import type { JobSpec } from '../../../../src/core/model/job.js';
 import type { StoreOperation } from '../../../../src/core/model/ledger-record.js';
 import type { Faults } from './faults.js';
 
-/** The largest value, in bytes. */
 export const MAX_VALUE_BYTES = 1024;
 
 type SegmentWrite = Extract<StoreOperation, { kind: 'write-segment' }>;
@@ -13,15 +12,15 @@
   { kind: 'write-segment' | 'delete-segment' | 'job-completion' }
 >;
 
-/** Jobs, the placement ledger, completions, and the package's records. */
+/** Stores jobs, the placement ledger, completions and extension records. */
 export class ModelKeyValueStore {
   readonly jobs = new Map<string, JobSpec>();
-  /** The outcome of each job that is over. */
+  /** The outcome of each finished job. */
   readonly completions = new Map<string, string>();
   readonly ledger = new Map<SegmentKey, SegmentWrite>();
-  /** The package's records, by the key under its prefix. */
+  /** Extension records, by key without the prefix. */
   readonly records = new Map<string, unknown>();
-  /** Changes of records that were stored, in order: their keys. */
+  /** The writes of records in order, each as its keys joined by `+`. */
   readonly recordWrites: string[] = [];
 
   constructor(
@@ -29,12 +28,11 @@
     private readonly violations: string[],
   ) {}
 
-  /** Whether the job is not over. */
   isUnfinished(job: JobId): boolean {
     return this.jobs.has(job);
   }
 
-  /** Stores operations in order; false when a fault ends the leader at one of them. */
+  /** Stores operations in order; false if a fault crashes the leader at one of them. */
   storeAll(operations: readonly StoreOperation[]): boolean {
     return operations.every((operation) => this.store(operation));
   }
@@ -64,7 +62,7 @@
       if (value === null) this.records.delete(key);
       else this.records.set(key, JSON.parse(JSON.stringify(value)));
       if (JSON.stringify(value).length > MAX_VALUE_BYTES)
-        this.violations.push(`record ${key} too large`);
+        this.violations.push(`record larger than MAX_VALUE_BYTES: ${key}`);
     }
     this.recordWrites.push(writes.map(({ key }) => key).join('+'));
     return !isCrashWrite;
--- a/packages/drain/test/support/model-workers.ts
+++ b/packages/drain/test/support/model-workers.ts
@@ -1,4 +1,4 @@
-/** The machines of the model and their workers: they send heartbeats and execute commands. */
+/** Model of the machines and their workers, which send heartbeats and execute commands. */
 import type { Heartbeat, TaskStatus } from '../../../../src/core/model/heartbeat.js';
 import type { JobId, ZoneName } from '../../../../src/core/model/ids.js';
 import type { WorkerCommand } from '../../../../src/core/model/worker-command.js';
@@ -10,30 +10,29 @@
 /** A worker waits this long for the reply to a heartbeat. */
 const REPLY_TIMEOUT_MS = 4000;
 
-/** A task on a worker. */
 type ModelTask = TaskStatus & { readonly startedAt: number };
 
-/** One machine with its worker. */
+/** A machine and its worker. */
 export interface ModelWorker {
   readonly id: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly bootedAt: number;
-  /** By name: job and index. */
+  /** Tasks by name, `job/index`. */
   readonly tasks: Map<string, ModelTask>;
   heartbeatSequence: number;
   fencingToken: number;
   agentEpoch: number;
-  /** Neither sends nor receives anything until then. */
+  /** Until then it neither sends nor receives anything. */
   unreachableUntil: number;
-  /** Its heartbeats arrive, but no reply and no command reaches it. */
+  /** Its heartbeats arrive, but no replies or commands reach it. */
   isInboundBlocked: boolean;
-  /** When the cloud reclaims it; null: it does not. */
+  /** When the cloud reclaims it; null without a reclaim notice. */
   reclaimedAt: number | null;
   heartbeatDueAt: number;
   /** When it sent the heartbeat whose reply last renewed its lease. */
   leaseRenewedAt: number;
-  /** When it sent the heartbeat that waits for a reply; null: none does. */
+  /** When it sent the heartbeat that awaits a reply; null if none. */
   heartbeatSentAt: number | null;
 }
 
@@ -44,11 +43,11 @@
   readonly at: number;
 }
 
-/** What the workers need of the rest of the model. */
+/** What the workers need from the rest of the model. */
 export interface WorkerContext {
   readonly clock: Clock;
   readonly violations: string[];
-  /** Whether a leader takes heartbeats. */
+  /** Whether a leader receives heartbeats. */
   isLeaderUp(): boolean;
   isJobUnfinished(job: JobId): boolean;
   sendHeartbeat(worker: ModelWorker, heartbeat: Heartbeat): void;
@@ -57,12 +56,12 @@
 const isActive = (current: ModelTask | undefined): boolean =>
   current !== undefined && current.phase !== 'ended';
 
-/** All workers, and what has happened on them. */
+/** All workers, and the starts and stops of their tasks. */
 export class ModelWorkers {
   readonly machines = new Map<string, ModelWorker>();
-  /** How long each task runs, by job; others run for ever. */
+  /** Run times of tasks, by job; tasks of other jobs never end. */
   readonly runMsByJob = new Map<string, number>();
-  /** Tasks of unfinished jobs that were stopped by command, on machines without a notice. */
+  /** Stops by command of tasks of unfinished jobs, on machines without a reclaim notice. */
   readonly stops: ModelTaskEvent[] = [];
   readonly starts: ModelTaskEvent[] = [];
   private nextMachine = 0;
@@ -73,7 +72,7 @@
     return this.context.clock.now;
   }
 
-  /** A new machine, named after those before it. */
+  /** Adds a machine with the next ID. */
   add(zone: string, spot: boolean, bootMs: number): ModelWorker {
     const id = `n-${String(this.nextMachine++).padStart(4, '0')}`;
     const worker: ModelWorker = {
@@ -96,19 +95,18 @@
     return worker;
   }
 
-  /** The machine on which a task runs; null: none. */
+  /** The machine that runs a task, or null. */
   machineOf(name: string): string | null {
     for (const { id, tasks } of this.machines.values()) if (isActive(tasks.get(name))) return id;
     return null;
   }
 
-  /** The tasks that run on a machine. */
   tasksOn(id: string): string[] {
     const tasks = this.machines.get(id)?.tasks ?? new Map<string, ModelTask>();
     return [...tasks.keys()].filter((name) => isActive(tasks.get(name)));
   }
 
-  /** A restart within its lease: what ran on it is gone, and a new agent epoch begins. */
+  /** Restarts a worker: its tasks are lost, and a new agent epoch begins. */
   restart(id: string): void {
     const worker = this.machines.get(id);
     if (!worker) throw new Error(`no machine ${id}`);
@@ -118,7 +116,7 @@
     worker.heartbeatSentAt = null;
   }
 
-  /** Lets every worker do what is due now. */
+  /** Has every worker do what is due. */
   advance(): void {
     for (const worker of [...this.machines.values()]) this.advanceWorker(worker);
   }
@@ -168,7 +166,7 @@
     return worker !== undefined && !worker.isInboundBlocked && this.now >= worker.unreachableUntil;
   }
 
-  /** The reply to a heartbeat; `commands`: null when the leader does not know the worker yet. */
+  /** Handles a heartbeat's reply; `commands` is null if the leader does not know the worker. */
   receiveReply(id: string, fencingToken: number, commands: readonly WorkerCommand[] | null): void {
     const worker = this.machines.get(id);
     if (!this.isReachable(worker)) return;
@@ -180,7 +178,7 @@
     this.execute(worker, commands);
   }
 
-  /** Commands that the leader sends beside replies, to one agent epoch. */
+  /** Handles commands that the leader sends outside replies, to one agent epoch. */
   receiveCommands(id: string, agentEpoch: number, commands: readonly WorkerCommand[]): void {
     const worker = this.machines.get(id);
     if (this.isReachable(worker) && agentEpoch === worker.agentEpoch)
@@ -210,7 +208,7 @@
   private startTask(worker: ModelWorker, name: string, command: WorkerCommand): void {
     const holder = this.machineOf(name);
     if (holder !== null)
-      this.context.violations.push(`ran twice ${name} on ${holder} and ${worker.id}`);
+      this.context.violations.push(`task ${name} runs both on ${holder} and on ${worker.id}`);
     const status = task(command.job, command.index, command.attempt);
     worker.tasks.set(name, { ...status, startedAt: this.now });
     this.starts.push({ task: name, machine: worker.id, at: this.now });
--- a/packages/drain/test/support/plain-model.ts
+++ b/packages/drain/test/support/plain-model.ts
@@ -1,6 +1,6 @@
 /**
- * Reference models of the drain order and of the budgets, for comparison with the real ones. They
- * follow the text of the design note directly, without regard to speed.
+ * Reference models of the drain order and the budgets, for comparison with the real ones: slow, but
+ * direct transcriptions of the design note.
  */
 import type { AttemptView, MachineView } from '@robinspread/extension-api';
 
@@ -70,7 +70,6 @@
   open: boolean;
 }
 
-/** The limits of one budget scope. */
 export interface ReferenceLimits {
   readonly count: number | null;
   readonly share: number | null;
