--- a/packages/drain/test/recovery.test.ts
+++ b/packages/drain/test/recovery.test.ts
@@ -255,7 +255,7 @@
     expect(fleet.workers.starts).toHaveLength(1);
   });
 
-  it('is left to its reclaim notice, and its lost work counts against the budget', () => {
+  it('is no longer drained after a reclaim notice; its lost work counts against the budget', () => {
     const fleet = new DrainFleet(machinesInZone(2), ONE_AT_A_TIME);
     fleet.submitJob('job-1', { cpus: 8 });
     fleet.submitJob('job-2', { cpus: 8 });
