--- a/packages/drain/test/plain-model.test.ts
+++ b/packages/drain/test/plain-model.test.ts
@@ -179,12 +179,10 @@
         drawnLimits,
         fc.array(drawnAction, { minLength: 10, maxLength: 60, size: 'max' }),
         (team, jobClass, actions) => {
-          const settingsText = `(drain (budgets (team blue ${limitsText(team)} (class settle ${limitsText(jobClass)} ))))`;
-          const text =
-            limitsText(jobClass).trim() === ''
-              ? settingsText.replace(/\(class.*\)\)\)\)$/, ')))')
-              : settingsText;
-          const ledger = new BudgetLedger(settingsOf(text));
+          const text = `(drain (budgets (team blue ${limitsText(team)} (class settle ${limitsText(jobClass)} ))))`;
+          const settings =
+            limitsText(jobClass).trim() === '' ? text.replace(/\(class.*\)\)\)\)$/, ')))') : text;
+          const ledger = new BudgetLedger(settingsOf(settings));
           const fleet = new TaskFleet(TASK_COUNT);
           const disruptions: (ReferenceDisruption & { index: number })[] = [];
           let now = 1_000_000;
