--- a/packages/drain/test/histories.test.ts
+++ b/packages/drain/test/histories.test.ts
@@ -9,7 +9,7 @@
 import { settingsOf, TIGHT_BUDGETS } from './support/settings.js';
 
 /** The status of a drain in the operator API. */
-interface DrainStatusAnswer {
+interface StatusAnswer {
   status: string;
   why: string | null;
   blocked: { text: string } | null;
@@ -169,7 +169,7 @@
 ];
 
 /** Whether a drain has ended, or its status gives a reason why not. */
-const isExplained = (answer: DrainStatusAnswer | undefined): boolean => {
+const isExplained = (answer: StatusAnswer | undefined): boolean => {
   if (answer?.status === 'done' || answer?.status === 'cancelled') return true;
   const reasons = [
     answer?.why,
@@ -186,11 +186,11 @@
   for (let i = 0; i < 400 && real.world.unfinished().length > 0; i += 1) real.advance(30_000, true);
   expect(real.world.unfinished()).toEqual([]);
   for (const name of real.startedDrains) {
-    let answer: DrainStatusAnswer | undefined;
+    let answer: StatusAnswer | undefined;
     // A drain that changes state may briefly report no reason.
     for (let i = 0; i < 20 && !isExplained(answer); i += 1) {
       real.advance(1000, true);
-      answer = real.callOperatorApi('status', name)?.body as DrainStatusAnswer | undefined;
+      answer = real.callOperatorApi('status', name)?.body as StatusAnswer | undefined;
     }
     expect(isExplained(answer), `${name}: ${JSON.stringify(answer)}`).toBe(true);
     if (answer?.status === 'done') totals.done += 1;
--- a/packages/drain/test/large-fleet.test.ts
+++ b/packages/drain/test/large-fleet.test.ts
@@ -1,4 +1,4 @@
-/** Guards against work per tick that grows with the fleet; counts visits instead of time. */
+/** Guards against work per tick that grows faster than the fleet; counts visits, not time. */
 import { describe, expect, it } from 'vitest';
 import { CountingMap } from '../../../test/support/counting-map.js';
 import { CHECKPOINTING, DrainFleet, machinesInZone } from './support/drain-fleet.js';
--- a/packages/drain/test/support/drain-fleet.ts
+++ b/packages/drain/test/support/drain-fleet.ts
@@ -135,7 +135,7 @@
         wallClockOffsetMs: 1_000_000,
         maxValueBytes: MAX_VALUE_BYTES,
       },
-      // Disables all scaling out and in except by drains.
+      // No baseline or spare capacity: only drains and waiting work change the fleet's size.
       { baselineCapacityShare: 0, capacityHeadroom: 1, scaleInAfterIdleS: 80_000 },
     );
     if (!withoutExtension) {
