--- a/packages/drain/src/core/drain.ts
+++ b/packages/drain/src/core/drain.ts
@@ -30,6 +30,7 @@
   | { readonly kind: 'count'; readonly count: number }
   | { readonly kind: 'share'; readonly share: number };
 
+/** An operator's drain request, validated; kept unchanged while the drain exists. */
 export interface DrainRequest {
   readonly name: DrainName;
   readonly selector: Selector;
@@ -74,6 +75,7 @@
   replacementsRequested: number;
 }
 
+/** A drain and its progress. */
 export interface Drain {
   readonly request: DrainRequest;
   phase: DrainPhase;
--- a/packages/drain/src/core/settings.ts
+++ b/packages/drain/src/core/settings.ts
@@ -10,6 +10,7 @@
   readonly window: { readonly seconds: number; readonly count: number } | null;
 }
 
+/** Limits on the disruption of one team's tasks. */
 export interface TeamBudget {
   readonly limits: BudgetLimits;
   /** Limits of single job classes, in addition to the team's. */
--- a/src/adapters/cloud/cloud-client.ts
+++ b/src/adapters/cloud/cloud-client.ts
@@ -42,6 +42,7 @@
 /** Names the request whose answer violates the protocol. */
 type Operation = 'list-machine-types' | 'list-machines' | 'provision';
 
+/** Outcome of a provision request; only `refused` proves that it creates no machines. */
 export type ProvisionResult =
   | { readonly kind: 'provisioned'; readonly machines: MachineId[] }
   /** Certainly not executed. */
@@ -54,6 +55,7 @@
 
 const always: AuthorizationCheck = () => true;
 
+/** HTTP client of the cloud. Failures are returned, never thrown; no request is retried. */
 export class CloudClient {
   private readonly http: HttpClient;
   private readonly limiter: RateLimiter;
--- a/src/adapters/configuration/settings.ts
+++ b/src/adapters/configuration/settings.ts
@@ -91,6 +91,7 @@
   readonly cancelS: number;
 }
 
+/** The key-value store's limits for all controllers together; see `RateShares` for a node's. */
 export interface KeyValueStoreLimits {
   /** Requests per second. */
   readonly rps: number;
--- a/src/adapters/http/answers.ts
+++ b/src/adapters/http/answers.ts
@@ -8,6 +8,7 @@
 import { encodeJobView } from '../wire/jobs.js';
 import { encodeWorkerCommands } from '../wire/workers.js';
 
+/** An HTTP response, independent of the server that sends it. */
 export interface HttpAnswer {
   readonly status: number;
   /** Serialized as JSON. */
@@ -81,6 +82,7 @@
   }
 };
 
+/** Responds with a team's unfinished jobs. */
 export const answerList = (result: ListResult): HttpAnswer =>
   result.kind === 'listed'
     ? ok({ jobs: result.jobs.map(encodeJobView) })
--- a/src/adapters/http/api-server.ts
+++ b/src/adapters/http/api-server.ts
@@ -76,6 +76,7 @@
   };
 };
 
+/** An application to serve, and the settings that bound its connections. */
 export interface ServedApi {
   readonly settings: Pick<Settings, 'api' | 'workers' | 'quota'>;
   readonly app: NodeApplication;
@@ -111,6 +112,7 @@
   return server;
 };
 
+/** Starts the controller's HTTP API for users, operators and workers. */
 export const startApi = (settings: Settings, controller: ControllerApi, log: Log): Server => {
   const handleHeartbeat = makeHeartbeatHandler(controller, log);
   const app = makeApi(controller, log, handleHeartbeat);
--- a/src/adapters/http/heartbeat-connections.ts
+++ b/src/adapters/http/heartbeat-connections.ts
@@ -12,6 +12,7 @@
 /** Handles the body of a heartbeat. The promise must not reject. */
 export type HeartbeatHandler = (body: string) => Promise<HeartbeatReply>;
 
+/** Limits of a connection on which a worker sends heartbeats; one that exceeds them is closed. */
 export interface HeartbeatLimits {
   readonly maxBodyBytes: number;
   /** A connection without data for this long is closed. */
--- a/src/adapters/http/request-body.ts
+++ b/src/adapters/http/request-body.ts
@@ -33,6 +33,7 @@
     });
   });
 
+/** Parses JSON; never throws. */
 export const parseJsonText = (text: string): JsonBody => {
   try {
     return { kind: 'json', json: JSON.parse(text) };
@@ -41,6 +42,7 @@
   }
 };
 
+/** Reads a body of at most `MAX_BODY_BYTES` and parses it. Rejects if the client disconnects. */
 export const readJsonBody = async (request: IncomingMessage): Promise<JsonBody> => {
   const text = await readText(request, MAX_BODY_BYTES);
   return text === null ? BODY_TOO_LARGE : parseJsonText(text);
--- a/src/adapters/key-value-store/key-value-store-client.ts
+++ b/src/adapters/key-value-store/key-value-store-client.ts
@@ -54,6 +54,7 @@
 const RENEWED = Object.freeze({ kind: 'renewed' } as const);
 const TOO_OLD = Object.freeze({ kind: 'too-old' } as const);
 
+/** HTTP client of the key-value store. It retries no request: that is up to the caller. */
 export class KeyValueStoreClient implements KeyValueStore {
   private readonly rates: StoreRates;
   private readonly connection: StoreConnection;
--- a/src/adapters/key-value-store/store-codec.ts
+++ b/src/adapters/key-value-store/store-codec.ts
@@ -103,6 +103,7 @@
   return { Write: put, Data: value, ...(lease === undefined ? {} : { Hold: lease }) };
 };
 
+/** Encodes the body of a transaction: preconditions, and mutations that apply if all hold. */
 export const encodeTransaction = (
   preconditions: readonly Precondition[],
   mutations: readonly Mutation[],
@@ -111,6 +112,7 @@
   Apply: mutations.map(encodeMutation),
 });
 
+/** Encodes the body of a lease grant. The lease expires `ttlMs` after its grant or last renewal. */
 export const encodeLeaseRequest = (lifeMs: number) => ({ LifeMs: lifeMs });
 
 /** Encodes a query string. Slashes are not escaped, since keys are paths. */
@@ -124,5 +126,6 @@
 export const pagePath = (prefix: string, after: string | undefined, limit: number): string =>
   `/kv?${encodeQuery({ Under: prefix, Since: after, Limit: limit })}`;
 
+/** Path of a long poll: the store answers once a key changes, or after `pollTimeoutMs`. */
 export const watchPath = (prefix: string, since: Revision, holdMs: number): string =>
   `/follow?${encodeQuery({ Under: prefix, Since: since, HoldMs: holdMs })}`;
--- a/src/adapters/key-value-store/store-rates.ts
+++ b/src/adapters/key-value-store/store-rates.ts
@@ -19,6 +19,7 @@
  */
 const LOWERED_RATES_DURATION_MS = 20_000;
 
+/** The rate limiters of one client; 429 answers lower both rates for a while. */
 export class StoreRates {
   readonly requests: RateLimiter;
   readonly writes: RateLimiter;
--- a/src/adapters/peers/frames.ts
+++ b/src/adapters/peers/frames.ts
@@ -15,6 +15,7 @@
   }
 }
 
+/** Encodes a message as a frame. The receiver rejects frames larger than `MAX_FRAME_BYTES`. */
 export const encodeFrame = (message: unknown): Buffer => {
   const body = packr.pack(message);
   const frame = Buffer.allocUnsafe(HEADER_BYTES + body.length);
--- a/src/adapters/peers/request-codec.ts
+++ b/src/adapters/peers/request-codec.ts
@@ -29,6 +29,7 @@
   readonly request: PeerRequest;
 }
 
+/** A received answer; `n` is the sequence number of the request that it answers. */
 export type NumberedAnswer = v.InferOutput<typeof answerSchema>;
 
 /** Parses a request. Returns null if the message is malformed or of an unknown kind. */
@@ -48,4 +49,5 @@
 /** Encodes a request. `n` is the first field. */
 export const encodeRequest = (n: number, request: PeerRequest) => ({ n, ...request });
 
+/** Encodes the answer to request `n`. */
 export const encodeAnswer = (n: number, answer: unknown) => ({ n, is: answer });
--- a/src/adapters/runtime/clock.ts
+++ b/src/adapters/runtime/clock.ts
@@ -18,5 +18,6 @@
 export const fromTimeOfDay = (timeOfDayMs: number): Instant =>
   (steadyNow() - (Date.now() - timeOfDayMs)) as Instant;
 
+/** Resolves after at least `ms` milliseconds. */
 export const sleep = (ms: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, ms));
--- a/src/adapters/wire/cloud.ts
+++ b/src/adapters/wire/cloud.ts
@@ -102,6 +102,7 @@
 const decodeStatus = (status: string): ListedMachine['status'] =>
   status === 'failed' || status === 'running' ? status : 'booting';
 
+/** One page of the cloud's machine list. */
 export interface MachinePage {
   readonly machines: ListedMachine[];
   readonly hasMore: boolean;
@@ -125,6 +126,7 @@
   return { machines, hasMore: result.output[LIST_FIELDS.hasMore] ?? false };
 };
 
+/** Encodes the body of a request that provisions machines. */
 export const encodeProvisionRequest = ({ request, type, zone, spot, count }: ProvisionRequest) => ({
   [PROVISION_FIELDS.request]: request,
   [PROVISION_FIELDS.type]: type,
--- a/src/adapters/wire/jobs.ts
+++ b/src/adapters/wire/jobs.ts
@@ -118,6 +118,7 @@
   cancelled: 'withdrawn',
 } as const satisfies Record<JobView['status'], string>;
 
+/** Encodes a job for users. `Shape`, `Pieces` and `waiting` are omitted if absent from the view. */
 export const encodeJobView = (view: JobView) => ({
   Ref: view.id,
   Status: WIRE_STATUS[view.status],
--- a/src/core/extensions/extension.ts
+++ b/src/core/extensions/extension.ts
@@ -26,6 +26,7 @@
 import type { Team } from '../model/team.js';
 import type { Instant, Millis } from '../model/time.js';
 
+/** Part of the extension interface; defined apart because the core's commands use them too. */
 export type { OperatorAnswer, OperatorCall } from '../model/operator-call.js';
 
 /** An attempt at running a task on a machine. */
--- a/src/core/fleet/loss-detection.ts
+++ b/src/core/fleet/loss-detection.ts
@@ -106,6 +106,7 @@
   machine.isReady = false;
 };
 
+/** Marks silent machines as lost and releases placements whose worker lease has expired. */
 export const detectLostMachines = (state: CoreState, now: Instant): void => {
   const timeouts = computeHeartbeatTimeouts(state, now);
   for (const machine of state.machines.values()) {
--- a/src/core/fleet/provision-requests.ts
+++ b/src/core/fleet/provision-requests.ts
@@ -23,6 +23,7 @@
 const REFUSAL_PAUSE_S = 4;
 const MAX_COUNTED_REFUSALS = 4;
 
+/** Drops requests whose response counts as lost, so that they no longer count as supply. */
 export const expireProvisionRequests = (state: CoreState, now: Instant): void => {
   for (const pool of state.instancePools.values()) {
     for (const [request, { requestedAt }] of pool.outstandingRequests) {
--- a/src/core/fleet/scale-out.ts
+++ b/src/core/fleet/scale-out.ts
@@ -206,6 +206,7 @@
   }
 };
 
+/** Returns effects that provision machines: for services, total demand, and constrained jobs. */
 export const planScaleOut = (state: CoreState, now: Instant): Effect[] => {
   // Before the machine list has been read, requests could duplicate those of a former leader.
   if (!state.hasReadMachineList) return [];
--- a/src/core/ledger/segments.ts
+++ b/src/core/ledger/segments.ts
@@ -19,6 +19,7 @@
 export const segmentKey = (fencingToken: FencingToken, number: number): SegmentKey =>
   `${SEGMENT_PREFIX}${fencingToken}/${number}` as SegmentKey;
 
+/** Creates an empty segment without adding it to the core state. */
 export const createSegment = (key: SegmentKey): LedgerSegment => ({
   key,
   placements: new Set(),
--- a/src/core/model/ids.ts
+++ b/src/core/model/ids.ts
@@ -17,8 +17,10 @@
 /** Name of a team in the settings. */
 export type TeamName = Branded<string, 'TeamName'>;
 
+/** Name of one of the cloud's zones. */
 export type ZoneName = Branded<string, 'ZoneName'>;
 
+/** Name of one of the cloud's machine types. */
 export type MachineTypeName = Branded<string, 'MachineTypeName'>;
 
 /** Name of an image that tasks need. */
--- a/src/core/scheduling/capacity.ts
+++ b/src/core/scheduling/capacity.ts
@@ -90,6 +90,7 @@
   return true;
 };
 
+/** Whether a task of the job fits in the machine's free capacity now. */
 export const fitsFreeCapacity = (job: Job, capacity: FreeCapacity): boolean =>
   capacity.slots > 0 && fitsResources(job, capacity);
 
@@ -173,6 +174,7 @@
       capacity.memoryGb + EPSILON >= smallest.memoryGb,
   );
 
+/** Amounts of each resource of a machine; `cpus` and `gpus` may be fractional. */
 export interface Resources {
   cpus: number;
   gpus: number;
@@ -194,6 +196,7 @@
   return free;
 };
 
+/** Whether one task of the job fits in these resources, regardless of the limit on attempts. */
 export const fitsResources = (job: Job, free: Resources): boolean =>
   free.cpus + EPSILON >= job.spec.cpus &&
   free.gpus + EPSILON >= job.spec.gpus &&
--- a/src/core/scheduling/scoring.ts
+++ b/src/core/scheduling/scoring.ts
@@ -42,6 +42,7 @@
   readonly ampleTypeCount: number;
 }
 
+/** What the scores depend on besides the jobs. `fleetGpus`: number of GPUs in the fleet by type. */
 export interface RankingInput {
   readonly types: ReadonlyMap<MachineTypeName, MachineType>;
   readonly fleetGpus: ReadonlyMap<MachineTypeName, number>;
--- a/src/ports/key-value-store.ts
+++ b/src/ports/key-value-store.ts
@@ -17,6 +17,7 @@
   readonly revision: Revision;
 }
 
+/** Result of reading one key. `absent`: the store confirms that the key does not exist. */
 export type GetResult =
   | { readonly kind: 'found'; readonly item: StoredItem }
   | { readonly kind: 'absent' }
@@ -27,10 +28,12 @@
   | { readonly kind: 'listed'; readonly items: StoredItem[]; readonly revision: Revision }
   | StoreFailure;
 
+/** A put or a deletion of one key, at this revision. */
 export type Change =
   | { readonly key: string; readonly value: unknown; readonly revision: Revision }
   | { readonly key: string; readonly deleted: true; readonly revision: Revision };
 
+/** Result of one long poll for changes under a prefix. */
 export type WatchResult =
   /** Ordered changes (none if the poll timed out) and the revision for the next call. */
   | { readonly kind: 'changes'; readonly revision: Revision; readonly changes: Change[] }
@@ -61,8 +64,10 @@
   | { readonly kind: 'too-large' }
   | StoreFailure;
 
+/** Result of requesting a lease; keys put with it are deleted when it expires. */
 export type LeaseGrantResult = { readonly kind: 'granted'; readonly lease: LeaseId } | StoreFailure;
 
+/** Result of renewing a lease. `lease-expired` is final: a new lease must be requested. */
 export type LeaseRenewalResult =
   | { readonly kind: 'renewed' }
   | { readonly kind: 'lease-expired' }
--- a/src/ports/user-api.ts
+++ b/src/ports/user-api.ts
@@ -29,6 +29,7 @@
   /** The job could never run on this cluster. */
   | { readonly kind: 'infeasible'; readonly reason: string };
 
+/** Result of a submission. The user may safely repeat any submission. */
 export type SubmissionResult =
   /** This submission has stored the job. */
   | { readonly kind: 'accepted'; readonly job: JobView }
--- a/src/service/batch-writer.ts
+++ b/src/service/batch-writer.ts
@@ -16,6 +16,7 @@
   jobKey,
 } from './stored-records.js';
 
+/** Options of the batch writer of one leader term. */
 export interface BatchWriterOptions {
   readonly store: KeyValueStore;
   readonly fencingToken: FencingToken;
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -25,6 +25,7 @@
 import { PeerRequestHandler } from './peers/peer-request-handler.js';
 import { requestOperatorCall } from './peers/peer-requests.js';
 
+/** Configuration of one controller, and the sources of its log and jitter. */
 export interface ControllerOptions {
   readonly settings: Settings;
   readonly policy: Policy;
--- a/src/service/effect-runner.ts
+++ b/src/service/effect-runner.ts
@@ -11,6 +11,7 @@
 
 type EffectOf<K extends Effect['kind']> = Extract<Effect, { kind: K }>;
 
+/** Components that effects of one leader term act on. */
 export interface EffectRunnerOptions {
   readonly dependencies: Pick<Dependencies, 'cloud' | 'log' | 'runInBackground' | 'workers'>;
   readonly term: TermContext;
--- a/src/service/job-watch.ts
+++ b/src/service/job-watch.ts
@@ -14,6 +14,7 @@
 const WATCH_HOLD_MS = 15_000;
 const RETRY_MS = 200;
 
+/** Components that the watch reads from and submits to. */
 export interface JobWatchOptions {
   readonly dependencies: Pick<Dependencies, 'batchStore' | 'jitter'>;
   readonly term: TermContext;
--- a/src/service/jobs/job-views.ts
+++ b/src/service/jobs/job-views.ts
@@ -10,6 +10,7 @@
   reason: 'state service away',
 } as const satisfies LookupResult;
 
+/** View of an ended job; 0 tasks done if it was cancelled, as their number is not stored. */
 export const viewOfCompletion = (id: JobId, completion: JobCompletion): JobView => ({
   id,
   team: completion.team,
--- a/src/service/leader-election.ts
+++ b/src/service/leader-election.ts
@@ -48,6 +48,7 @@
   onDeposed(): void;
 }
 
+/** Options of a node's leader election. */
 export interface LeaderElectionOptions {
   readonly node: NodeId;
   readonly store: KeyValueStore;
--- a/src/service/peers/peer-messages.ts
+++ b/src/service/peers/peer-messages.ts
@@ -58,6 +58,7 @@
   unavailable: 'later',
 } as const satisfies Record<SubmissionResult['kind'], string>;
 
+/** Encodes the result of an admission for the peer that requested it. */
 export const encodeAdmission = (result: SubmissionResult): object => {
   const kind = ADMISSION_KINDS[result.kind];
   return 'job' in result ? { kind, view: result.job } : { kind, reason: result.reason };
@@ -98,6 +99,7 @@
   state: v.optional(v.boolean(), false),
 });
 
+/** Encodes this node's health for a peer that polls it. */
 export const encodeHealth = (health: PeerHealth): v.InferOutput<typeof healthSchema> => ({
   leader: health.leader,
   term: health.fencingToken,
--- a/src/service/peers/peer-requests.ts
+++ b/src/service/peers/peer-requests.ts
@@ -75,5 +75,6 @@
     await leader.request({ ask: 'operate', extension, call }, TIMEOUT_MS.operatorCall),
   );
 
+/** Requests a peer's health; null if there is no valid answer within the time-out. */
 export const requestHealth = async (peer: Peer): Promise<PeerHealth | null> =>
   decodeHealth(await peer.request({ ask: 'health' }, TIMEOUT_MS.health));
--- a/src/service/state-recovery.ts
+++ b/src/service/state-recovery.ts
@@ -28,6 +28,7 @@
   readonly jobsRevision: Revision;
 }
 
+/** Components that the recovery reads from, and those that it updates. */
 export interface StateRecoveryOptions {
   readonly dependencies: Pick<
     Dependencies,
--- a/src/service/stored-records/completion-record.ts
+++ b/src/service/stored-records/completion-record.ts
@@ -21,6 +21,7 @@
   readonly team: TeamName;
 }
 
+/** Encodes a completion as it is stored. */
 export const encodeCompletion = ({
   outcome,
   tasks,
--- a/src/service/stored-records/job-record.ts
+++ b/src/service/stored-records/job-record.ts
@@ -95,6 +95,7 @@
   deadlineS: stored.deadlineS,
 });
 
+/** Encodes a job as it is stored: a service under `service`, an array under `spec`. */
 export const encodeJob = ({ acceptedAt, spec }: JobRecord): StoredJob => {
   const stored = encodeSpec(spec);
   return spec.shape === 'service'
--- a/src/service/stored-records/keys.ts
+++ b/src/service/stored-records/keys.ts
@@ -30,6 +30,8 @@
 export const extensionKey = (extension: string, key: string): string =>
   extensionPrefix(extension) + key;
 
+/** Key of an accepted job's record, which exists until the job ends. */
 export const jobKey = (id: JobId): string => `${JOB_PREFIX}${id}`;
 
+/** Key of a job's completion, which replaces the job's record when the job ends. */
 export const completionKey = (id: JobId): string => `${COMPLETION_PREFIX}${id}`;
--- a/src/service/stored-records/segment-record.ts
+++ b/src/service/stored-records/segment-record.ts
@@ -99,6 +99,7 @@
 
 const beginsAtBlock = ({ firstTask }: ProgressRow): boolean => firstTask % TASKS_PER_BLOCK === 0;
 
+/** Encodes a segment as it is stored. Blocks and smaller chunks have separate fields. */
 export const encodeSegment = ({ machines, progress }: SegmentRecord): StoredSegment => {
   const jobs = new JobRows();
   const blocks = progress.filter(beginsAtBlock);
--- a/src/service/worker-heartbeats.ts
+++ b/src/service/worker-heartbeats.ts
@@ -36,6 +36,7 @@
   readonly known: number;
 }
 
+/** Components of one leader term that answering heartbeats needs, and the worker settings. */
 export interface WorkerHeartbeatsOptions {
   readonly workers: Settings['workers'];
   readonly log: Log;
