--- a/packages/drain/src/adapters/settings-parser.ts
+++ b/packages/drain/src/adapters/settings-parser.ts
@@ -162,15 +162,18 @@
   return settings;
 };
 
-/** Returns the settings, or a one-line `fault` as the extension interface defines it. */
+/**
+ * Parses the settings. For an invalid file, returns an error text as `ExtensionPackage.configure`
+ * does.
+ */
 export const parseDrainSettings = (
   text: string,
   knownTeams: ReadonlySet<string>,
-): DrainSettings | { readonly fault: string } => {
+): DrainSettings | { readonly error: string } => {
   try {
     return parse(text, knownTeams);
   } catch (error) {
-    if (error instanceof SettingsError) return { fault: `drain: ${error.message}` };
+    if (error instanceof SettingsError) return { error: `drain: ${error.message}` };
     throw error;
   }
 };
--- a/packages/drain/src/index.ts
+++ b/packages/drain/src/index.ts
@@ -27,7 +27,7 @@
 export const extensionPackage: ExtensionPackage = {
   configure: (text, { teams }) => {
     const settings = parseDrainSettings(text, teams);
-    return 'fault' in settings ? settings : drainModule(settings);
+    return 'error' in settings ? settings : drainModule(settings);
   },
   addCommands,
 };
--- a/packages/drain/test/input.test.ts
+++ b/packages/drain/test/input.test.ts
@@ -7,7 +7,7 @@
 const TEAMS = new Set(['blue', 'green']);
 const faultIn = (text: string): string => {
   const parsed = parseDrainSettings(text, TEAMS);
-  return 'fault' in parsed ? parsed.fault : 'none';
+  return 'error' in parsed ? parsed.error : 'none';
 };
 
 describe('parseDrainSettings', () => {
--- a/packages/drain/test/support/settings.ts
+++ b/packages/drain/test/support/settings.ts
@@ -7,7 +7,7 @@
 /** Parses settings; throws if they are faulty. */
 export const settingsOf = (text: string): DrainSettings => {
   const settings = parseDrainSettings(text, TEAMS);
-  if ('fault' in settings) throw new Error(settings.fault);
+  if ('error' in settings) throw new Error(settings.error);
   return settings;
 };
 
--- a/src/adapters/wire/jobs.ts
+++ b/src/adapters/wire/jobs.ts
@@ -78,12 +78,12 @@
 export const parseJobId = (text: unknown): JobId | null =>
   typeof text === 'string' && JOB_ID.test(text) ? (text as JobId) : null;
 
-/** Parses a job. If it is invalid, returns a text for the user with the first invalid field. */
-export const parseJob = (body: unknown): JobSpec | { readonly fault: string } => {
+/** Parses a job. For an invalid body, returns an error text that names the first invalid field. */
+export const parseJob = (body: unknown): JobSpec | { readonly error: string } => {
   const result = v.safeParse(jobSchema, body);
   if (!result.success) {
     const issue = result.issues[0];
-    return { fault: `${v.getDotPath(issue) ?? 'body'}: ${issue.message}` };
+    return { error: `${v.getDotPath(issue) ?? 'body'}: ${issue.message}` };
   }
   const job = result.output;
   return {
--- a/src/cli/extensions.ts
+++ b/src/cli/extensions.ts
@@ -25,7 +25,7 @@
   return load ? (await load()).extensionPackage : null;
 };
 
-/** Loads and configures the package that a file enables. Throws a `SettingsError` on a fault. */
+/** Loads and configures the package that a file enables. Throws a `SettingsError` if invalid. */
 export const loadExtension = async (path: string, settings: Settings): Promise<ExtensionModule> => {
   const text = readConfigurationFile(path, 'extension');
   const form = parseSExpression(text);
@@ -35,6 +35,6 @@
     throw new SettingsError(`extension: ${path} begins with no known name: (NAME ...)`);
   const teams = new Set<string>(settings.teams.keys());
   const configured = extensionPackage.configure(text, { teams });
-  if ('fault' in configured) throw new SettingsError(configured.fault);
+  if ('error' in configured) throw new SettingsError(configured.error);
   return configured;
 };
--- a/src/core/extensions/extension-package.ts
+++ b/src/core/extensions/extension-package.ts
@@ -21,11 +21,14 @@
 
 /** An optional package. */
 export interface ExtensionPackage {
-  /** Parses its file under `deploy/`; a fault names the invalid field in one line. */
+  /**
+   * Parses its file under `deploy/`. For an invalid file, returns an error text of one line that
+   * names the invalid field.
+   */
   configure(
     text: string,
     known: { readonly teams: ReadonlySet<string> },
-  ): ExtensionModule | { readonly fault: string };
+  ): ExtensionModule | { readonly error: string };
   /** Adds its commands to the program. */
   addCommands(program: Command, tools: CommandTools): void;
 }
--- a/src/ports/user-api.ts
+++ b/src/ports/user-api.ts
@@ -19,8 +19,8 @@
   readonly waiting?: string;
 }
 
-/** The job to submit, or the reason why the request body is not a valid job. */
-export type SubmissionRequest = JobSpec | { readonly fault: string };
+/** The job to submit, or for an invalid request body, a text that names its first invalid field. */
+export type SubmissionRequest = JobSpec | { readonly error: string };
 
 /** Why a submission is permanently rejected. */
 export type SubmissionRefusal =
--- a/src/service/jobs/submission-service.ts
+++ b/src/service/jobs/submission-service.ts
@@ -46,7 +46,7 @@
   async submit(id: JobId, request: SubmissionRequest): Promise<SubmissionResult> {
     const known = this.queries.viewLocally(id);
     if (known) return { kind: 'already-known', job: known };
-    if ('fault' in request) return this.refuse(id, { kind: 'malformed', reason: request.fault });
+    if ('error' in request) return this.refuse(id, { kind: 'malformed', reason: request.error });
     const { machineTypes, settings, store } = this.dependencies;
     if (!machineTypes) return { kind: 'unavailable', reason: 'machine types not known yet' };
     const reason = findInfeasibility(request, settings.teams.get(request.team), machineTypes);
--- a/test/pinned-commands.test.ts
+++ b/test/pinned-commands.test.ts
@@ -276,7 +276,7 @@
     );
     expect(changed.map((key) => [defaults[key], changedSettings[key]])).toEqual([[initial, 77]]);
     expect(parseDrainSettings(`(drain (${name} ${least - 1}))`, teams)).toEqual({
-      fault: `drain: field ${name}: must be a number from ${least} to 86400`,
+      error: `drain: field ${name}: must be a number from ${least} to 86400`,
     });
   });
 
@@ -285,7 +285,7 @@
     const full = `(drain (budgets (default (at-once 3)) (team blue (at-once 2) (at-once-share 0.25)
       (within 600 10) (class settle (at-once 1) (at-once-share 0.5) (within 60 1)))))`;
     for (const text of [deployed, full])
-      expect(parseDrainSettings(text, teams)).not.toHaveProperty('fault');
+      expect(parseDrainSettings(text, teams)).not.toHaveProperty('error');
   });
 });
 
--- a/test/pinned-records.test.ts
+++ b/test/pinned-records.test.ts
@@ -127,7 +127,7 @@
 
 const specOf = (name: string): JobSpec => {
   const parsed = parseJob(inputs.get(name));
-  if ('fault' in parsed) throw new Error(parsed.fault);
+  if ('error' in parsed) throw new Error(parsed.error);
   return parsed;
 };
 
