--- a/packages/drain/src/core/disruption-tracker.ts
+++ b/packages/drain/src/core/disruption-tracker.ts
@@ -2,7 +2,13 @@
  * Disruptions that no drain requests: replicas that the core evicts by its own decision, reclaim
  * notices, and attempts that are lost with their machines.
  */
-import type { AttemptId, AttemptView, MachineView, Moment } from '@robinspread/extension-api';
+import type {
+  AttemptId,
+  AttemptRelease,
+  AttemptView,
+  MachineView,
+  Moment,
+} from '@robinspread/extension-api';
 import type { BudgetLedger } from './budget-ledger.js';
 import type { DecisionContext } from './decision-context.js';
 import type { DrainRegistry } from './drain-registry.js';
@@ -67,8 +73,8 @@
     }
   }
 
-  /** Handles an attempt that is known not to be on its machine any more. */
-  handleReleased(attempt: AttemptView, how: 'reported' | 'gone', moment: Moment): void {
+  /** Handles an attempt that is certainly no longer on its machine. */
+  handleReleased(attempt: AttemptView, release: AttemptRelease, moment: Moment): void {
     const { job, machine, stopRequest, isSuperseded } = attempt;
     if (!hasBegun(attempt) || job?.terminalState !== 'none' || isSuperseded) return;
     const { attempt: id } = attempt.entry;
@@ -78,7 +84,7 @@
       if (this.budget.disruptions.has(id)) this.budget.recordInvoluntary(attempt, moment);
       return;
     }
-    if (how === 'gone' || stopRequest) this.budget.recordInvoluntary(attempt, moment);
+    if (release === 'gone' || stopRequest) this.budget.recordInvoluntary(attempt, moment);
     else this.budget.withdraw(id);
   }
 }
--- a/packages/drain/src/core/drain-events.ts
+++ b/packages/drain/src/core/drain-events.ts
@@ -23,7 +23,7 @@
   handle(event: ExtensionEvent, moment: Moment): readonly RecordWrite[] {
     switch (event.kind) {
       case 'released':
-        this.collaborators.disruptions.handleReleased(event.attempt, event.how, moment);
+        this.collaborators.disruptions.handleReleased(event.attempt, event.release, moment);
         return [];
       case 'provision-result':
         return this.handleProvisionResult(event, moment);
--- a/packages/extension-api/src/index.ts
+++ b/packages/extension-api/src/index.ts
@@ -24,6 +24,8 @@
   CommandTools,
   ExtensionPackage,
 } from '../../../src/core/extensions/extension-package.js';
+/** Why an attempt was released. */
+export type { AttemptRelease } from '../../../src/core/model/attempt.js';
 /** Records that a package keeps in the key-value store. */
 export type { ExtensionRecord, RecordWrite } from '../../../src/core/model/extension-record.js';
 /** Branded identifiers. */
--- a/src/core/extensions/extension.ts
+++ b/src/core/extensions/extension.ts
@@ -129,7 +129,7 @@
 /** An event that the core passes to an extension. */
 export type ExtensionEvent =
   /** An attempt is certainly no longer on its machine. Sent before the core removes it. */
-  | { readonly kind: 'released'; readonly attempt: AttemptView; readonly how: AttemptRelease }
+  | { readonly kind: 'released'; readonly attempt: AttemptView; readonly release: AttemptRelease }
   /** The result of one of the extension's own provision requests. */
   | {
       readonly kind: 'provision-result';
--- a/src/core/lifecycle/attempts.ts
+++ b/src/core/lifecycle/attempts.ts
@@ -2,7 +2,7 @@
 
 import type { CoreState } from '../core-state.js';
 import { detachPlacement } from '../ledger/segments.js';
-import type { AttemptPhase } from '../model/attempt.js';
+import type { AttemptPhase, AttemptRelease } from '../model/attempt.js';
 import type { Job, Machine, Placement } from '../model/entities.js';
 import type { ZoneName } from '../model/ids.js';
 import type { LedgerEntry } from '../model/ledger-record.js';
@@ -128,17 +128,16 @@
 
 /**
  * Ends an attempt that is certainly no longer on its machine, and releases its resources and quota.
- * `reported`: its worker reports its end; `gone`: its absence is proven (see `AttemptRelease`).
  */
 export const releasePlacement = (
   state: CoreState,
   placement: Placement,
   now: Instant,
-  how: 'reported' | 'gone' = 'gone',
+  release: AttemptRelease = 'gone',
 ): void => {
   const { entry, machine, job } = placement;
   if (!occupiesMachine(placement.phase)) return;
-  state.extensions?.observe({ kind: 'released', attempt: placement, how });
+  state.extensions?.observe({ kind: 'released', attempt: placement, release });
   placement.phase = 'ended';
   state.awaitingLedgerEntry.delete(placement);
   detachPlacement(state, placement);
