--- a/src/adapters/key-value-store/key-value-store-client.ts
+++ b/src/adapters/key-value-store/key-value-store-client.ts
@@ -79,7 +79,7 @@
   }
 
   scaleWriteRate(scale: number): void {
-    this.rates.scaleWrites(scale);
+    this.rates.scaleWriteRate(scale);
   }
 
   /** Classifies a reply that is not a valid success as `refused` or `unknown`. */
@@ -152,11 +152,11 @@
     return { kind: 'committed', revision };
   }
 
-  async grantLease(lifeMs: number): Promise<LeaseGrantResult> {
+  async grantLease(ttlMs: number): Promise<LeaseGrantResult> {
     const reply = await this.connection.sendLeaseRequest({
       method: 'POST',
       path: '/holds',
-      body: encodeLeaseRequest(lifeMs),
+      body: encodeLeaseRequest(ttlMs),
       timeoutMs: LEASE_TIMEOUT_MS,
     });
     const lease = readContent(reply, parseLease);
@@ -184,11 +184,11 @@
     });
   }
 
-  async watch(prefix: string, since: Revision, holdMs: number): Promise<WatchResult> {
+  async watch(prefix: string, since: Revision, pollTimeoutMs: number): Promise<WatchResult> {
     const reply = await this.connection.sendWatch({
       method: 'GET',
-      path: watchPath(prefix, since, holdMs),
-      timeoutMs: holdMs + WATCH_TIMEOUT_SLACK_MS,
+      path: watchPath(prefix, since, pollTimeoutMs),
+      timeoutMs: pollTimeoutMs + WATCH_TIMEOUT_SLACK_MS,
     });
     if (hasStatus(reply, 410)) return TOO_OLD;
     // A watch returns all changes in one answer of any size: the caller lists the keys instead.
--- a/src/adapters/key-value-store/store-codec.ts
+++ b/src/adapters/key-value-store/store-codec.ts
@@ -113,7 +113,7 @@
 });
 
 /** Encodes the body of a lease grant. The lease expires `ttlMs` after its grant or last renewal. */
-export const encodeLeaseRequest = (lifeMs: number) => ({ LifeMs: lifeMs });
+export const encodeLeaseRequest = (ttlMs: number) => ({ LifeMs: ttlMs });
 
 /** Encodes a query string. Slashes are not escaped, since keys are paths. */
 const encodeQuery = (parameters: Record<string, string | number | undefined>): string =>
@@ -127,5 +127,5 @@
   `/kv?${encodeQuery({ Under: prefix, Since: after, Limit: limit })}`;
 
 /** Path of a long poll: the store answers once a key changes, or after `pollTimeoutMs`. */
-export const watchPath = (prefix: string, since: Revision, holdMs: number): string =>
-  `/follow?${encodeQuery({ Under: prefix, Since: since, HoldMs: holdMs })}`;
+export const watchPath = (prefix: string, since: Revision, pollTimeoutMs: number): string =>
+  `/follow?${encodeQuery({ Under: prefix, Since: since, HoldMs: pollTimeoutMs })}`;
--- a/src/adapters/key-value-store/store-rates.ts
+++ b/src/adapters/key-value-store/store-rates.ts
@@ -43,7 +43,7 @@
   }
 
   /** Multiplies the share of the write rate by `scale` from now on. */
-  scaleWrites(scale: number): void {
+  scaleWriteRate(scale: number): void {
     this.writeScale = scale;
     this.applyRates();
   }
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -150,8 +150,8 @@
     return leader && requestOperatorCall(leader, extension, call);
   }
 
-  /** Answers a peer's question, encoded as it is sent over the peer connection. */
-  handlePeerRequest(question: PeerRequest): Promise<unknown> {
-    return this.peerRequests.handle(question);
+  /** Answers a peer's request, in the form in which the peer server sends the answer. */
+  handlePeerRequest(request: PeerRequest): Promise<unknown> {
+    return this.peerRequests.handle(request);
   }
 }
--- a/src/service/job-watch.ts
+++ b/src/service/job-watch.ts
@@ -11,7 +11,7 @@
 import type { TermContext } from './term-context.js';
 
 /** How long the store holds one watch request open, in milliseconds. */
-const WATCH_HOLD_MS = 15_000;
+const WATCH_POLL_TIMEOUT_MS = 15_000;
 const RETRY_MS = 200;
 
 /** Components that the watch reads from and submits to. */
@@ -35,7 +35,11 @@
     const { dependencies, term } = this.options;
     let revision = from;
     while (term.isCurrent) {
-      const result = await dependencies.batchStore.watch(JOB_PREFIX, revision, WATCH_HOLD_MS);
+      const result = await dependencies.batchStore.watch(
+        JOB_PREFIX,
+        revision,
+        WATCH_POLL_TIMEOUT_MS,
+      );
       if (!term.isCurrent) return;
       if (result.kind === 'changes') {
         revision = result.revision;
--- a/src/service/leader-election.ts
+++ b/src/service/leader-election.ts
@@ -24,7 +24,7 @@
 import { decodeLeader, LEADER_KEY } from './stored-records.js';
 
 /** How long the store holds one watch of the leader key open, in milliseconds. */
-const WATCH_HOLD_MS = 10_000;
+const WATCH_POLL_TIMEOUT_MS = 10_000;
 
 /** Pauses before retries, in milliseconds; jitter is applied to each. */
 const RETRY_MS = {
@@ -143,7 +143,7 @@
 
   /** Returns true if the last change that the watch reports is the key's deletion. */
   private async awaitLeaderKeyDeletion(since: Revision): Promise<boolean> {
-    const result = await this.store.watch(LEADER_KEY, since, WATCH_HOLD_MS);
+    const result = await this.store.watch(LEADER_KEY, since, WATCH_POLL_TIMEOUT_MS);
     if (result.kind === 'changes') {
       const last = result.changes.filter((change) => change.key === LEADER_KEY).at(-1);
       return last !== undefined && 'deleted' in last;
--- a/src/service/state-recovery.ts
+++ b/src/service/state-recovery.ts
@@ -47,17 +47,17 @@
   /** Returns the stored state, or null if the term ended before all of it was read. */
   async recover(): Promise<RecoveredState | null> {
     const { dependencies, term, jobIntake } = this.options;
-    const [jobs, ledger, firstVersionLedger] = await Promise.all([
+    const [jobs, ledger, legacyLedger] = await Promise.all([
       this.list(JOB_PREFIX),
       this.list(LEDGER_PREFIX),
       this.list(LEGACY_LEDGER_PREFIX),
     ]);
-    if (!jobs || !ledger || !firstVersionLedger || !term.isCurrent) return null;
+    if (!jobs || !ledger || !legacyLedger || !term.isCurrent) return null;
     const commands: Command[] = [];
     if (dependencies.machineTypes)
       commands.push({ kind: 'machine-types', types: dependencies.machineTypes });
     for (const command of jobIntake.commandsForRecords(jobs.items)) commands.push(command);
-    this.addLedger([...ledger.items, ...firstVersionLedger.items], commands);
+    this.addLedger([...ledger.items, ...legacyLedger.items], commands);
     for (const { name } of dependencies.extensions) {
       const records = await this.readExtensionRecords(name);
       if (!records) return null;
