--- a/packages/drain/src/cli.ts
+++ b/packages/drain/src/cli.ts
@@ -130,7 +130,7 @@
   return ordinary ? false : undefined;
 };
 
-/** Builds the request body; `name` is null for a plan. */
+/** Builds the request body; `name` is null if it requests a plan. */
 const requestBody = (name: string | null, options: RequestOptions): object => {
   const select = {
     all: options.all,
--- a/packages/drain/src/core/budget-ledger.ts
+++ b/packages/drain/src/core/budget-ledger.ts
@@ -1,7 +1,7 @@
 /**
  * The ledger of disruptions and the usage of their budgets. A task is disrupted from when its stop
  * is decided, or its machine is known to be lost, until it runs again, is done, or its job has
- * ended. Voluntary disruptions are granted only if every budget they count against has room;
+ * ended. Voluntary disruptions are granted only if no budget they count against is used up;
  * involuntary ones are always counted, even beyond the limit.
  */
 import type {
@@ -87,7 +87,7 @@
     return tasks;
   }
 
-  /** Returns a blocker if a budget has no room for one more task of the job class; else null. */
+  /** Returns a blocker if a budget allows no further task of the job class, else null. */
   findBlocker(team: TeamName, jobClass: string, fleet: FleetView, moment: Moment): Blocker | null {
     for (const scope of scopesOf(this.settings, team, jobClass)) {
       const { open, limit, inWindow } = this.usageOf(scope, fleet, moment);
@@ -124,7 +124,7 @@
     return blocker;
   }
 
-  /** Counts a disruption by a lost machine or reclaim notice; a known one is then stopped. */
+  /** Counts a disruption by a lost machine or reclaim notice, or marks a counted one as stopped. */
   recordInvoluntary(attempt: AttemptView, moment: Moment): void {
     const known = this.disruptions.get(attempt.entry.attempt);
     if (known) {
--- a/packages/drain/src/core/budget-scopes.ts
+++ b/packages/drain/src/core/budget-scopes.ts
@@ -6,7 +6,7 @@
 export interface BudgetScope {
   readonly name: string;
   readonly team: TeamName;
-  /** null for every job class of the team. */
+  /** null if the scope covers every job class of the team. */
   readonly jobClass: string | null;
   readonly limits: BudgetLimits;
 }
--- a/packages/drain/src/core/drain.ts
+++ b/packages/drain/src/core/drain.ts
@@ -37,7 +37,7 @@
   readonly stepSize: StepSize;
   /** Provision a replacement from the same instance pool before a machine is cordoned. */
   readonly replace: boolean;
-  /** Seconds after which the drain pauses; null for no deadline. */
+  /** Seconds after which the drain pauses; null if never. */
   readonly deadlineS: number | null;
 }
 
@@ -67,7 +67,7 @@
 export interface MachineDrain {
   readonly machine: MachineId;
   phase: MachinePhase;
-  /** The slot of its replacement; null for a drain without replacements. */
+  /** The slot of its replacement; null if the drain requests none. */
   replacementSlot: ReplacementSlot | null;
   /** Its replacement; null until it has been provisioned. */
   replacement: MachineId | null;
@@ -75,7 +75,7 @@
   replacementsRequested: number;
 }
 
-/** A drain and its progress. */
+/** State of a drain, stored so that the next leader can resume it. */
 export interface Drain {
   readonly request: DrainRequest;
   phase: DrainPhase;
@@ -91,7 +91,7 @@
   failed: number;
   /** The number of the current step, from 1; 0 before the first. */
   step: number;
-  /** Deadline, in milliseconds since the epoch; null for none. */
+  /** Deadline, in milliseconds since the epoch; null if none. */
   deadlineAt: number | null;
   readonly machinesInStep: Map<MachineId, MachineDrain>;
 }
--- a/packages/drain/src/core/machine-drainer.ts
+++ b/packages/drain/src/core/machine-drainer.ts
@@ -120,7 +120,7 @@
     if (work.stopping > 0) progress.block(drain, { kind: 'work-stops', tasks: work.stopping }, id);
   }
 
-  /** The core moves a replica once its disruption is granted and room is reserved elsewhere. */
+  /** The core moves a replica once its disruption is granted and it fits on another machine. */
   private requestReplicaMoves(
     { drain, machine }: DrainTarget,
     { replicas }: MachineWork,
--- a/packages/drain/src/core/machine-selection.ts
+++ b/packages/drain/src/core/machine-selection.ts
@@ -40,7 +40,7 @@
   readonly replicas: readonly AttemptView[];
   /** Tasks that are left to finish. */
   readonly finishing: readonly AttemptView[];
-  /** Number of attempts told to stop, superseded, or whose job has ended. */
+  /** Number of attempts being stopped, superseded, or whose job has ended. */
   readonly stopping: number;
   /** Number of ended attempts whose results the machine still holds. */
   readonly ended: number;
--- a/packages/drain/src/core/replacements.ts
+++ b/packages/drain/src/core/replacements.ts
@@ -20,7 +20,7 @@
 /** The cloud's answer to a provision request. */
 export type ProvisionResult = Extract<ExtensionEvent, { kind: 'provision-result' }>;
 
-/** A provision request and its outcome, as far as known. */
+/** A provision request, and its outcome once there is one. */
 interface ProvisionRequestState {
   /** Machines requested. */
   readonly count: number;
@@ -28,7 +28,7 @@
   refusals: number;
   /** The earliest time to send it, on the steady clock. */
   retryAt: number;
-  /** The provisioned machines; null while not known. */
+  /** The provisioned machines; null until the cloud has answered with them. */
   machines: readonly MachineId[] | null;
 }
 
@@ -47,12 +47,12 @@
 const MAX_RETRY_MS = 60_000;
 /** Limits the exponent only; the delay reaches `MAX_RETRY_MS` before that. */
 const MAX_BACKOFF_DOUBLINGS = 6;
-/** From this number of failed replacements on, operators are told. */
+/** Number of failed replacements from which on they are reported to operators. */
 const FAILURE_REPORT_THRESHOLD = 3;
 /** The most machines that the cloud provisions per request. */
 const MAX_MACHINES_PER_REQUEST = 50;
 
-/** A replacement is ready, not ready yet, or given up for another one. */
+/** A replacement is ready, not ready yet, or to be replaced by another one. */
 export type ReplacementState =
   | { readonly kind: 'ready' }
   | { readonly kind: 'blocked'; readonly blocker: Blocker }
--- a/packages/drain/src/core/settings.ts
+++ b/packages/drain/src/core/settings.ts
@@ -21,11 +21,11 @@
 export interface DrainSettings {
   /** Tasks expected to end within this time are left to finish, even if they write checkpoints. */
   readonly letEndS: number;
-  /** A replacement that is not ready after this time is given up for another one. */
+  /** A replacement that is not ready after this time is replaced by another one. */
   readonly readyTimeoutS: number;
   /** A blocked drain without progress for this time is reported as stalled. */
   readonly stalledAfterS: number;
-  /** Applies to each team without its own budget; null for no limit. */
+  /** Applies to each team without its own budget; null if unlimited. */
   readonly defaultBudget: BudgetLimits | null;
   readonly teams: ReadonlyMap<string, TeamBudget>;
 }
--- a/packages/drain/src/core/step-selection.ts
+++ b/packages/drain/src/core/step-selection.ts
@@ -43,7 +43,7 @@
   readonly findBudgetBlocker: (team: TeamName, jobClass: string) => Blocker | null;
 }
 
-/** Creates the queue head check; null for a drain that replaces its machines. */
+/** Creates the queue head check; null if the drain replaces its machines. */
 export const queueHeadCheckFor = ({ request }: Drain, fleet: FleetView): QueueHeadCheck | null =>
   request.replace ? null : new QueueHeadCheck(fleet);
 
--- a/packages/drain/src/core/views.ts
+++ b/packages/drain/src/core/views.ts
@@ -1,6 +1,6 @@
 /**
  * Drains and budgets as shown to operators, with the field names of the HTTP interface. Answers are
- * well below the maximum line length of the connection between controllers.
+ * well below the maximum frame size of the connection between controllers.
  */
 import type { FleetView, Moment } from '@robinspread/extension-api';
 import { type Blocker, describeBlocker } from './blocker.js';
--- a/src/adapters/cloud/cloud-client.ts
+++ b/src/adapters/cloud/cloud-client.ts
@@ -91,7 +91,7 @@
     return reply;
   }
 
-  /** Returns the parsed content; null for no answer, an error status or a malformed body. */
+  /** Returns the parsed content, or null if it is missing, malformed or has an error status. */
   private read<T>(
     operation: Operation,
     reply: Reply,
--- a/src/adapters/key-value-store/key-value-store-client.ts
+++ b/src/adapters/key-value-store/key-value-store-client.ts
@@ -37,7 +37,7 @@
 /** Longer, since late results are still useful, and retries would add load to a slow store. */
 const WRITE_TIMEOUT_MS = 4000;
 const LEASE_TIMEOUT_MS = 2500;
-/** A watch is answered when its hold time ends at the latest; it times out this much later. */
+/** The store answers a watch within its poll time-out; the request times out this much later. */
 const WATCH_TIMEOUT_SLACK_MS = 3000;
 const PAGE_SIZE = 500;
 
@@ -209,6 +209,6 @@
 ): reply is Answer & { readonly status: Status } =>
   reply.kind === 'answer' && reply.status === status;
 
-/** Returns the parsed body of a 200 answer; null for any other reply or a malformed body. */
+/** Returns the parsed body of a valid 200 answer, else null. */
 const readContent = <T>(reply: Reply, parse: (body: unknown) => T | null): T | null =>
   hasStatus(reply, 200) ? parse(reply.body) : null;
--- a/src/adapters/peers/peer-client.ts
+++ b/src/adapters/peers/peer-client.ts
@@ -13,7 +13,7 @@
 /** Bound on pending requests, which limits the memory used at both ends. */
 const MAX_PENDING_REQUESTS = 512;
 
-/** One connection to a peer, opened by the first request. Concurrent requests share it. */
+/** Concurrent requests share the connection; those pending when it is lost go unanswered. */
 export class PeerClient implements Peer {
   private socket: Socket | null = null;
   private connected = false;
--- a/src/adapters/wire/jobs.ts
+++ b/src/adapters/wire/jobs.ts
@@ -47,7 +47,7 @@
 const MAX_TASKS = 100_000;
 const MAX_MACHINE_TYPES = 100;
 
-/** Fields are validated in this order; users are told only the first invalid one. */
+/** Fields are validated in this order; only the first invalid one is reported. */
 const jobSchema = v.object({
   [JOB_FIELDS.id]: v.pipe(v.string(), v.regex(JOB_ID)),
   [JOB_FIELDS.jobClass]: label,
--- a/src/core/core-state.ts
+++ b/src/core/core-state.ts
@@ -90,7 +90,7 @@
   queueHead: JobId | null;
   /** Expected start time of the queue head; null when it is unknown or there is no head. */
   shadowTime: Instant | null;
-  /** When a service restricted to on-demand machines last existed; null for never. */
+  /** When a service restricted to on-demand machines last existed; null if there was none. */
   lastOnDemandServiceAt: Instant | null;
   /** Largest number of processors of one such recent service, over all its replicas. */
   largestServiceCpus: number;
@@ -100,7 +100,7 @@
   readonly machines: Map<MachineId, Machine>;
   /** Machines that the cloud has deleted: their late heartbeats are ignored. */
   readonly deletedMachines: Set<MachineId>;
-  /** The cloud's machine types; empty until known. */
+  /** The cloud's machine types; empty until they have been read. */
   readonly types: Map<MachineTypeName, MachineType>;
   /** Instance pools by `InstancePool.key`. */
   readonly instancePools: Map<string, InstancePool>;
--- a/src/core/extensions/extension.ts
+++ b/src/core/extensions/extension.ts
@@ -94,7 +94,7 @@
   readonly refusals: number;
 }
 
-/** The fleet as the leader knows it. Extensions must not modify it or keep references to it. */
+/** The leader's view of the fleet. Extensions must not modify it or keep references to it. */
 export interface FleetView {
   /** The leader's fencing token, which identifies the term. */
   readonly fencingToken: FencingToken;
@@ -142,7 +142,7 @@
 
 /** A request from an extension to the core. */
 export type ExtensionRequest =
-  /** Excludes a machine, even one not yet known, from placements, or allows them again. */
+  /** Excludes a machine, even one not yet tracked, from placements, or allows them again. */
   | { readonly kind: 'cordon' | 'uncordon'; readonly machine: MachineId }
   /** Stops an attempt. A task with checkpoints writes one if the grace, in seconds, allows it. */
   | {
--- a/src/core/fleet/deletions.ts
+++ b/src/core/fleet/deletions.ts
@@ -14,8 +14,8 @@
 const BOOT_TIMEOUT_MARGIN_MS = 15_000;
 
 /**
- * Whether a machine has sent no heartbeat within its boot timeout. A new leader may first learn of
- * a machine long after its boot, so the machine also gets one worker lease to report to it.
+ * Whether a machine has sent no heartbeat within its boot timeout. A new leader may discover a
+ * machine long after its boot, so the machine also gets one worker lease to report to it.
  */
 const hasBootTimedOut = (state: CoreState, machine: Machine, now: Instant): boolean => {
   if (machine.hasReported) return false;
--- a/src/core/fleet/inventory.ts
+++ b/src/core/fleet/inventory.ts
@@ -38,7 +38,7 @@
   });
 };
 
-/** Replaces the known machine types; instance pools keep their refusals and open requests. */
+/** Replaces the machine types; instance pools keep their refusals and open requests. */
 export const updateMachineTypes = (state: CoreState, types: readonly MachineType[]): void => {
   state.types.clear();
   for (const type of types) {
@@ -74,7 +74,7 @@
 };
 
 /**
- * Reconciles the known machines with the cloud's list. A machine missing from the list counts as
+ * Reconciles the tracked machines with the cloud's list. A machine missing from the list counts as
  * lost, unless it is newer than the list's maximum age or still sends heartbeats.
  */
 export const reconcileMachineList = (
--- a/src/core/fleet/loss-detection.ts
+++ b/src/core/fleet/loss-detection.ts
@@ -53,8 +53,8 @@
     // all must be counted before the first is deleted.
     if (now - machine.lastHeartbeatAt > policyTimeoutMs / 2) overdueMachines += 1;
   }
-  // Many overdue machines are more likely partitioned or stalled than dead, or this leader is at
-  // fault. They get time to recover: replacements must boot first, and the cloud lists dead
+  // Many overdue machines are more likely partitioned or stalled than dead, or this leader is
+  // isolated. They get time to recover: replacements must boot first, and the cloud lists dead
   // machines as failed.
   const isMassOutage =
     overdueMachines > Math.max(MASS_OUTAGE_MIN_MACHINES, expectedMachines * MASS_OUTAGE_SHARE);
--- a/src/core/ledger/batch-draft.ts
+++ b/src/core/ledger/batch-draft.ts
@@ -1,4 +1,4 @@
-/** A batch under construction: its operations, its open segments and the remaining room. */
+/** A batch under construction: its operations, its open segments and the space left in it. */
 
 import type { CoreState } from '../core-state.js';
 import type { Batch, Job, LedgerSegment, Placement, ProgressChunk } from '../model/entities.js';
@@ -110,7 +110,7 @@
     return true;
   }
 
-  /** Records a chunk's progress only if the open short-lived segment has room. */
+  /** Records a chunk's progress only if it fits in the open short-lived segment. */
   recordProgressInOpenSegment(job: Job, number: number, chunk: ProgressChunk): boolean {
     return this.openShortLived?.recordProgress(job, number, chunk) ?? false;
   }
@@ -128,7 +128,7 @@
     return this.operations;
   }
 
-  /** null when the batch has no room for another segment. */
+  /** Drafts another segment; null if it does not fit in the batch. */
   private draftSegment(): SegmentDraft | null {
     const openBytes = (this.openShortLived?.bytes ?? 0) + (this.openLongLived?.bytes ?? 0);
     if (this.mutations + 1 > this.maxMutations) return null;
--- a/src/core/ledger/segment-draft.ts
+++ b/src/core/ledger/segment-draft.ts
@@ -1,4 +1,4 @@
-/** A ledger segment under construction: accepts attempts and progress while it has room. */
+/** A ledger segment under construction: accepts attempts and progress until it is full. */
 
 import type { CoreState } from '../core-state.js';
 import type { Job, LedgerSegment, Placement, ProgressChunk } from '../model/entities.js';
@@ -46,7 +46,7 @@
     this.segment = createSegment(key);
   }
 
-  /** Records an attempt and detaches it from its former segment; false when there is no room. */
+  /** Records an attempt and detaches it from its former segment; false if it does not fit. */
   recordPlacement(placement: Placement): boolean {
     if (!this.reserve(this.placementBytes(placement))) return false;
     const { entry } = placement;
@@ -59,7 +59,7 @@
     return true;
   }
 
-  /** Records which tasks of a chunk are now done; false when there is no room. */
+  /** Records which tasks of a chunk are now done; false if they do not fit. */
   recordProgress(job: Job, number: number, chunk: ProgressChunk): boolean {
     const bytes = PROGRESS_BYTES + job.spec.id.length + base64Length(chunk.bits.length);
     if (!this.reserve(bytes)) return false;
--- a/src/core/lifecycle/heartbeat-reconciliation.ts
+++ b/src/core/lifecycle/heartbeat-reconciliation.ts
@@ -94,7 +94,7 @@
 
 /**
  * Applies one heartbeat, or rejects a stale one. `ticket` identifies the reply that the worker
- * waits for; null for a heartbeat in the response to commands sent straight to the worker.
+ * waits for; it is null if the worker sent the heartbeat in response to direct commands.
  */
 export const reconcileHeartbeat = (
   state: CoreState,
--- a/src/core/lifecycle/job-cancellation.ts
+++ b/src/core/lifecycle/job-cancellation.ts
@@ -55,7 +55,7 @@
   job.terminalState = 'cancelled';
   state.unsavedCompletions.add(job);
   // Further work of the tasks is wasted, so they are killed before the end is stored: another node
-  // may report the stored end to users before this leader learns of it, if it ever does. If the
-  // write fails, the tasks run again.
+  // may report the stored end to users before this leader gets the result of its write, if it
+  // ever does. If the write fails, the tasks run again.
   killAllAttempts(job, now, effects);
 };
--- a/src/core/lifecycle/job-view.ts
+++ b/src/core/lifecycle/job-view.ts
@@ -120,9 +120,9 @@
   describeWaitReason(state, findWaitReason(state, job, now));
 
 /**
- * The job as users see it. null if this leader does not know it as unfinished, or if its end is
- * decided but not known to be stored: the key-value store must be read then. Another node may have
- * reported the stored end already, which "running" would contradict.
+ * The job as users see it. Returns null if this leader does not list it as unfinished, or if its
+ * end is decided but not known to be stored: the key-value store must be read then. Another node
+ * may have reported the stored end already, which "running" would contradict.
  */
 export const viewJob = (state: CoreState, id: JobId, now: Instant): CoreJobView | null => {
   const job = state.jobs.get(id);
@@ -144,7 +144,7 @@
 const secondsToShadowTime = ({ shadowTime }: CoreState, now: Instant): number | null =>
   shadowTime === null ? null : Math.max(0, (shadowTime - now) / 1000);
 
-/** Explains the job's place in the queue; null if this leader does not know the job. */
+/** Explains the job's place in the queue; null if this leader does not list the job. */
 export const explainJob = (state: CoreState, id: JobId, now: Instant): JobExplanation | null => {
   const job = state.jobs.get(id);
   if (!job) return null;
--- a/src/core/lifecycle/jobs.ts
+++ b/src/core/lifecycle/jobs.ts
@@ -14,8 +14,9 @@
 const ENDED_JOB_RETENTION_MS = 120_000;
 
 /**
- * Adds an admitted job, unless it is known or ended recently: a watch event, a read or the response
- * to a write may still show a job as unfinished after its end, and its tasks would run again.
+ * Adds an admitted job, unless it is present or ended recently: a watch event, a read or the
+ * response to a write may still show a job as unfinished after its end, and its tasks would run
+ * again.
  */
 export const addJob = (state: CoreState, spec: JobSpec, submittedAt: Instant): void => {
   if (state.jobs.has(spec.id) || state.recentlyEndedJobs.has(spec.id)) return;
--- a/src/core/lifecycle/task-reconciliation.ts
+++ b/src/core/lifecycle/task-reconciliation.ts
@@ -18,7 +18,7 @@
 import { isTaskDone } from './job-tasks.js';
 import { recordReplicaExit, recordTaskFailure } from './task-failures.js';
 
-/** How long a machine that refused a task for lack of room gets no more work. */
+/** How long a machine that refused a task for lack of resources gets no more work. */
 const SATURATION_PAUSE_MS = 1500 as Millis;
 
 /** Pause of a job after a worker refused a start because it found no such job or task. */
--- a/src/core/lifecycle/worker-commands.ts
+++ b/src/core/lifecycle/worker-commands.ts
@@ -27,7 +27,7 @@
 
 /**
  * Whether an attempt that is to stop belongs to a job that has ended or that its user asked to
- * cancel. Its kill is the one command that needs no valid leader lease: the next leader knows the
+ * cancel. Its kill is the one command that needs no valid leader lease: the next leader reads the
  * job as ended too, or is asked to cancel it again. No worker is kept alive with such a task.
  */
 export const belongsToEndedJob = ({ job, stopRequest }: Placement): boolean =>
--- a/src/core/model/entities.ts
+++ b/src/core/model/entities.ts
@@ -35,7 +35,7 @@
   startedAt: Instant | null;
   /** The agent epoch in which its start was sent; null before. */
   dispatchedEpoch: number | null;
-  /** Requested stop, with its grace in seconds and when the kill was last sent; null for none. */
+  /** Requested stop, with its grace in seconds and when the kill was last sent; null if none. */
   stopRequest: { graceS: number; sentAt: Instant | null } | null;
   /** Whether another attempt has completed the task. */
   isSuperseded: boolean;
--- a/src/core/scheduling/capacity.ts
+++ b/src/core/scheduling/capacity.ts
@@ -25,7 +25,7 @@
 export interface FreeCapacity {
   readonly machine: Machine;
   readonly type: MachineType;
-  /** Further attempts that the machine may hold; limited so that heartbeats stay readable. */
+  /** Further attempts that the machine may hold; limited to bound the size of heartbeats. */
   slots: number;
   cpus: number;
   gpus: number;
--- a/src/core/scheduling/placement.ts
+++ b/src/core/scheduling/placement.ts
@@ -36,7 +36,7 @@
 
 /** Limits on the placement of a job in one phase of a round. */
 export interface PlacementLimits {
-  /** The shadow time of the head's reservation; null for no reservation to respect. */
+  /** The shadow time of the head's reservation; null if there is none to respect. */
   readonly shadowTime: Instant | null;
   readonly maxTasks: number;
 }
@@ -114,7 +114,7 @@
   readonly job: Job;
   readonly now: Instant;
   readonly shadowTime: Instant | null;
-  /** The zone to which the job's first task binds it; null for none. */
+  /** The zone to which the job's first task binds it; null if it is not bound. */
   readonly zone: ZoneName | null;
   readonly candidates: Generator<FreeCapacity, undefined>;
   /** The machine of the last task: an array fills it before it uses the next. */
--- a/src/core/scheduling/reservation.ts
+++ b/src/core/scheduling/reservation.ts
@@ -59,8 +59,8 @@
 
 /**
  * Reserves capacity for the head's unplaced tasks: goes through the expected ends of attempts in
- * order until all fit. Returns the shadow time, when the last task that fits does, or null if none
- * fits.
+ * order until all fit. Returns the shadow time, at which the last task that can fit does, or null
+ * if none fits.
  */
 export const reserveForHead = (
   head: Job,
--- a/src/service/batch-writer.ts
+++ b/src/service/batch-writer.ts
@@ -53,7 +53,7 @@
   private readonly writer: GuardedWriter;
   private readonly log: Log;
   private maxMutations: number;
-  /** Keys of the pieces of each split segment, by the key under which the core knows it. */
+  /** Keys of the pieces of each split segment, by the key of the segment in the core. */
   private readonly pieces = new Map<SegmentKey, SegmentKey[]>();
   /** Number of single units that the store rejected as too large. */
   private oversizedUnits = 0;
@@ -203,7 +203,7 @@
     return true;
   }
 
-  /** Records the keys of a stored piece, to be deleted with the segment that the core knows. */
+  /** Records the keys of a stored piece, which is deleted when the core deletes the segment. */
   private recordPiece(whole: SegmentKey, piece: SegmentKey): void {
     const known = this.pieces.get(whole) ?? [];
     for (const key of this.pieces.get(piece) ?? [piece]) known.push(key);
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -143,7 +143,7 @@
     return { kind: 'redirect', leader: leader === this.dependencies.settings.node ? null : leader };
   }
 
-  /** Answered here if this node leads, otherwise by the leader; null if neither can answer. */
+  /** Answers the call if this node leads, else asks the leader; null if neither answers. */
   async handleOperatorCall(extension: string, call: OperatorCall): Promise<OperatorAnswer | null> {
     if (this.leaderTerm) return this.leaderTerm.handleOperatorCall(extension, call);
     const leader = this.peerMonitor.leaderPeer();
--- a/src/service/job-watch.ts
+++ b/src/service/job-watch.ts
@@ -1,4 +1,4 @@
-/** Watches the prefix of job records, to learn of jobs that other controllers admit. */
+/** Watches the prefix of job records, to receive jobs that other controllers admit. */
 
 import { sleep } from '../adapters/runtime/clock.js';
 import type { Revision } from '../core/model/ids.js';
--- a/src/service/leader-election.ts
+++ b/src/service/leader-election.ts
@@ -152,7 +152,7 @@
     return false;
   }
 
-  /** Gives up leadership at once, as when a worker knows a higher token or a fenced write fails. */
+  /** Ends leadership at once, e.g. if a worker reports a higher token or a fenced write fails. */
   stepDown(): void {
     if (this.fencingToken === null) return;
     this.fencingToken = null;
--- a/src/service/leader-term.ts
+++ b/src/service/leader-term.ts
@@ -198,7 +198,7 @@
     this.commandLoop.submit(this.jobIntake.commandForJob(record, revision));
   }
 
-  /** Submits a stored job that this leader did not know yet. */
+  /** Submits a stored job that may be new to this leader. */
   addStoredJob(key: string, value: unknown, revision: Revision): void {
     for (const command of this.jobIntake.commandsForRecords([{ key, value, revision }]))
       this.commandLoop.submit(command);
--- a/src/service/machine-type-discovery.ts
+++ b/src/service/machine-type-discovery.ts
@@ -23,7 +23,7 @@
     this.isStopped = true;
   }
 
-  /** Returns once the types are known, or after `stop`. */
+  /** Returns once the types have been discovered, or after `stop`. */
   async run(): Promise<void> {
     const { dependencies } = this;
     while (!this.isStopped && !dependencies.machineTypes) {
--- a/src/service/peers/peer-messages.ts
+++ b/src/service/peers/peer-messages.ts
@@ -82,7 +82,7 @@
 
 /** Health that a controller reports to its peers. */
 export interface PeerHealth {
-  /** The leader known to the controller, or null. */
+  /** The controller's last known leader; null if unknown. */
   readonly leader: NodeId | null;
   /** The highest fencing token known to the controller. */
   readonly fencingToken: FencingToken;
--- a/src/service/peers/peer-monitor.ts
+++ b/src/service/peers/peer-monitor.ts
@@ -1,5 +1,5 @@
 /**
- * Polls the peers' health, which the key-value store cannot provide: the leader that they know, the
+ * Polls the peers' health, which the key-value store cannot provide: the leader as they see it, the
  * number of workers that reach them, and whether they reach the store.
  */
 
@@ -86,9 +86,9 @@
   }
 
   /**
-   * A leader that cannot reach the store learns here of its successor, so that its workers move on;
-   * a leader that only the workers cannot reach resigns in favour of a peer that they do reach. A
-   * node without such problems polls no peer.
+   * A leader that cannot reach the store detects its successor by the peers' answers, so that its
+   * workers move on; a leader that only the workers cannot reach resigns in favour of a peer that
+   * they do reach. A node without such problems polls no peer.
    */
   private async poll(): Promise<void> {
     const { store } = this.dependencies;
--- a/src/service/stored-records/segment-record.ts
+++ b/src/service/stored-records/segment-record.ts
@@ -135,7 +135,7 @@
   bits: new Uint8Array(Buffer.from(bits, 'base64')),
 });
 
-/** Returns null if any part of the record is invalid: its attempts may then be on any machine. */
+/** Returns null if any part is invalid: the machines of its attempts are then unknown. */
 export const decodeSegment = (value: unknown): SegmentRecord | null => {
   const parsed = v.safeParse(segmentSchema, value);
   if (!parsed.success) return null;
--- a/src/service/term-replies.ts
+++ b/src/service/term-replies.ts
@@ -18,7 +18,7 @@
   /** The job's completion is stored. */
   | { readonly kind: 'ended'; readonly outcome: JobOutcome }
   /**
-   * The leader knows no such unfinished job: it has ended, was never accepted, or was accepted by
+   * The leader lists no such unfinished job: it has ended, was never accepted, or was accepted by
    * another controller a moment ago.
    */
   | { readonly kind: 'unknown-job' }
--- a/src/service/worker-heartbeats.ts
+++ b/src/service/worker-heartbeats.ts
@@ -66,7 +66,7 @@
     return this.decisionForCommands(commands);
   }
 
-  /** The worker knows a later leader, so this node steps down. */
+  /** The worker reports a later leader's fencing token, so this node steps down. */
   private handleHigherToken({ machine, fencingToken }: Heartbeat): HeartbeatDecision {
     const { log, election } = this.options;
     log.info(
