--- a/src/adapters/wire/cloud.ts
+++ b/src/adapters/wire/cloud.ts
@@ -102,7 +102,7 @@
 const decodeStatus = (status: string): ListedMachine['status'] =>
   status === 'failed' || status === 'running' ? status : 'booting';
 
-/** One page of the cloud's machine list. */
+/** One page of the cloud's machine list; `hasMore` is false on the last one. */
 export interface MachinePage {
   readonly machines: ListedMachine[];
   readonly hasMore: boolean;
--- a/src/core/model/time.ts
+++ b/src/core/model/time.ts
@@ -10,8 +10,8 @@
 /** Converts seconds to milliseconds. */
 export const seconds = (count: number): Millis => (count * 1000) as Millis;
 
-/** The instant this long after another. */
+/** The instant that is `by` after `instant`. */
 export const addMillis = (instant: Instant, by: Millis): Instant => (instant + by) as Instant;
 
-/** The time from one instant to a later one. */
+/** The time from `since` to `now`; negative if `since` is later. */
 export const elapsedMillis = (since: Instant, now: Instant): Millis => (now - since) as Millis;
--- a/src/service/batch-writer.ts
+++ b/src/service/batch-writer.ts
@@ -16,7 +16,7 @@
   jobKey,
 } from './stored-records.js';
 
-/** Options of the batch writer of one leader term. */
+/** The store to write to, and the token of the term, which guards every write. */
 export interface BatchWriterOptions {
   readonly store: KeyValueStore;
   readonly fencingToken: FencingToken;
--- a/src/service/command-loop.ts
+++ b/src/service/command-loop.ts
@@ -30,7 +30,7 @@
  */
 const MAX_QUEUE_DELAY_MS = 300;
 
-/** Options of the command loop of one leader term. */
+/** The state that the loop owns, and its connections to the leader term. */
 export interface CommandLoopOptions {
   readonly core: CoreState;
   /** Evaluated for every batch. */
--- a/src/service/guarded-writer.ts
+++ b/src/service/guarded-writer.ts
@@ -20,7 +20,7 @@
 /** Outcome of a transaction; `too-large`: certainly not executed, and not accepted at this size. */
 export type WriteOutcome = 'stored' | 'leadership-lost' | 'too-large';
 
-/** Options of the writer; every transaction is guarded by the term's fencing token. */
+/** The store to write to, and the token that every transaction is conditional on. */
 export interface GuardedWriterOptions {
   readonly store: KeyValueStore;
   readonly fencingToken: FencingToken;
--- a/src/service/leader-election.ts
+++ b/src/service/leader-election.ts
@@ -48,7 +48,7 @@
   onDeposed(): void;
 }
 
-/** Options of a node's leader election. */
+/** What an election needs from its controller; `events` receives this node's role changes. */
 export interface LeaderElectionOptions {
   readonly node: NodeId;
   readonly store: KeyValueStore;
--- a/src/service/leader-lease.ts
+++ b/src/service/leader-lease.ts
@@ -20,7 +20,7 @@
 /** Outcome of a renewal: `ended` if the lease has expired or is abandoned; `failed` is retried. */
 type RenewalOutcome = 'renewed' | 'ended' | 'failed';
 
-/** Options of one lease; its owner stops the renewals by `isStopped`. */
+/** What a lease gets from the election that requests it. */
 export interface LeaderLeaseOptions {
   readonly store: KeyValueStore;
   readonly leaseMs: number;
--- a/src/service/leader-term.ts
+++ b/src/service/leader-term.ts
@@ -32,7 +32,7 @@
 const MAX_ATTEMPTS_PER_MACHINE = 400;
 const TICK_INTERVAL_MS = 250;
 
-/** Options of one leader term of this node. */
+/** What a term gets from its controller when this node is elected. */
 export interface LeaderTermOptions {
   readonly dependencies: Dependencies;
   readonly fencingToken: FencingToken;
--- a/src/service/stored-records/completion-record.ts
+++ b/src/service/stored-records/completion-record.ts
@@ -21,7 +21,7 @@
   readonly team: TeamName;
 }
 
-/** Encodes a completion as it is stored. */
+/** Encodes a completion, with the short field names of the stored record. */
 export const encodeCompletion = ({
   outcome,
   tasks,
--- a/src/service/stored-records/job-record.ts
+++ b/src/service/stored-records/job-record.ts
@@ -95,7 +95,7 @@
   deadlineS: stored.deadlineS,
 });
 
-/** Encodes a job as it is stored: a service under `service`, an array under `spec`. */
+/** Encodes a job's record: a service has the field `service`, an array has `spec`. */
 export const encodeJob = ({ acceptedAt, spec }: JobRecord): StoredJob => {
   const stored = encodeSpec(spec);
   return spec.shape === 'service'
--- a/src/service/stored-records/segment-record.ts
+++ b/src/service/stored-records/segment-record.ts
@@ -99,7 +99,7 @@
 
 const beginsAtBlock = ({ firstTask }: ProgressRow): boolean => firstTask % TASKS_PER_BLOCK === 0;
 
-/** Encodes a segment as it is stored. Blocks and smaller chunks have separate fields. */
+/** Encodes a segment; `segmentSchema` explains the two fields that hold progress. */
 export const encodeSegment = ({ machines, progress }: SegmentRecord): StoredSegment => {
   const jobs = new JobRows();
   const blocks = progress.filter(beginsAtBlock);
