--- a/src/adapters/http/api-server.ts
+++ b/src/adapters/http/api-server.ts
@@ -76,7 +76,7 @@
   };
 };
 
-/** An application to serve, and the settings that bound its connections. */
+/** An application to serve, with its address and the limits of its connections. */
 export interface ServedApi {
   readonly settings: Pick<Settings, 'api' | 'workers' | 'quota'>;
   readonly app: NodeApplication;
--- a/src/cli/command-failures.ts
+++ b/src/cli/command-failures.ts
@@ -2,7 +2,7 @@
 
 import { SettingsError } from '../adapters/configuration/configuration-file.js';
 
-/** Exit codes of the program's commands, other than 0. */
+/** Exit codes of the daemon's own commands when they fail. */
 export const EXIT_CODES = {
   /** A controller did not answer or refused a request, or this controller cannot continue. */
   failed: 1,
--- a/src/core/model/attempt.ts
+++ b/src/core/model/attempt.ts
@@ -10,6 +10,7 @@
 
 /**
  * Why an attempt was released. `reported`: its worker reported that the task ended, by itself or by
- * a command; `gone`: it was never sent, a heartbeat lacks it, or its machine or lease ended.
+ * a command; `gone`: it was never sent, a heartbeat lacks it, or its machine, agent epoch or lease
+ * ended.
  */
 export type AttemptRelease = 'reported' | 'gone';
