--- a/packages/drain/measure/drain-load.ts
+++ b/packages/drain/measure/drain-load.ts
@@ -6,8 +6,8 @@
 import { join } from 'node:path';
 import { randomExponential, randomLcg, randomLogNormal } from 'd3-random';
 import { build as buildHistogram } from 'hdr-histogram-js';
-import { body, cleanUp, until } from '../../../test/stand-ins/cluster.js';
-import { post } from '../../../test/stand-ins/http.js';
+import { cleanUp, jobBody, until } from '../../../test/stand-ins/cluster.js';
+import { requestJson } from '../../../test/stand-ins/http.js';
 import { buildProgram, startProcesses } from '../../../test/stand-ins/processes.js';
 import {
   findConcurrentRuns,
@@ -89,7 +89,7 @@
     const controller = processes[this.nextJobNumber % processes.length];
     if (!controller) throw new Error('no controller process was started');
     await until(async () => {
-      const reply = await post(controller.api, '/api/jobs', body(id, fields));
+      const reply = await requestJson(controller.api, '/api/jobs', jobBody(id, fields));
       return [200, 201].includes(reply?.status ?? 0);
     });
   }
@@ -151,14 +151,14 @@
   machines: readonly string[],
 ): Promise<void> => {
   if (strategy.deletedByCloud) {
-    await post(cloudAt, '/machines/delete', { Berths: machines });
+    await requestJson(cloudAt, '/machines/delete', { Berths: machines });
     return;
   }
   const controller = processes[0];
   if (!controller) throw new Error('no controller process was started');
   const request = { name: 'whole', select: { all: true }, atOnceShare: strategy.atOnceShare };
   const reply = await until(async () => {
-    const answer = await post(controller.api, '/api/drains', request);
+    const answer = await requestJson(controller.api, '/api/drains', request);
     return answer && answer.status !== 503 ? answer : null;
   });
   if (reply.status !== 201) throw new Error(`the drain was refused: ${JSON.stringify(reply.body)}`);
@@ -169,7 +169,7 @@
   const delays = buildHistogram({ lowestDiscernibleValue: 1, highestTrackableValue: 3_600_000 });
   for (const [id, submittedAt] of load.submittedAt) {
     if (submittedAt < sinceMs || id < jobIdFor(2)) continue;
-    const started = cloud.history.find(
+    const started = cloud.taskEvents.find(
       ({ kind, task }) => kind === 'start' && task.startsWith(`${id}/`),
     );
     if (started) delays.recordValue(Math.max(1, started.at - submittedAt));
@@ -202,17 +202,17 @@
   await arrivals;
   await sleep(SETTLE_MS);
   const delays = measureStartDelays(fleet, load, drainStartedAt);
-  const maxStopped = maxStoppedByTeam(cloud.history, (task) => load.teamOfTask(task));
+  const maxStopped = maxStoppedByTeam(cloud.taskEvents, (task) => load.teamOfTask(task));
   const result = {
     way: name,
     machines: initialMachines.length,
     seed,
     drainedInS: Math.round(drainDurationS),
-    redoneTaskS: Math.round(cloud.redoneMs / 1000),
-    stops: cloud.history.filter(({ kind }) => kind === 'stop').length,
+    redoneTaskS: Math.round(cloud.lostRunMs / 1000),
+    stops: cloud.taskEvents.filter(({ kind }) => kind === 'stop').length,
     mostStoppedAtOnce: Object.fromEntries(maxStopped),
-    lostTasks: tasksLostWithMachines(cloud.history).length,
-    ranTwice: findConcurrentRuns(cloud.history).length,
+    lostTasks: tasksLostWithMachines(cloud.taskEvents).length,
+    ranTwice: findConcurrentRuns(cloud.taskEvents).length,
     otherJobs: delays.totalCount,
     startDelayMs: {
       p50: delays.getValueAtPercentile(50),
--- a/packages/drain/test/histories.test.ts
+++ b/packages/drain/test/histories.test.ts
@@ -36,7 +36,7 @@
       module: drainModule(settingsOf(TIGHT_BUDGETS)),
       bothVersions: false,
       preemption: false,
-      mostMachines: 9,
+      maxMachines: 9,
     });
     this.world.interruptions.onVoluntaryStop = (name) => {
       totals.stops += 1;
@@ -49,7 +49,7 @@
   check(): void {
     expect(this.world.problems).toEqual([]);
     for (const [team, most] of Object.entries(MAX_STOPPED)) {
-      const open = this.world.interruptedByDecision().filter((i) => i.team === team);
+      const open = this.world.voluntaryInterruptions().filter((i) => i.team === team);
       expect(open.length, `${team} at ${this.world.now}`).toBeLessThanOrEqual(most);
     }
     const from = this.world.now - (WINDOW.ms - WINDOW_SLACK_MS);
@@ -60,7 +60,7 @@
   /** Advances in small steps, so that no brief excess is missed. */
   advance(ms: number, withoutEvents: boolean): void {
     for (let advancedMs = 0; advancedMs < ms; advancedMs += 500) {
-      this.world.play(500, withoutEvents);
+      this.world.advance(500, withoutEvents);
       this.check();
     }
   }
@@ -183,8 +183,9 @@
 const endHistory = (real: BudgetCheckedWorld): void => {
   real.world.heal();
   // A team at its limit finishes its backlog one task at a time.
-  for (let i = 0; i < 400 && real.world.unfinished().length > 0; i += 1) real.advance(30_000, true);
-  expect(real.world.unfinished()).toEqual([]);
+  for (let i = 0; i < 400 && real.world.unfinishedArrays().length > 0; i += 1)
+    real.advance(30_000, true);
+  expect(real.world.unfinishedArrays()).toEqual([]);
   for (const name of real.startedDrains) {
     let answer: StatusAnswer | undefined;
     // A drain that changes state may briefly report no reason.
@@ -195,7 +196,7 @@
     expect(isExplained(answer), `${name}: ${JSON.stringify(answer)}`).toBe(true);
     if (answer?.status === 'done') totals.done += 1;
   }
-  totals.failovers += real.world.reached.failovers;
+  totals.failovers += real.world.counters.failovers;
 };
 
 describe('drains in random histories', () => {
--- a/packages/drain/test/loopback.test.ts
+++ b/packages/drain/test/loopback.test.ts
@@ -5,8 +5,8 @@
 import { writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { afterAll, afterEach, beforeAll, describe, expect, it } from 'vitest';
-import { body, cleanUp, status, until } from '../../../test/stand-ins/cluster.js';
-import { post } from '../../../test/stand-ins/http.js';
+import { cleanUp, getJob, jobBody, until } from '../../../test/stand-ins/cluster.js';
+import { requestJson } from '../../../test/stand-ins/http.js';
 import { buildProgram, runCommand, startProcesses } from '../../../test/stand-ins/processes.js';
 import {
   findConcurrentRuns,
@@ -52,7 +52,8 @@
       const Crew = n % 2 === 0 ? 'blue' : 'green';
       await until(async () =>
         [200, 201].includes(
-          (await post(apiOf(n), '/api/jobs', body(jobId(n), { Crew, ...change })))?.status ?? 0,
+          (await requestJson(apiOf(n), '/api/jobs', jobBody(jobId(n), { Crew, ...change })))
+            ?.status ?? 0,
         ),
       );
     };
@@ -116,18 +117,18 @@
     await arrivals;
     expect(countDeleted()).toBe(initialMachines.length);
     expect(finalStatus.returned + finalStatus.failed).toBe(initialMachines.length);
-    expect(cloud.history.some(({ kind }) => kind === 'crashed')).toBe(true);
+    expect(cloud.taskEvents.some(({ kind }) => kind === 'crashed')).toBe(true);
     // Every job of the load completes; the long jobs run on.
     for (let n = 10; n < nextJobNumber; n += 1) {
-      await until(async () => (await status(apiOf(n), jobId(n)))?.body.Status === 'done');
+      await until(async () => (await getJob(apiOf(n), jobId(n)))?.body.Status === 'done');
     }
     await until(() => countRunningTasks() >= 15);
-    const maxStopped = maxStoppedByTeam(cloud.history, teamOf);
+    const maxStopped = maxStoppedByTeam(cloud.taskEvents, teamOf);
     expect(maxStopped.get('blue')).toBeLessThanOrEqual(2);
     expect(maxStopped.get('green')).toBeLessThanOrEqual(1);
-    expect(cloud.history.filter(({ kind }) => kind === 'stop').length).toBeGreaterThanOrEqual(6);
-    expect(findConcurrentRuns(cloud.history)).toEqual([]);
-    expect(tasksLostWithMachines(cloud.history)).toEqual([]);
+    expect(cloud.taskEvents.filter(({ kind }) => kind === 'stop').length).toBeGreaterThanOrEqual(6);
+    expect(findConcurrentRuns(cloud.taskEvents)).toEqual([]);
+    expect(tasksLostWithMachines(cloud.taskEvents)).toEqual([]);
     const list = await runCommand(directory, ['drain', 'list', '--at', apiOf(2)]);
     expect(list.out).toMatch(/^whole: done/);
   }, 120_000);
@@ -140,7 +141,8 @@
     const at = processes[0]!.api;
     cloud.runMsOf = (task) => (task.startsWith('job-000004') ? null : 300);
     expect(
-      (await post(at, '/api/jobs', body('job-000004', { ...CHECKPOINTING, Pieces: 6 })))?.status,
+      (await requestJson(at, '/api/jobs', jobBody('job-000004', { ...CHECKPOINTING, Pieces: 6 })))
+        ?.status,
     ).toBe(201);
     await until(
       () => [...cloud.workers.values()].reduce((sum, w) => sum + w.running().length, 0) === 6,
@@ -159,14 +161,14 @@
     expect(startResult.code).toBe(0);
     const statuses = new Set<number>();
     for (let n = 20; n < 30; n += 1) {
-      const reply = await post(at, '/api/jobs', body(`job-0000${n}`, { Pieces: 1 }));
+      const reply = await requestJson(at, '/api/jobs', jobBody(`job-0000${n}`, { Pieces: 1 }));
       statuses.add(reply?.status ?? 0);
     }
     expect([...statuses]).toEqual([201]);
     await until(() => initialMachines.every((name) => !cloud.workers.has(name)));
-    expect(maxStoppedByTeam(cloud.history, () => 'blue').get('blue')).toBeLessThanOrEqual(2);
-    expect(state.refused).toEqual([]);
-    expect(tasksLostWithMachines(cloud.history)).toEqual([]);
+    expect(maxStoppedByTeam(cloud.taskEvents, () => 'blue').get('blue')).toBeLessThanOrEqual(2);
+    expect(state.rejectedTransactions).toEqual([]);
+    expect(tasksLostWithMachines(cloud.taskEvents)).toEqual([]);
   }, 60_000);
 });
 
@@ -214,7 +216,7 @@
       return answer.code === 4 ? answer : null;
     });
     expect(unavailable.error).toMatch(/^robinspread: 503 /);
-    const reply = await post(at, '/api/drains', undefined, 'GET');
+    const reply = await requestJson(at, '/api/drains', undefined, 'GET');
     expect(reply?.headers['retry-after']).toBeDefined();
   }, 60_000);
 
--- a/packages/drain/test/support/drain-fleet.ts
+++ b/packages/drain/test/support/drain-fleet.ts
@@ -16,7 +16,13 @@
 } from '../../../../src/core/model/ids.js';
 import type { StoreOperation } from '../../../../src/core/model/ledger-record.js';
 import type { Instant } from '../../../../src/core/model/time.js';
-import { core, type JobChange, job, team, type } from '../../../../test/support/builders.js';
+import {
+  core,
+  type JobOverrides,
+  job,
+  machineType,
+  team,
+} from '../../../../test/support/builders.js';
 import { drainModule } from '../../src/index.js';
 import { type Clock, noFaults, STEP_MS } from './faults.js';
 import { ModelCloud } from './model-cloud.js';
@@ -148,7 +154,9 @@
 
   private recoveryCommands(): Command[] {
     const { jobs, ledger, records } = this.store;
-    const commands: Command[] = [{ kind: 'machine-types', types: [type('c8', { bootS: 5 })] }];
+    const commands: Command[] = [
+      { kind: 'machine-types', types: [machineType('c8', { bootS: 5 })] },
+    ];
     for (const spec of jobs.values())
       commands.push({ kind: 'job', spec, submittedAt: this.now as Instant });
     for (const [segment, { progress }] of ledger) {
@@ -168,7 +176,7 @@
   // ---- Users and operators ----
 
   /** Submits a job; its tasks never end unless `workers.runMsByJob` says so. */
-  submitJob(id: string, change: JobChange = {}): void {
+  submitJob(id: string, change: JobOverrides = {}): void {
     const spec = job(id, { estimateS: 600, ...change });
     this.store.jobs.set(id, spec);
     this.queue.push({ kind: 'job', spec, submittedAt: this.now as Instant });
--- a/packages/drain/test/support/model-workers.ts
+++ b/packages/drain/test/support/model-workers.ts
@@ -2,7 +2,7 @@
 import type { Heartbeat, TaskStatus } from '../../../../src/core/model/heartbeat.js';
 import type { JobId, ZoneName } from '../../../../src/core/model/ids.js';
 import type { WorkerCommand } from '../../../../src/core/model/worker-command.js';
-import { heartbeatOf, task } from '../../../../test/support/builders.js';
+import { heartbeatOf, taskStatus } from '../../../../test/support/builders.js';
 import { type Clock, STEP_MS } from './faults.js';
 
 const HEARTBEAT_MS = 1000;
@@ -209,7 +209,7 @@
     const holder = this.machineOf(name);
     if (holder !== null)
       this.context.violations.push(`task ${name} runs both on ${holder} and on ${worker.id}`);
-    const status = task(command.job, command.index, command.attempt);
+    const status = taskStatus(command.job, command.index, command.attempt);
     worker.tasks.set(name, { ...status, startedAt: this.now });
     this.starts.push({ task: name, machine: worker.id, at: this.now });
   }
--- a/test/api-limits.test.ts
+++ b/test/api-limits.test.ts
@@ -10,7 +10,7 @@
 import type { ControllerApi } from '../src/ports/controller-api.js';
 import { CommandLoop } from '../src/service/command-loop.js';
 import { cleanUp, cleanups, freePort, log, until } from './stand-ins/cluster.js';
-import { post } from './stand-ins/http.js';
+import { requestJson } from './stand-ins/http.js';
 import { settingsText } from './stand-ins/settings.js';
 import { core } from './support/builders.js';
 
@@ -31,7 +31,7 @@
     );
     for (let i = 0; i < 5; i += 1) {
       for (const malformed of [{ Berth: 'n-1' }, { Berth: 'n-2' }, 'not json', null]) {
-        expect((await post(`127.0.0.1:${port}`, '/checkin', malformed))?.status).toBe(400);
+        expect((await requestJson(`127.0.0.1:${port}`, '/checkin', malformed))?.status).toBe(400);
       }
     }
     expect(logLines).toHaveLength(4);
@@ -61,15 +61,15 @@
     const address = `127.0.0.1:${port}`;
     await until(() => server.listening);
     const pendingResponses = Array.from({ length: MAX_REQUESTS_IN_FLIGHT }, () =>
-      post(address, '/slow', undefined, 'GET'),
+      requestJson(address, '/slow', undefined, 'GET'),
     );
     await until(() => heldResponses.length === MAX_REQUESTS_IN_FLIGHT);
-    const rejected = await post(address, '/slow', undefined, 'GET');
+    const rejected = await requestJson(address, '/slow', undefined, 'GET');
     expect([rejected?.status, rejected?.headers['retry-after']]).toEqual([503, '1']);
     respondsAtOnce = true;
     for (const respond of heldResponses) respond();
     for (const response of await Promise.all(pendingResponses)) expect(response?.status).toBe(200);
-    expect((await post(address, '/slow', undefined, 'GET'))?.status).toBe(200);
+    expect((await requestJson(address, '/slow', undefined, 'GET'))?.status).toBe(200);
     expect(server.maxConnections).toBeLessThan(settings.quota.maxConnections);
   });
 
--- a/test/backfill.test.ts
+++ b/test/backfill.test.ts
@@ -19,12 +19,12 @@
 import { runSchedulingRound } from '../src/core/scheduling/backfill.js';
 import { scoreDeadline } from '../src/core/scheduling/scoring.js';
 import { type PlainWorld, plainRound } from './model/plain-backfill.js';
-import { core, type JobChange, job, team, type } from './support/builders.js';
+import { core, type JobOverrides, job, machineType, team } from './support/builders.js';
 
 const TYPES = [
-  type('small', { cpus: 4, memoryGb: 16 }),
-  type('big', { cpus: 8, memoryGb: 32 }),
-  type('gpu', { cpus: 8, gpus: 2, memoryGb: 32 }),
+  machineType('small', { cpus: 4, memoryGb: 16 }),
+  machineType('big', { cpus: 8, memoryGb: 32 }),
+  machineType('gpu', { cpus: 8, gpus: 2, memoryGb: 32 }),
 ];
 const NOW = 1_000_000;
 
@@ -86,7 +86,7 @@
     jobs: [],
     gpuTypes: [{ type: 'gpu', gpus: 2 }],
     machines: [],
-    runs: [],
+    attempts: [],
     quotas,
     queueHead: generated.headIndex === null ? null : `job-${generated.headIndex}`,
   };
@@ -172,7 +172,7 @@
       NOW + Math.max(1000, (estimateS * 1000) / 4),
     );
     const end = isService(job) ? Number.POSITIVE_INFINITY : estimatedEnd;
-    world.runs.push({ job: id, machine: machine.id, ranMs: NOW - startedAt, end });
+    world.attempts.push({ job: id, machine: machine.id, elapsedMs: NOW - startedAt, end });
   });
   return { state, world };
 };
@@ -309,7 +309,7 @@
 
   it('keeps the queue head until it has started, whatever jobs arrive', () => {
     const state = core();
-    state.types.set('c8' as MachineTypeName, type('c8'));
+    state.types.set('c8' as MachineTypeName, machineType('c8'));
     const location = {
       endpoint: '',
       type: 'c8' as MachineTypeName,
@@ -319,7 +319,7 @@
     const machine = createMachine('n-1' as MachineId, location, 0 as Instant, 0 as Instant);
     machine.isReady = true;
     state.machines.set(machine.id, machine);
-    const addJob = (id: string, changes: JobChange) => {
+    const addJob = (id: string, changes: JobOverrides) => {
       const spec = job(id, changes);
       state.jobs.set(spec.id, createJob(spec, 0 as Instant));
     };
@@ -347,13 +347,13 @@
       spot: false,
     };
     const runPreemption = (
-      victimChanges: JobChange,
-      headChanges: JobChange,
+      victimChanges: JobOverrides,
+      headChanges: JobOverrides,
       startedAt = 0,
       policy: Partial<Policy> = {},
     ) => {
       const state = core({}, policy);
-      state.types.set('c8' as MachineTypeName, type('c8'));
+      state.types.set('c8' as MachineTypeName, machineType('c8'));
       const machine = createMachine('n-1' as MachineId, location, 0 as Instant, 0 as Instant);
       machine.isReady = true;
       machine.lastHeartbeatAt = 64_000 as Instant;
--- a/test/batch-writer.test.ts
+++ b/test/batch-writer.test.ts
@@ -42,7 +42,7 @@
     const { store, writer } = await setUp();
     store.answersToLose = 1;
     expect(await writer.storeBatch([segment(1)])).toEqual(STORED);
-    expect(store.transactions).toBe(1);
+    expect(store.transactionCount).toBe(1);
     const deletion: StoreOperation = { kind: 'delete-segment', key: keyOf(1) };
     expect(await writer.storeBatch([segment(3), deletion])).toEqual(STORED);
     expect(store.keys.get(keyOf(3))?.value).toMatchObject({ d: [['job-1', 0, 'Aw==']] });
@@ -53,7 +53,7 @@
     const { store, writer } = await setUp();
     store.requestsToDrop = 2;
     expect(await writer.storeBatch([segment(1)])).toEqual(STORED);
-    expect(store.transactions).toBe(3);
+    expect(store.transactionCount).toBe(3);
   });
 
   it('reports lost leadership once another node leads, and writes nothing', async () => {
--- a/test/compound-failures.test.ts
+++ b/test/compound-failures.test.ts
@@ -18,9 +18,9 @@
   heartbeatOf,
   job,
   ledgerEntry,
+  machineType,
   recordedAttributes,
-  task,
-  type,
+  taskStatus,
 } from './support/builders.js';
 import { CoreDriver, ended, running } from './support/core-driver.js';
 
@@ -90,7 +90,7 @@
     let stored: StoreOperation[] = [];
     const apply = (now: number, ...commands: Parameters<typeof applyCommands>[1][number][]) =>
       applyCommands(state, commands, now as Instant, 'lead');
-    apply(0, { kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
+    apply(0, { kind: 'machine-types', types: [machineType('c8')] }, { kind: 'recovery-completed' });
     apply(10, { kind: 'machines-listed', requestedAt: 0 as Instant, machines: [] });
     const submitEffects = apply(3000, {
       kind: 'job',
@@ -134,7 +134,7 @@
     // The leader fails. Its successor recovers all attempts from the ledger and repeats none.
     const successor = core({ fencingToken: 8 as FencingToken, acquiredAt: 6200 as Instant });
     const commands: Parameters<typeof applyCommands>[1][number][] = [
-      { kind: 'machine-types', types: [type('c8')] },
+      { kind: 'machine-types', types: [machineType('c8')] },
       { kind: 'job', spec: job('job-1', { tasks: 4 }), submittedAt: 3000 as Instant },
     ];
     for (const op of stored) {
@@ -199,7 +199,7 @@
         return all;
       };
       const commands: Parameters<typeof applyCommands>[1][number][] = [
-        { kind: 'machine-types', types: [type('c8')] },
+        { kind: 'machine-types', types: [machineType('c8')] },
         { kind: 'job', spec: job('job-1', { tasks: 3 }), submittedAt: 0 as Instant },
       ];
       for (const op of ledger) {
@@ -222,7 +222,7 @@
         const tasks = [...attempts]
           .filter(([index]) => !reaped.has(index))
           .map(([index, attempt]) =>
-            task(
+            taskStatus(
               'job-1',
               index,
               attempt,
@@ -285,12 +285,14 @@
     };
     apply(
       0,
-      { kind: 'machine-types', types: [type('c8')] },
+      { kind: 'machine-types', types: [machineType('c8')] },
       { kind: 'job', spec: job('job-1', { tasks: 2 }), submittedAt: 0 as Instant },
       { kind: 'recovered-attempts', ...row, entries: [ledgerEntry(0, 7_000_002)] },
       { kind: 'recovery-completed' },
     );
-    const staleHeartbeat = heartbeatOf('n-1', 9, 7, [task('job-1', 0, 7_000_001, 'ended', 'done')]);
+    const staleHeartbeat = heartbeatOf('n-1', 9, 7, [
+      taskStatus('job-1', 0, 7_000_001, 'ended', 'done'),
+    ]);
     const effects = apply(500, {
       kind: 'heartbeat',
       heartbeat: staleHeartbeat,
@@ -317,7 +319,13 @@
       term: number,
       phase: 'running' | 'ended',
     ) => {
-      const reportedTask = task('job-1', 0, 7_000_002, phase, phase === 'ended' ? 'stopped' : null);
+      const reportedTask = taskStatus(
+        'job-1',
+        0,
+        7_000_002,
+        phase,
+        phase === 'ended' ? 'stopped' : null,
+      );
       return apply(now, {
         kind: 'heartbeat',
         heartbeat: heartbeatOf('n-2', seq, term, [reportedTask]),
@@ -348,7 +356,7 @@
       firstTask: 0,
       bits,
     });
-    const commands = driver.sendHeartbeat('n-2', [task('job-1', 0, 6_000_002)]) ?? [];
+    const commands = driver.sendHeartbeat('n-2', [taskStatus('job-1', 0, 6_000_002)]) ?? [];
     expect(commands).toMatchObject([{ op: 'kill', attempt: 6_000_002 }]);
   });
 });
--- a/test/duplicated-messages.test.ts
+++ b/test/duplicated-messages.test.ts
@@ -17,8 +17,8 @@
   heartbeatOf,
   job,
   ledgerEntry,
+  machineType,
   recordedAttributes,
-  type,
 } from './support/builders.js';
 import { CoreDriver, running } from './support/core-driver.js';
 
@@ -63,7 +63,7 @@
     const segment = segmentKey(6 as FencingToken, 1);
     send(
       0,
-      { kind: 'machine-types', types: [type('c8')] },
+      { kind: 'machine-types', types: [machineType('c8')] },
       { kind: 'job', spec: job('job-1', { tasks: 2 }), submittedAt: 0 as Instant },
       {
         kind: 'recovered-attempts',
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -10,8 +10,8 @@
   heartbeatOf,
   job,
   ledgerEntry,
+  machineType,
   recordedAttributes,
-  type,
 } from './support/builders.js';
 import { CoreDriver, running } from './support/core-driver.js';
 
@@ -33,7 +33,7 @@
     const entries = starts.map((start) => ledgerEntry(start.index, start.attempt));
     apply(
       0,
-      { kind: 'machine-types', types: [type('c8')] },
+      { kind: 'machine-types', types: [machineType('c8')] },
       { kind: 'job', spec: job('job-1', { tasks: 2 }), submittedAt: 0 as Instant },
       {
         kind: 'recovered-attempts',
@@ -83,7 +83,7 @@
       applyCommands(state, commands, now as Instant, 'lead');
     const machines = Array.from({ length: 6 }, (_, i) => `n-${i}` as MachineId);
     const segment = segmentKey(6 as FencingToken, 1);
-    apply(0, { kind: 'machine-types', types: [type('c8')] });
+    apply(0, { kind: 'machine-types', types: [machineType('c8')] });
     apply(0, { kind: 'job', spec: job('job-1', { tasks: 6 }), submittedAt: 0 as Instant });
     for (const [i, machine] of machines.entries()) {
       apply(0, {
--- a/test/fault-handling.test.ts
+++ b/test/fault-handling.test.ts
@@ -18,9 +18,9 @@
   heartbeatOf,
   job,
   ledgerEntry,
+  machineType,
   recordedAttributes,
-  task,
-  type,
+  taskStatus,
 } from './support/builders.js';
 import { CoreDriver, ended, running } from './support/core-driver.js';
 
@@ -194,7 +194,7 @@
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 2 });
     const starts = driver.startsIn(driver.bringUp('n-1'));
-    const unknownTask = task('job-1', 999_999_999, 3);
+    const unknownTask = taskStatus('job-1', 999_999_999, 3);
     const commands = driver.sendHeartbeat('n-1', [...starts.map(running), unknownTask]);
     expect(commands).toMatchObject([{ op: 'kill', index: 999_999_999 }]);
     driver.sendHeartbeat('n-1', starts.map(running));
@@ -239,7 +239,7 @@
     const tick = (now: number) => applyCommands(state, [{ kind: 'tick' }], now as Instant, 'lead');
     applyCommands(
       state,
-      [{ kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' }],
+      [{ kind: 'machine-types', types: [machineType('c8')] }, { kind: 'recovery-completed' }],
       0 as Instant,
       'lead',
     );
--- a/test/heartbeat-http.test.ts
+++ b/test/heartbeat-http.test.ts
@@ -13,7 +13,7 @@
 import type { ControllerApi } from '../src/ports/controller-api.js';
 import type { HeartbeatDecision } from '../src/ports/heartbeat-service.js';
 import { cleanUp, cleanups, freePort, log, until } from './stand-ins/cluster.js';
-import { post } from './stand-ins/http.js';
+import { requestJson } from './stand-ins/http.js';
 import { settingsText } from './stand-ins/settings.js';
 
 afterEach(cleanUp);
@@ -214,7 +214,7 @@
     const answers: unknown[] = [];
     const recordResponse = async (body: unknown, viaHttpServer: boolean) => {
       const path = viaHttpServer ? '/checkin?' : '/checkin';
-      const reply = await post(address, path, body);
+      const reply = await requestJson(address, path, body);
       answers.push([reply?.status, reply?.body, reply?.headers['retry-after']]);
     };
     for (const viaHttpServer of [false, true]) {
--- a/test/isolated-leader.test.ts
+++ b/test/isolated-leader.test.ts
@@ -7,16 +7,16 @@
 import type { Controller } from '../src/service/controller.js';
 import { Cloud } from './stand-ins/cloud.js';
 import {
-  body,
   type ClusterNode,
   cleanUp,
   cleanups,
   freePort,
+  getJob,
+  jobBody,
   startCluster,
-  status,
   until,
 } from './stand-ins/cluster.js';
-import { post } from './stand-ins/http.js';
+import { requestJson } from './stand-ins/http.js';
 
 afterEach(cleanUp);
 
@@ -25,52 +25,59 @@
 
   it('without the key-value store hands its workers to the leader that a peer names', async () => {
     // Machines count as silent after four heartbeat intervals: longer than a peer's message takes.
-    const { nodes, fronts, cloud } = await startCluster(3, { heartbeatIntervalS: 0.5 });
+    const { nodes, storeEndpoints, cloud } = await startCluster(3, { heartbeatIntervalS: 0.5 });
     cloud.taskMs = 10_000_000;
     const formerLeader = leaderOf(nodes)!;
-    await post(formerLeader.at, '/api/jobs', body('job-31'));
-    await until(async () => (await status(formerLeader.at, 'job-31'))?.body.running === 3);
-    fronts[nodes.indexOf(formerLeader)]!.refuse = true;
+    await requestJson(formerLeader.address, '/api/jobs', jobBody('job-31'));
+    await until(async () => (await getJob(formerLeader.address, 'job-31'))?.body.running === 3);
+    storeEndpoints[nodes.indexOf(formerLeader)]!.isDown = true;
     const successor = await until(() => leaderOf(nodes.filter((n) => n !== formerLeader)));
     // The former leader cannot read the store, so a peer must have sent this.
     await until(
       () => formerLeader.controller.election.leaderNode === `node-${nodes.indexOf(successor)}`,
     );
     expect(formerLeader.controller.authority()).toBe('none');
-    await until(async () => (await status(successor.at, 'job-31'))?.body.running === 3);
+    await until(async () => (await getJob(successor.address, 'job-31'))?.body.running === 3);
     expect(cloud.starts).toHaveLength(3);
   });
 
   it('without the key-value store has a peer admit jobs and look up their status', async () => {
-    const { nodes, fronts, state } = await startCluster(3);
+    const { nodes, storeEndpoints, state } = await startCluster(3);
     const isolatedNode = nodes.find((n) => n !== leaderOf(nodes))!;
-    fronts[nodes.indexOf(isolatedNode)]!.refuse = true;
+    storeEndpoints[nodes.indexOf(isolatedNode)]!.isDown = true;
     await until(
-      async () => (await post(isolatedNode.at, '/api/jobs', body('job-34')))?.status === 201,
+      async () =>
+        (await requestJson(isolatedNode.address, '/api/jobs', jobBody('job-34')))?.status === 201,
     );
     expect(state.keys.has('j/job-34') || state.keys.has('f/job-34')).toBe(true);
-    expect((await post(isolatedNode.at, '/api/jobs', body('job-34')))?.status).toBe(200);
-    expect((await status(isolatedNode.at, 'job-34'))?.status).toBe(200);
-    expect((await status(isolatedNode.at, 'job-35'))?.status).toBe(404);
-    expect((await post(isolatedNode.at, '/up', undefined, 'GET'))?.status).toBe(200);
+    expect((await requestJson(isolatedNode.address, '/api/jobs', jobBody('job-34')))?.status).toBe(
+      200,
+    );
+    expect((await getJob(isolatedNode.address, 'job-34'))?.status).toBe(200);
+    expect((await getJob(isolatedNode.address, 'job-35'))?.status).toBe(404);
+    expect((await requestJson(isolatedNode.address, '/up', undefined, 'GET'))?.status).toBe(200);
   });
 
   it('without the key-value store and peers is not ready until the store is back', async () => {
-    const { nodes, fronts } = await startCluster(2);
+    const { nodes, storeEndpoints } = await startCluster(2);
     nodes[1]!.stop();
-    fronts[0]!.refuse = true;
-    const readyStatus = async () => (await post(nodes[0]!.at, '/up', undefined, 'GET'))?.status;
+    storeEndpoints[0]!.isDown = true;
+    const readyStatus = async () =>
+      (await requestJson(nodes[0]!.address, '/up', undefined, 'GET'))?.status;
     await until(async () => (await readyStatus()) === 503);
-    expect((await post(nodes[0]!.at, '/api/jobs', body('job-36')))?.status).toBe(503);
-    fronts[0]!.refuse = false;
+    expect((await requestJson(nodes[0]!.address, '/api/jobs', jobBody('job-36')))?.status).toBe(
+      503,
+    );
+    storeEndpoints[0]!.isDown = false;
     await until(async () => (await readyStatus()) === 200);
     await until(
-      async () => (await post(nodes[0]!.at, '/api/jobs', body('job-36')))?.status === 201,
+      async () =>
+        (await requestJson(nodes[0]!.address, '/api/jobs', jobBody('job-36')))?.status === 201,
     );
   });
 
   it('without the key-value store and peers leaves its workers to the next leader', async () => {
-    const { nodes, fronts, cloud } = await startCluster(2, {
+    const { nodes, storeEndpoints, cloud } = await startCluster(2, {
       isolatedNode: 0,
       heartbeatIntervalS: 2,
     });
@@ -81,13 +88,14 @@
     // With heartbeats every 2 s, no machine counts as silent before it finds the next leader.
     await until(
       async () =>
-        (await post(formerLeader.at, '/api/jobs', body('job-37', { Cpus: 8 })))?.status === 201,
+        (await requestJson(formerLeader.address, '/api/jobs', jobBody('job-37', { Cpus: 8 })))
+          ?.status === 201,
     );
-    await until(async () => (await status(formerLeader.at, 'job-37'))?.body.running === 3);
-    fronts[0]!.refuse = true;
+    await until(async () => (await getJob(formerLeader.address, 'job-37'))?.body.running === 3);
+    storeEndpoints[0]!.isDown = true;
     await until(() => successor.controller.authority() === 'lead');
     // Well before the 21 s for which a leader may keep workers alive without a lease.
-    await until(async () => (await status(successor.at, 'job-37'))?.body.running === 3);
+    await until(async () => (await getJob(successor.address, 'job-37'))?.body.running === 3);
     expect(formerLeader.controller.authority()).not.toBe('lead');
     expect(cloud.starts).toHaveLength(3);
   });
@@ -96,12 +104,12 @@
     const { nodes, cloud } = await startCluster(2);
     const formerLeader = leaderOf(nodes)!;
     const successor = nodes.find((n) => n !== formerLeader)!;
-    await post(formerLeader.at, '/api/jobs', body('job-32'));
-    await until(async () => (await status(formerLeader.at, 'job-32'))?.body.Status === 'done');
-    cloud.nodes[nodes.indexOf(formerLeader)] = `127.0.0.1:${await freePort()}`;
+    await requestJson(formerLeader.address, '/api/jobs', jobBody('job-32'));
+    await until(async () => (await getJob(formerLeader.address, 'job-32'))?.body.Status === 'done');
+    cloud.controllerAddresses[nodes.indexOf(formerLeader)] = `127.0.0.1:${await freePort()}`;
     await until(() => successor.controller.authority() === 'lead');
-    await post(formerLeader.at, '/api/jobs', body('job-33'));
-    await until(async () => (await status(formerLeader.at, 'job-33'))?.body.Status === 'done');
+    await requestJson(formerLeader.address, '/api/jobs', jobBody('job-33'));
+    await until(async () => (await getJob(formerLeader.address, 'job-33'))?.body.Status === 'done');
   });
 });
 
@@ -116,7 +124,7 @@
 describe('a leader that was paused after a decision', () => {
   it('sends no start decided before, as each reply checks the authority again', async () => {
     const { nodes, cloud } = await startCluster(1);
-    const { at, controller } = nodes[0]!;
+    const { address: at, controller } = nodes[0]!;
     const { leaderTerm, effectRunner } = internalsOf(controller);
     let isPaused = false;
     let decidedStarts = 0;
@@ -132,19 +140,19 @@
       decidedStarts = effect.commands.length;
       isPaused = true;
     });
-    expect((await post(at, '/api/jobs', body('job-1')))?.status).toBe(201);
+    expect((await requestJson(at, '/api/jobs', jobBody('job-1')))?.status).toBe(201);
     await until(() => decidedStarts > 0);
     await new Promise((resolve) => setTimeout(resolve, 300));
     expect(cloud.starts).toEqual([]);
     isPaused = false;
-    await until(async () => (await status(at, 'job-1'))?.body.Status === 'done');
+    await until(async () => (await getJob(at, 'job-1'))?.body.Status === 'done');
     expect(new Set(cloud.starts.map((s) => s.split('#')[0])).size).toBe(3);
     expect(cloud.starts).toHaveLength(3);
   });
 
   it('neither provisions nor deletes machines without authority', async () => {
     const cloud = new Cloud(3);
-    cloud.nodes = ['127.0.0.1:9'];
+    cloud.controllerAddresses = ['127.0.0.1:9'];
     cleanups.push(() => cloud.close());
     const client = new CloudClient(parseEndpoint(await cloud.listen()), 100);
     cleanups.push(() => client.close());
--- a/test/ledger.test.ts
+++ b/test/ledger.test.ts
@@ -19,10 +19,10 @@
   heartbeatOf,
   job,
   ledgerEntry,
+  machineType,
   recordedAttributes,
-  task,
+  taskStatus,
   team,
-  type,
 } from './support/builders.js';
 import { CoreDriver, ended, running } from './support/core-driver.js';
 
@@ -66,7 +66,7 @@
     const state = core({ ...limits, teams: new Map([['blue' as TeamName, team('blue', 800)]]) });
     const run = (now: number, ...commands: Command[]) =>
       applyCommands(state, commands, now as Instant, 'lead');
-    run(0, { kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
+    run(0, { kind: 'machine-types', types: [machineType('c8')] }, { kind: 'recovery-completed' });
     for (let seq = 1; seq < 3; seq += 1) {
       for (let i = 0; i < 60; i += 1) {
         const heartbeat = heartbeatOf(`n-${i}`, seq, seq < 2 ? 6 : 7);
@@ -167,7 +167,7 @@
       applyCommands(state, commands, now as Instant, 'lead');
     send(
       0,
-      { kind: 'machine-types', types: [type('c8')] },
+      { kind: 'machine-types', types: [machineType('c8')] },
       { kind: 'unreadable-segment', segment: segmentKey(6 as FencingToken, 1) },
     );
     send(
@@ -241,7 +241,7 @@
     const driver = new CoreDriver();
     driver.submit('job-1', { tasks: 1 });
     driver.advance(100);
-    const unknownTask = task('job-1', 0, 123);
+    const unknownTask = taskStatus('job-1', 0, 123);
     driver.sendHeartbeat('n-9', [unknownTask]);
     driver.advance(500);
     const operations = driver.effects.flatMap((effect) =>
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -28,10 +28,10 @@
   heartbeatOf,
   job,
   ledgerEntry,
+  machineType,
   recordedAttributes,
-  task,
+  taskStatus,
   team,
-  type,
 } from './support/builders.js';
 
 const cleanups: (() => void)[] = [];
@@ -110,7 +110,7 @@
         state,
         segmentTexts,
         [
-          { kind: 'machine-types', types: [type('c8')] },
+          { kind: 'machine-types', types: [machineType('c8')] },
           submission,
           { kind: 'recovery-completed' },
         ],
@@ -119,7 +119,7 @@
       const doneIndexes = Array.from({ length: 300 }, (_, i) => (i * 331) % 100_000);
       let now = 0;
       for (const [i, index] of doneIndexes.entries()) {
-        const ended = [task('job-1', index, i + 1, 'ended', 'done')];
+        const ended = [taskStatus('job-1', index, i + 1, 'ended', 'done')];
         now += 200;
         runLeader(
           state,
@@ -186,7 +186,7 @@
       };
       const unknownTaskOn = (n: number): Command => ({
         kind: 'heartbeat',
-        heartbeat: heartbeatOf(`n-${n}`, 1, 7, [task(`job-${n}`, 0, n)]),
+        heartbeat: heartbeatOf(`n-${n}`, 1, 7, [taskStatus(`job-${n}`, 0, n)]),
         ticket: null,
       });
       run(
@@ -260,8 +260,8 @@
         attempts: expected.sort((a, b) => a - b),
         progress: 4,
       });
-      expect(store.refused.length).toBeGreaterThan(0);
-      expect(new Set(store.refused).size).toBe(store.refused.length);
+      expect(store.rejectedTransactions.length).toBeGreaterThan(0);
+      expect(new Set(store.rejectedTransactions).size).toBe(store.rejectedTransactions.length);
       const deletions = ops.map(({ key }): StoreOperation => ({ kind: 'delete-segment', key }));
       expect(await writer.storeBatch([segment(9, 1), ...deletions])).toEqual(ALL_STORED);
       expect(storedContents(store).attempts).toEqual([9000, 9100, 9200]);
@@ -300,7 +300,7 @@
         send(now, { kind: 'batch-stored', batch: effect.batch, refused });
       }
     };
-    send(0, { kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
+    send(0, { kind: 'machine-types', types: [machineType('c8')] }, { kind: 'recovery-completed' });
     send(0, { kind: 'job', spec: job('job-1'), submittedAt: 0 as Instant });
     for (let now = 1000, seq = 1; now < 60_000; now += 1000, seq += 1) {
       send(now, {
--- a/test/model/overloaded-day.ts
+++ b/test/model/overloaded-day.ts
@@ -10,7 +10,7 @@
 import type { Policy } from '../../src/core/model/policy.js';
 import type { Instant } from '../../src/core/model/time.js';
 import type { WorkerCommand } from '../../src/core/model/worker-command.js';
-import { core, heartbeatOf, job, task, team, type } from '../support/builders.js';
+import { core, heartbeatOf, job, machineType, taskStatus, team } from '../support/builders.js';
 
 const STEP_MS = 1000;
 const ARRIVALS_MS = 400_000;
@@ -23,18 +23,18 @@
 }
 
 /** A job of the day, with the times in milliseconds at which it began and was done. */
-export interface DayJob {
+export interface ModelJob {
   readonly spec: JobSpec;
   readonly submittedAt: number;
-  begunAt: number | null;
+  startedAt: number | null;
   doneAt: number | null;
 }
 
 /** Plays the day with a leader that never fails. */
 export class OverloadedDay {
-  readonly jobs: DayJob[] = [];
+  readonly jobs: ModelJob[] = [];
   private readonly state: CoreState;
-  private readonly byId = new Map<string, DayJob>();
+  private readonly byId = new Map<string, ModelJob>();
   private readonly running = Array.from({ length: MACHINES }, () => [] as Running[]);
 
   constructor(policy: Partial<Policy> = {}, limit = 60) {
@@ -56,7 +56,7 @@
       estimateS: large ? 40 : 20,
       deadlineS: large ? 150 : 60,
     });
-    const dayJob: DayJob = { spec, submittedAt: now, begunAt: null, doneAt: null };
+    const dayJob: ModelJob = { spec, submittedAt: now, startedAt: null, doneAt: null };
     this.jobs.push(dayJob);
     this.byId.set(spec.id, dayJob);
     this.send(now, { kind: 'job', spec, submittedAt: now as Instant });
@@ -73,8 +73,12 @@
   }
 
   /** Plays the whole day. */
-  play(): void {
-    this.send(0, { kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
+  run(): void {
+    this.send(
+      0,
+      { kind: 'machine-types', types: [machineType('c8')] },
+      { kind: 'recovery-completed' },
+    );
     let sequence = 0;
     for (let now = 4000; now < DAY_MS; now += STEP_MS) {
       if (now < ARRIVALS_MS && now % 5000 === 0) this.arrive(now);
@@ -82,7 +86,7 @@
       for (const [i, running] of this.running.entries()) {
         const statuses = running.map(({ command, endsAt }) => {
           const hasEnded = endsAt <= now;
-          return task(
+          return taskStatus(
             command.job,
             command.index,
             command.attempt,
@@ -110,7 +114,7 @@
     const running = this.running[machine]!;
     if (command.op === 'start') {
       const dayJob = this.byId.get(command.job)!;
-      dayJob.begunAt ??= now;
+      dayJob.startedAt ??= now;
       running.push({ command, endsAt: now + dayJob.spec.estimateS * 1000 });
     } else {
       this.running[machine] = running.filter((r) => r.command.attempt !== command.attempt);
--- a/test/model/plain-backfill.ts
+++ b/test/model/plain-backfill.ts
@@ -45,11 +45,11 @@
 }
 
 /** An attempt on a machine. */
-export interface PlainRun {
+export interface PlainAttempt {
   job: string;
   machine: string;
   /** How long it has run, in milliseconds. */
-  ranMs: number;
+  elapsedMs: number;
   /** When it should end by its estimate; replicas have no end. */
   end: number;
 }
@@ -69,7 +69,7 @@
   /** Machine types with GPUs, in the fleet or not. */
   gpuTypes: { type: string; gpus: number }[];
   machines: PlainMachine[];
-  runs: PlainRun[];
+  attempts: PlainAttempt[];
   quotas: Record<string, { cpus: number; gpus: number }>;
   queueHead: string | null;
 }
@@ -136,7 +136,7 @@
   world: PlainWorld,
 ): { placed: string[]; queueHead: string | null; preempted: string[] } => {
   const jobOf = (id: string) => world.jobs.find((job) => job.id === id)!;
-  const runs = world.runs.map((run) => ({ ...run }));
+  const runs = world.attempts.map((run) => ({ ...run }));
   const pendingTasks = (job: PlainJob) => job.tasks - runs.filter((r) => r.job === job.id).length;
   const waiting = world.jobs.filter((job) => pendingTasks(job) > 0);
   const scores = new Map(
@@ -154,7 +154,7 @@
   if (waiting.length === 0) return { placed: [], queueHead: null, preempted };
   const hasQueuePrecedence = (job: PlainJob) => job.shape === 'service' && job.level === 3;
 
-  const sum = (list: PlainRun[], what: 'cpus' | 'gpus' | 'memoryGb') =>
+  const sum = (list: PlainAttempt[], what: 'cpus' | 'gpus' | 'memoryGb') =>
     list.reduce((total, run) => total + jobOf(run.job)[what], 0);
   const runsOn = (machine: PlainMachine) => runs.filter((r) => r.machine === machine.id);
   const fits = (
@@ -245,19 +245,21 @@
     a.gpus === b.gpus && a.cpus === b.cpus && a.memoryGb === b.memoryGb;
 
   const placed: string[] = [];
-  const preemptedRuns: PlainRun[] = [];
+  const preemptedRuns: PlainAttempt[] = [];
   let shadowTime = 0;
   // What is reserved for the head, and who will have ended, at the shadow time.
-  let headReservation: PlainRun[] = [];
-  let endedRuns: PlainRun[] = [];
-  const outlastingShadowTime: PlainRun[] = [];
+  let headReservation: PlainAttempt[] = [];
+  let endedRuns: PlainAttempt[] = [];
+  const outlastingShadowTime: PlainAttempt[] = [];
   /**
    * Its own image, and those that the machine fetches for tasks that this round has just started
    * there.
    */
   const gbToFetch = (job: PlainJob, machine: PlainMachine) => {
-    const newRuns = runs.slice(world.runs.length).filter((r) => r.machine === machine.id);
-    const formerJobs = world.runs.filter((run) => run.machine === machine.id).map((run) => run.job);
+    const newRuns = runs.slice(world.attempts.length).filter((r) => r.machine === machine.id);
+    const formerJobs = world.attempts
+      .filter((run) => run.machine === machine.id)
+      .map((run) => run.job);
     if (formerJobs.includes(job.id)) return 0;
     const names = new Set(
       [...newRuns.map((r) => r.job), job.id].filter((id) => !formerJobs.includes(id)),
@@ -302,12 +304,12 @@
           return false;
         if (shadowTime === 0 || end <= shadowTime) return true;
         const before = runs
-          .slice(0, world.runs.length)
+          .slice(0, world.attempts.length)
           .filter((r) => r.machine === other.id && !endedRuns.includes(r));
         const atShadowTime = [
           ...before,
           ...runs
-            .slice(world.runs.length)
+            .slice(world.attempts.length)
             .filter(
               (r) =>
                 r.machine === other.id &&
@@ -342,7 +344,7 @@
       );
       const machine = job.shape === 'service' ? feasible[0] : (cached ?? equallyPowerful[0]);
       if (!machine) return;
-      const run = { job: job.id, machine: machine.id, ranMs: 0, end };
+      const run = { job: job.id, machine: machine.id, elapsedMs: 0, end };
       runs.push(run);
       placedTasks += 1;
       placed.push(`${job.id}@${machine.id}`);
@@ -368,10 +370,10 @@
   for (const job of waiting.filter(hasQueuePrecedence)) {
     placeJob(job);
     let missingReplicas = Math.min(pendingTasks(job), tasksWithinQuota(job));
-    const options: { victims: PlainRun[]; loss: number }[] = [];
+    const options: { victims: PlainAttempt[]; loss: number }[] = [];
     for (const machine of byPower) {
       if (!isFeasible(job, machine)) continue;
-      const without = (victims: PlainRun[]) => {
+      const without = (victims: PlainAttempt[]) => {
         const rest = runsOn(machine).filter((r) => !victims.includes(r));
         return {
           cpus: sum(rest, 'cpus'),
@@ -389,13 +391,13 @@
           (r) =>
             !preemptedRuns.includes(r) && jobOf(r.job).shape === 'array' && jobOf(r.job).level < 3,
         )
-        .sort((a, b) => a.ranMs - b.ranMs);
+        .sort((a, b) => a.elapsedMs - b.elapsedMs);
       const lastVictim = lower.findIndex((_, i) =>
         fits(job, machine, without(lower.slice(0, i + 1))),
       );
       if (lastVictim < 0) continue;
       const victims = lower.slice(0, lastVictim + 1);
-      options.push({ victims, loss: victims.reduce((total, r) => total + r.ranMs, 0) });
+      options.push({ victims, loss: victims.reduce((total, r) => total + r.elapsedMs, 0) });
     }
     options.sort((a, b) => a.loss - b.loss);
     for (const { victims } of options.slice(0, Math.max(0, missingReplicas))) {
@@ -433,7 +435,7 @@
         if (missingTasks <= 0 || !fits(queueHead, machine, taken)) break;
         headReservation = [
           ...headReservation,
-          { job: queueHead.id, machine: machine.id, ranMs: 0, end: 0 },
+          { job: queueHead.id, machine: machine.id, elapsedMs: 0, end: 0 },
         ];
         missingTasks -= 1;
         shadowTime = r.end;
--- a/test/monotonic-reads.test.ts
+++ b/test/monotonic-reads.test.ts
@@ -14,20 +14,20 @@
 
 /** Queries a job at all nodes from its submission until after its end; cancels it if asked to. */
 const followJob = async (users: Recorder, id: string, cancel: boolean): Promise<void> => {
-  await users.untilAnswered((at) => users.submit(id, at));
-  const queries = users.askEverywhere(id);
+  await users.retryUntilAnswered((at) => users.submit(id, at));
+  const queries = users.queryAllNodes(id);
   if (cancel) {
-    await users.untilAnswered((at) => users.cancel(id, at));
-    await users.askEverywhere(id);
+    await users.retryUntilAnswered((at) => users.cancel(id, at));
+    await users.queryAllNodes(id);
   }
   await queries;
   await until(async () => {
-    const status = await users.untilAnswered((at) => users.lookUp(id, at));
+    const status = await users.retryUntilAnswered((at) => users.lookUp(id, at));
     return status === 'done' || status === 'withdrawn';
   });
-  await users.askEverywhere(id);
-  await users.untilAnswered((at) => users.cancel(id, at));
-  await users.askEverywhere(id);
+  await users.queryAllNodes(id);
+  await users.retryUntilAnswered((at) => users.cancel(id, at));
+  await users.queryAllNodes(id);
 };
 
 const followJobs = (users: Recorder, from: number, count: number) =>
@@ -41,15 +41,15 @@
 describe('reads across all nodes', () => {
   it('are monotonic while transactions lose replies or run late, after newer ones', async () => {
     const { nodes, state } = await startCluster(3);
-    const users = new Recorder(() => nodes.map((n) => n.at));
-    state.loseEvery = 3;
+    const users = new Recorder(() => nodes.map((n) => n.address));
+    state.loseAnswerEvery = 3;
     await followJobs(users, 100, 12);
-    state.loseEvery = 0;
-    state.lateEvery = 4;
+    state.loseAnswerEvery = 0;
+    state.delayEvery = 4;
     await followJobs(users, 200, 12);
     expect(users.problems).toEqual([]);
-    expect(state.lost).toBeGreaterThan(5);
-    expect(state.late).toBeGreaterThan(5);
+    expect(state.lostAnswers).toBeGreaterThan(5);
+    expect(state.delayedTransactions).toBeGreaterThan(5);
     expect(users.answersByStatus.done).toBeGreaterThan(100);
     expect(users.answersByStatus.withdrawn).toBeGreaterThan(50);
     expect(
@@ -58,9 +58,9 @@
   });
 
   it('are monotonic while leaders restart, or are refused by the key-value store', async () => {
-    const { nodes, fronts, start, cloud } = await startCluster(3);
+    const { nodes, storeEndpoints, start, cloud } = await startCluster(3);
     cloud.taskMs = 60;
-    const users = new Recorder(() => nodes.map((n) => n.at));
+    const users = new Recorder(() => nodes.map((n) => n.address));
     let leaderChanges = 0;
     let isFinished = false;
     const faults = (async () => {
@@ -72,13 +72,13 @@
           leader.stop();
           nodes[i] = start(i);
         } else {
-          fronts[i]!.refuse = true;
+          storeEndpoints[i]!.isDown = true;
           await until(
             () =>
               isFinished || nodes.some((n, j) => j !== i && n.controller.authority() === 'lead'),
           );
           await new Promise((resolve) => setTimeout(resolve, 150));
-          fronts[i]!.refuse = false;
+          storeEndpoints[i]!.isDown = false;
         }
         leaderChanges += 1;
         await new Promise((resolve) => setTimeout(resolve, 300));
--- a/test/one-task-jobs.test.ts
+++ b/test/one-task-jobs.test.ts
@@ -6,7 +6,7 @@
 import type { JobId, ReplyTicket, TeamName } from '../src/core/model/ids.js';
 import type { Instant } from '../src/core/model/time.js';
 import type { WorkerCommand } from '../src/core/model/worker-command.js';
-import { core, heartbeatOf, job, task, team, type } from './support/builders.js';
+import { core, heartbeatOf, job, machineType, taskStatus, team } from './support/builders.js';
 
 const MACHINES = 12;
 const TASK_MS = 9000;
@@ -66,7 +66,7 @@
       }
       return effects;
     };
-    send({ kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
+    send({ kind: 'machine-types', types: [machineType('c8')] }, { kind: 'recovery-completed' });
     const SUBMIT_MS = 240_000;
     let submitted = 0;
     let seq = 0;
@@ -97,7 +97,7 @@
         for (let i = 0; i < MACHINES; i += 1) {
           const reported = tasksByMachine[i]!.map(({ command, startedAt }) => {
             const ended = now - startedAt >= TASK_MS;
-            return task(
+            return taskStatus(
               command.job,
               command.index,
               command.attempt,
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -10,7 +10,7 @@
     'starts the largest jobs in 240 s, and completes half of them, each class and team (%s)',
     (_, quota) => {
       const day = new OverloadedDay({}, quota);
-      day.play();
+      day.run();
       const { jobs } = day;
       const doneShare = (of: typeof jobs) => of.filter((j) => j.doneAt !== null).length / of.length;
       for (const jobClass of ['small', 'large']) {
@@ -21,7 +21,7 @@
           .slice(0, Math.ceil(ofClass.length / 5));
         expect(doneShare(largest), `largest of ${jobClass}`).toBeGreaterThanOrEqual(0.5);
         for (const j of largest)
-          expect(j.begunAt! - j.submittedAt, j.spec.id).toBeLessThan(240_000);
+          expect(j.startedAt! - j.submittedAt, j.spec.id).toBeLessThan(240_000);
       }
       for (const name of ['blue', 'green']) {
         expect(doneShare(jobs.filter((j) => j.spec.team === name)), name).toBeGreaterThanOrEqual(
@@ -29,7 +29,7 @@
         );
       }
       // The day was overloaded: some job waited for more than a minute.
-      expect(Math.max(...jobs.map((j) => (j.begunAt ?? 0) - j.submittedAt))).toBeGreaterThan(
+      expect(Math.max(...jobs.map((j) => (j.startedAt ?? 0) - j.submittedAt))).toBeGreaterThan(
         60_000,
       );
     },
@@ -37,8 +37,10 @@
 
   it('starts some largest job too late if first tasks get no precedence', () => {
     const day = new OverloadedDay({ firstTaskAfterS: 1e6 });
-    day.play();
-    const late = day.jobs.filter((j) => j.begunAt === null || j.begunAt - j.submittedAt > 240_000);
+    day.run();
+    const late = day.jobs.filter(
+      (j) => j.startedAt === null || j.startedAt - j.submittedAt > 240_000,
+    );
     expect(late.length).toBeGreaterThan(0);
   });
 });
--- a/test/pinned-http.test.ts
+++ b/test/pinned-http.test.ts
@@ -24,8 +24,8 @@
 import { loadPins } from './fixtures/pins.js';
 import * as pinnedSchemas from './fixtures/schemas-90313a6.js';
 import { Cloud } from './stand-ins/cloud.js';
-import { body, cleanUp, cleanups, freePort, log, until } from './stand-ins/cluster.js';
-import { post } from './stand-ins/http.js';
+import { cleanUp, cleanups, freePort, jobBody, log, until } from './stand-ins/cluster.js';
+import { requestJson } from './stand-ins/http.js';
 import { KeyValueStoreServer } from './stand-ins/key-value-store.js';
 import { settingsText } from './stand-ins/settings.js';
 
@@ -162,7 +162,7 @@
     server.close();
     peers.close();
   });
-  await until(async () => (await post(api, '/up', undefined, 'GET'))?.status === 200);
+  await until(async () => (await requestJson(api, '/up', undefined, 'GET'))?.status === 200);
   if (peer) await until(() => controller.election.leaderNode === 'node-1');
   else await until(() => controller.authority() === 'lead');
   return { store, cloud, api, back, controller };
@@ -174,23 +174,23 @@
   'an array': '[]',
   'too large': `{"Ref":"${'x'.repeat(70_000)}"}`,
   'without Ref': {},
-  'a bad Ref': body('task-1'),
-  'no tasks': body('job-900', { Pieces: 0 }),
-  'a bad shape': body('job-900', { Shape: 'ring' }),
-  'a bad rank': body('job-900', { Rank: 'first' }),
-  'text for a number': body('job-900', { Cpus: '1' }),
-  'a field less': body('job-900', { OneZone: undefined }),
-  'a bad type': body('job-900', { Hulls: ['', 'c8'] }),
-  'unknown team': body('job-900', { Crew: 'nobody' }),
-  'over the limit': body('job-900', { Cpus: 65 }),
-  'replicas over the limit': body('job-900', { Shape: 'daemon', Pieces: 9, Cpus: 8 }),
-  'fits no type': body('job-900', { Hulls: ['c9'] }),
-  'replicas in one zone': body('job-900', { Shape: 'daemon', Scatter: true, Yard: 'a' }),
-  accepted: body('job-10'),
-  'accepted service': body('job-11', { Shape: 'daemon' }),
-  'not known to this node': body('job-1'),
-  known: body('job-3'),
-  'known with a bad body': body('job-1', { Pieces: 0 }),
+  'a bad Ref': jobBody('task-1'),
+  'no tasks': jobBody('job-900', { Pieces: 0 }),
+  'a bad shape': jobBody('job-900', { Shape: 'ring' }),
+  'a bad rank': jobBody('job-900', { Rank: 'first' }),
+  'text for a number': jobBody('job-900', { Cpus: '1' }),
+  'a field less': jobBody('job-900', { OneZone: undefined }),
+  'a bad type': jobBody('job-900', { Hulls: ['', 'c8'] }),
+  'unknown team': jobBody('job-900', { Crew: 'nobody' }),
+  'over the limit': jobBody('job-900', { Cpus: 65 }),
+  'replicas over the limit': jobBody('job-900', { Shape: 'daemon', Pieces: 9, Cpus: 8 }),
+  'fits no type': jobBody('job-900', { Hulls: ['c9'] }),
+  'replicas in one zone': jobBody('job-900', { Shape: 'daemon', Scatter: true, Yard: 'a' }),
+  accepted: jobBody('job-10'),
+  'accepted service': jobBody('job-11', { Shape: 'daemon' }),
+  'not known to this node': jobBody('job-1'),
+  known: jobBody('job-3'),
+  'known with a bad body': jobBody('job-1', { Pieces: 0 }),
 };
 
 describe('a follower', () => {
@@ -264,11 +264,13 @@
     const check = async (name: string, method: string, path: string, sent?: unknown) =>
       pins.check(`cut off: ${name}`, await sendRequest(api, method, path, sent));
     store.isDown = true;
-    await until(async () => (await post(api, '/api/jobs', body('job-20')))?.status === 201);
+    await until(
+      async () => (await requestJson(api, '/api/jobs', jobBody('job-20')))?.status === 201,
+    );
     leader.received.splice(0);
     leader.control.silent.add('status');
     leader.control.silent.add('explain');
-    await check('submission', 'POST', '/api/jobs', body('job-20'));
+    await check('submission', 'POST', '/api/jobs', jobBody('job-20'));
     const { record } = leader.received.find(({ ask }) => ask === 'admit') as unknown as {
       record: { at: number };
     };
@@ -278,9 +280,9 @@
       record: { ...record, at: 1 },
     });
     leader.control.admit = 'admit known';
-    await check('known submission', 'POST', '/api/jobs', body('job-21'));
+    await check('known submission', 'POST', '/api/jobs', jobBody('job-21'));
     leader.control.silent.add('admit');
-    await check('refused submission', 'POST', '/api/jobs', body('job-22'));
+    await check('refused submission', 'POST', '/api/jobs', jobBody('job-22'));
     for (const id of ['job-30', 'job-31', 'job-32']) await check(id, 'GET', `/api/jobs/${id}`);
     await check('explain', 'GET', '/api/jobs/job-30/explain');
     await check('abort', 'POST', '/api/jobs/job-30/abort');
--- a/test/refusal-then-outage.test.ts
+++ b/test/refusal-then-outage.test.ts
@@ -13,16 +13,16 @@
 import type { FencingToken, JobId, MachineId, ReplyTicket } from '../src/core/model/ids.js';
 import { isService } from '../src/core/model/job.js';
 import type { Instant, Millis } from '../src/core/model/time.js';
-import { body, cleanUp, startCluster, status, until } from './stand-ins/cluster.js';
-import { post } from './stand-ins/http.js';
+import { cleanUp, getJob, jobBody, startCluster, until } from './stand-ins/cluster.js';
+import { requestJson } from './stand-ins/http.js';
 import {
   core,
   heartbeatOf,
   job,
   ledgerEntry,
+  machineType,
   recordedAttributes,
-  task,
-  type,
+  taskStatus,
 } from './support/builders.js';
 import { CoreDriver, running } from './support/core-driver.js';
 
@@ -53,7 +53,7 @@
   run(
     0,
     'lead',
-    { kind: 'machine-types', types: [type('c8')] },
+    { kind: 'machine-types', types: [machineType('c8')] },
     ...(isJobKnown ? [{ kind: 'job', spec, submittedAt: 0 as Instant } as const] : []),
     {
       kind: 'recovered-attempts',
@@ -65,7 +65,7 @@
     { kind: 'recovery-completed' },
   );
   const sendHeartbeat = (now: number, authority: Authority, seq: number) => {
-    const reported = heartbeatOf('n-1', seq, 7, [task('job-1', 0, 7_000_001)]);
+    const reported = heartbeatOf('n-1', seq, 7, [taskStatus('job-1', 0, 7_000_001)]);
     const effects = run(now, authority, {
       kind: 'heartbeat',
       heartbeat: reported,
@@ -126,7 +126,7 @@
     const starts = driver.startsIn(driver.bringUp('n-1'));
     const reported = starts.map((command) =>
       command.job === 'job-2' && command.index === 0
-        ? task('job-2', 0, command.attempt, 'ended', 'done')
+        ? taskStatus('job-2', 0, command.attempt, 'ended', 'done')
         : running(command),
     );
     driver.send(cancelCommand);
@@ -147,7 +147,7 @@
   it('kill the tasks of a job whose cancellation the next leader confirmed', async () => {
     // The lease outlasts delays on a busy machine, so that the confirming leader still leads
     // when the outage begins; the heartbeat interval is too long for silent workers to be replaced.
-    const { nodes, state, fronts, cloud } = await startCluster(3, {
+    const { nodes, state, storeEndpoints, cloud } = await startCluster(3, {
       leaderLeaseMs: 2000,
       heartbeatIntervalS: 4,
     });
@@ -156,32 +156,33 @@
       [...cloud.workers.values()]
         .flatMap((w) => w.running())
         .filter((task) => task.startsWith(`${id}/`));
-    for (const id of ['job-1', 'job-2']) await post(nodes[0]!.at, '/api/jobs', body(id));
+    for (const id of ['job-1', 'job-2'])
+      await requestJson(nodes[0]!.address, '/api/jobs', jobBody(id));
     await until(() => tasksOf('job-1').length === 3 && tasksOf('job-2').length === 3);
     const formerLeader = nodes.find((n) => n.controller.authority() === 'lead')!;
     // Workers send heartbeats to the former leader alone.
-    cloud.nodes = [formerLeader.at];
-    fronts[nodes.indexOf(formerLeader)]!.refuse = true;
+    cloud.controllerAddresses = [formerLeader.address];
+    storeEndpoints[nodes.indexOf(formerLeader)]!.isDown = true;
     const newLeader = await until(() =>
       nodes.find((n) => n !== formerLeader && n.controller.authority() === 'lead'),
     );
     await until(async () => {
-      const answer = await post(newLeader.at, '/api/jobs/job-1/abort', {});
+      const answer = await requestJson(newLeader.address, '/api/jobs/job-1/abort', {});
       return (answer?.body as { Status?: string } | null)?.Status === 'withdrawn';
     });
     state.isDown = true;
     await until(() => newLeader.controller.authority() === 'keep-alive');
     expect(tasksOf('job-1')).toHaveLength(3);
-    cloud.nodes = nodes.map((n) => n.at);
+    cloud.controllerAddresses = nodes.map((n) => n.address);
     await until(() => tasksOf('job-1').length === 0);
     expect(newLeader.controller.authority()).toBe('keep-alive');
     expect(tasksOf('job-2')).toHaveLength(3);
-    expect((await status(newLeader.at, 'job-1'))?.body.Status).toBe('withdrawn');
+    expect((await getJob(newLeader.address, 'job-1'))?.body.Status).toBe('withdrawn');
     // No task started in the outage, and those of job-2 run on after it.
     state.isDown = false;
-    for (const front of fronts) front.refuse = false;
+    for (const endpoint of storeEndpoints) endpoint.isDown = false;
     await until(() => nodes.some((n) => n.controller.authority() === 'lead'));
-    await until(async () => (await status(nodes[0]!.at, 'job-2'))?.body.running === 3);
+    await until(async () => (await getJob(nodes[0]!.address, 'job-2'))?.body.running === 3);
     expect(cloud.starts).toHaveLength(6);
   });
 });
@@ -199,7 +200,7 @@
     expect(kinds).not.toContain('cancellation-settled');
     // All three tasks have ended: none is placed again while the end is being stored.
     const ended = starts.map((command) =>
-      task('job-1', command.index, command.attempt, 'ended', 'stopped'),
+      taskStatus('job-1', command.index, command.attempt, 'ended', 'stopped'),
     );
     for (let i = 0; i < 20; i += 1) {
       driver.now += 500;
@@ -267,7 +268,7 @@
     driver.advance(3000);
     expect(driver.state.jobs.size).toBe(0);
     const ended = starts.map((command) =>
-      task('job-1', command.index, command.attempt, 'ended', 'stopped'),
+      taskStatus('job-1', command.index, command.attempt, 'ended', 'stopped'),
     );
     for (let i = 0; i < 4; i += 1)
       expect(driver.startsIn(driver.sendHeartbeat('n-1', i === 0 ? ended : []))).toEqual([]);
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -9,16 +9,16 @@
     const seeds = [...Array.from({ length: 200 }, (_, i) => i + 1), 1192, 1370, 1410, 1670, 1729];
     for (const seed of seeds) {
       const world = new SimulatedWorld(seed);
-      world.play(150_000, false);
+      world.advance(150_000, false);
       expect(world.problems, `seed ${seed}`).toEqual([]);
-      addCounters(total, world.reached);
+      addCounters(total, world.counters);
     }
     // Least counts for the histories to be a meaningful check.
     expect(total.starts).toBeGreaterThan(5000);
     expect(total.failovers).toBeGreaterThan(300);
     expect(total.lostReplies).toBeGreaterThan(300);
     expect(total.delayedCopies).toBeGreaterThan(300);
-    expect(total.deafSpells).toBeGreaterThan(100);
+    expect(total.inboundBlocks).toBeGreaterThan(100);
     expect(total.quickRestarts).toBeGreaterThan(50);
     expect(total.versionChanges).toBeGreaterThan(50);
     expect(total.splitBatches).toBeGreaterThan(50);
@@ -28,8 +28,8 @@
     expect(total.services.cancelled).toBeGreaterThan(100);
     expect(Object.keys(total.massFaults)).toHaveLength(5);
     expect(Object.keys(total.compoundFaults)).toHaveLength(12);
-    const { freezes, blackouts, outages, slowSpells } = total;
-    const faultCounts = { ...total.massFaults, freezes, blackouts, outages, slowSpells };
+    const { freezes, blackouts, outages, slowPeriods } = total;
+    const faultCounts = { ...total.massFaults, freezes, blackouts, outages, slowPeriods };
     for (const [kind, n] of [
       ...Object.entries(faultCounts),
       ...Object.entries(total.compoundFaults),
@@ -44,13 +44,13 @@
       let longestMs = 0;
       for (let seed = 101; seed <= 110; seed += 1) {
         const world = new SimulatedWorld(seed, { keepZones });
-        world.play(60_000, false);
+        world.advance(60_000, false);
         world.heal();
         // When each job began to wait beside free capacity; no wait may reach 90 s.
         const waitsSince = new Map<string, number>();
         for (let t = 0; t < 1_200_000; t += 5000) {
-          world.play(5000, true);
-          const waiting = world.waitingBesideRoom();
+          world.advance(5000, true);
+          const waiting = world.jobsWaitingDespiteCapacity();
           for (const id of waitsSince.keys()) if (!waiting.includes(id)) waitsSince.delete(id);
           for (const id of waiting) {
             const waitingSince = waitsSince.get(id) ?? t;
@@ -63,11 +63,11 @@
           }
         }
         expect(world.problems, `seed ${seed}`).toEqual([]);
-        expect(world.unfinished(), `seed ${seed}`).toEqual([]);
+        expect(world.unfinishedArrays(), `seed ${seed}`).toEqual([]);
         // Replicas also end by themselves, and must soon run again.
         let missing = world.servicesShortOfReplicas();
         for (let i = 0; i < 20 && missing.length > 0; i += 1) {
-          world.play(2000, true);
+          world.advance(2000, true);
           const stillMissing = world.servicesShortOfReplicas();
           missing = missing.filter((id) => stillMissing.includes(id));
         }
--- a/test/service-jobs.test.ts
+++ b/test/service-jobs.test.ts
@@ -3,26 +3,37 @@
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { parseEndpoint } from '../src/adapters/configuration/settings.js';
 import { KeyValueStoreClient } from '../src/adapters/key-value-store/key-value-store-client.js';
-import { body, cleanUp, cleanups, startCluster, status, until } from './stand-ins/cluster.js';
-import { post } from './stand-ins/http.js';
+import { cleanUp, cleanups, getJob, jobBody, startCluster, until } from './stand-ins/cluster.js';
+import { requestJson } from './stand-ins/http.js';
 import { KeyValueStoreServer } from './stand-ins/key-value-store.js';
 
 afterEach(cleanUp);
 
 const serviceBody = (id: string, change: object = {}) =>
-  body(id, { Shape: 'daemon', Rank: 'critical', Pieces: 2, Loaners: false, GuessS: 0, ...change });
+  jobBody(id, {
+    Shape: 'daemon',
+    Rank: 'critical',
+    Pieces: 2,
+    Loaners: false,
+    GuessS: 0,
+    ...change,
+  });
 
 describe('a service', () => {
   it('outlasts ends of replicas and failovers until cancelled, then stays withdrawn', async () => {
     const { nodes, cloud } = await startCluster(3, { capacity: 4 });
     // Replicas end soon and must start again.
     cloud.taskMs = 150;
-    expect((await post(nodes[0]!.at, '/api/jobs', serviceBody('job-1')))?.status).toBe(201);
-    expect((await post(nodes[1]!.at, '/api/jobs', serviceBody('job-1')))?.status).toBe(200);
+    expect((await requestJson(nodes[0]!.address, '/api/jobs', serviceBody('job-1')))?.status).toBe(
+      201,
+    );
+    expect((await requestJson(nodes[1]!.address, '/api/jobs', serviceBody('job-1')))?.status).toBe(
+      200,
+    );
     await until(() => cloud.starts.length >= 4);
     cloud.taskMs = 10_000_000;
-    await until(async () => (await status(nodes[2]!.at, 'job-1'))?.body.running === 2);
-    expect((await status(nodes[0]!.at, 'job-1'))?.body).toMatchObject({
+    await until(async () => (await getJob(nodes[2]!.address, 'job-1'))?.body.running === 2);
+    expect((await getJob(nodes[0]!.address, 'job-1'))?.body).toMatchObject({
       Status: 'running',
       done: 0,
       Shape: 'daemon',
@@ -33,31 +44,40 @@
     const others = nodes.filter((n) => n !== leader);
     await until(() => others.some((n) => n.controller.authority() === 'lead'));
     for (const node of others)
-      await until(async () => (await status(node.at, 'job-1'))?.body.running === 2);
+      await until(async () => (await getJob(node.address, 'job-1'))?.body.running === 2);
     expect(new Set(cloud.starts).size).toBe(cloud.starts.length);
     await until(
-      async () => (await post(others[0]!.at, '/api/jobs/job-1/abort', undefined))?.status === 200,
+      async () =>
+        (await requestJson(others[0]!.address, '/api/jobs/job-1/abort', undefined))?.status === 200,
     );
     await until(() => [...cloud.workers.values()].every((w) => w.running().length === 0));
     for (const node of others)
-      expect((await status(node.at, 'job-1'))?.body).toMatchObject({ Status: 'withdrawn' });
-    expect((await post(others[1]!.at, '/api/jobs', serviceBody('job-1')))?.body).toMatchObject({
+      expect((await getJob(node.address, 'job-1'))?.body).toMatchObject({ Status: 'withdrawn' });
+    expect(
+      (await requestJson(others[1]!.address, '/api/jobs', serviceBody('job-1')))?.body,
+    ).toMatchObject({
       Status: 'withdrawn',
     });
   });
 
   it('is refused with 422 if its replicas exceed the team limit; an array is not', async () => {
     const { nodes, state } = await startCluster(1);
-    const { at } = nodes[0]!;
-    expect((await post(at, '/api/jobs', serviceBody('job-1', { Pieces: 65 })))?.status).toBe(422);
-    expect((await post(at, '/api/jobs', body('job-2', { Pieces: 65 })))?.status).toBe(201);
-    expect((await post(at, '/api/jobs', serviceBody('job-3', { Pieces: 64 })))?.status).toBe(201);
+    const { address: at } = nodes[0]!;
+    expect((await requestJson(at, '/api/jobs', serviceBody('job-1', { Pieces: 65 })))?.status).toBe(
+      422,
+    );
+    expect((await requestJson(at, '/api/jobs', jobBody('job-2', { Pieces: 65 })))?.status).toBe(
+      201,
+    );
+    expect((await requestJson(at, '/api/jobs', serviceBody('job-3', { Pieces: 64 })))?.status).toBe(
+      201,
+    );
     expect(
-      (await post(at, '/api/jobs', serviceBody('job-4', { Shape: 'gang' })))?.body,
+      (await requestJson(at, '/api/jobs', serviceBody('job-4', { Shape: 'gang' })))?.body,
     ).toMatchObject({
       error: expect.stringMatching(/^Shape/),
     });
-    expect((await status(at, 'job-1'))?.status).toBe(404);
+    expect((await getJob(at, 'job-1'))?.status).toBe(404);
     expect(state.keys.has('j/job-3')).toBe(true);
   });
 });
@@ -65,21 +85,21 @@
 describe('a service that must be spread over zones', () => {
   it('is refused with 422 if it may use one zone only; an array is not', async () => {
     const { nodes } = await startCluster(1);
-    const { at } = nodes[0]!;
+    const { address: at } = nodes[0]!;
     const spread = { Scatter: true, Pieces: 2 };
     for (const [id, change] of [
       ['job-1', { Yard: 'a' }],
       ['job-2', { OneZone: true }],
     ] as const) {
-      const answer = await post(at, '/api/jobs', serviceBody(id, { ...spread, ...change }));
+      const answer = await requestJson(at, '/api/jobs', serviceBody(id, { ...spread, ...change }));
       expect(answer?.status).toBe(422);
       expect(answer?.body).toMatchObject({ error: expect.stringMatching(/spread/) });
-      expect((await post(at, '/api/jobs', body(`${id}1`, { ...spread, ...change })))?.status).toBe(
-        201,
-      );
+      expect(
+        (await requestJson(at, '/api/jobs', jobBody(`${id}1`, { ...spread, ...change })))?.status,
+      ).toBe(201);
       expect(
         (
-          await post(
+          await requestJson(
             at,
             '/api/jobs',
             serviceBody(`${id}2`, { ...change, Scatter: true, Pieces: 1 }),
@@ -87,7 +107,7 @@
         )?.status,
       ).toBe(201);
     }
-    expect((await post(at, '/api/jobs', serviceBody('job-3', spread)))?.status).toBe(201);
+    expect((await requestJson(at, '/api/jobs', serviceBody('job-3', spread)))?.status).toBe(201);
   });
 });
 
@@ -96,46 +116,49 @@
     const next = { value_kb: 1, txn_ops: 3, write_rps: 200 };
     const { nodes, state, cloud } = await startCluster(2, { capacity: 6, storeLimits: { next } });
     state.limits = { valueBytes: 8192, txnOps: 16, writeRps: 1000 };
-    const { at } = nodes[0]!;
+    const { address: at } = nodes[0]!;
     cloud.taskMs = 10_000_000;
-    await post(at, '/api/jobs', serviceBody('job-1', { Pieces: 4 }));
-    await until(async () => (await status(at, 'job-1'))?.body.running === 4);
+    await requestJson(at, '/api/jobs', serviceBody('job-1', { Pieces: 4 }));
+    await until(async () => (await getJob(at, 'job-1'))?.body.running === 4);
     cloud.taskMs = 20;
-    await post(at, '/api/jobs', body('job-2', { Pieces: 40 }));
-    await until(async () => (await status(at, 'job-2'))?.body.Status === 'done');
+    await requestJson(at, '/api/jobs', jobBody('job-2', { Pieces: 40 }));
+    await until(async () => (await getJob(at, 'job-2'))?.body.Status === 'done');
     state.limits = { valueBytes: 1024, txnOps: 3, writeRps: 200 };
     for (let i = 0; i < 10; i += 1)
       await until(
         async () =>
-          (await post(at, '/api/jobs', body(`job-3${i}`, { Pieces: 12 })))?.status === 201,
+          (await requestJson(at, '/api/jobs', jobBody(`job-3${i}`, { Pieces: 12 })))?.status ===
+          201,
       );
     for (let i = 0; i < 10; i += 1)
-      await until(async () => (await status(at, `job-3${i}`))?.body.Status === 'done');
+      await until(async () => (await getJob(at, `job-3${i}`))?.body.Status === 'done');
     // No request within the announced limits is refused for its size.
-    expect(state.refused).toEqual([]);
+    expect(state.rejectedTransactions).toEqual([]);
     state.limits = { valueBytes: 500, txnOps: 2, writeRps: 200 };
-    await post(at, '/api/jobs', body('job-4', { Pieces: 40 }));
-    await until(async () => (await status(at, 'job-4'))?.body.Status === 'done');
-    expect(new Set(state.refused).size).toBe(state.refused.length);
-    expect((await status(at, 'job-1'))?.body.running).toBe(4);
+    await requestJson(at, '/api/jobs', jobBody('job-4', { Pieces: 40 }));
+    await until(async () => (await getJob(at, 'job-4'))?.body.Status === 'done');
+    expect(new Set(state.rejectedTransactions).size).toBe(state.rejectedTransactions.length);
+    expect((await getJob(at, 'job-1'))?.body.running).toBe(4);
     expect(new Set(cloud.starts).size).toBe(cloud.starts.length);
   });
 
   it('cause 422 for a new job that no longer fits, and 200 for one accepted before', async () => {
     const { nodes, state } = await startCluster(2);
-    const { at } = nodes[0]!;
+    const { address: at } = nodes[0]!;
     const largeJob = (id: string) =>
-      body(id, { Hulls: ['c8', ...Array(40).fill('x'.repeat(30))], Pieces: 500 });
-    expect((await post(at, '/api/jobs', largeJob('job-1')))?.status).toBe(201);
+      jobBody(id, { Hulls: ['c8', ...Array(40).fill('x'.repeat(30))], Pieces: 500 });
+    expect((await requestJson(at, '/api/jobs', largeJob('job-1')))?.status).toBe(201);
     state.limits.valueBytes = 600;
-    expect((await post(at, '/api/jobs', largeJob('job-1')))?.status).toBe(200);
-    expect((await post(nodes[1]!.at, '/api/jobs', largeJob('job-1')))?.status).toBe(200);
-    const refused = await post(nodes[1]!.at, '/api/jobs', largeJob('job-2'));
+    expect((await requestJson(at, '/api/jobs', largeJob('job-1')))?.status).toBe(200);
+    expect((await requestJson(nodes[1]!.address, '/api/jobs', largeJob('job-1')))?.status).toBe(
+      200,
+    );
+    const refused = await requestJson(nodes[1]!.address, '/api/jobs', largeJob('job-2'));
     expect(refused?.status).toBe(422);
     expect(refused?.body).toMatchObject({
       error: expect.stringMatching(/larger than what the state service/),
     });
-    expect((await status(at, 'job-2'))?.status).toBe(404);
+    expect((await getJob(at, 'job-2'))?.status).toBe(404);
   });
 
   it('lower the client’s write rate until the store has refused nothing for a while', async () => {
@@ -183,20 +206,20 @@
     const lines: string[] = [];
     const log = pino({ level: 'info' }, { write: (line: string) => lines.push(line) });
     const { nodes, cloud, state } = await startCluster(1, { log });
-    const { at } = nodes[0]!;
+    const { address: at } = nodes[0]!;
     // By then the machines have been listed; nothing is provisioned before that.
     await until(() => cloud.workers.size > 0);
-    cloud.answersMalformed = true;
+    cloud.sendsMalformedAnswers = true;
     state.commit({ Apply: [{ Write: 'j/job-000077', Data: { odd: true } }] });
     const malformedLogs = () => lines.filter((l) => l.includes('malformed answer'));
     // More tasks than the machines provisioned before the fault can run in that time.
     cloud.taskMs = 500;
-    await post(at, '/api/jobs', body('job-1', { Pieces: 300, Cpus: 8 }));
+    await requestJson(at, '/api/jobs', jobBody('job-1', { Pieces: 300, Cpus: 8 }));
     await until(() => malformedLogs().some((l) => l.includes('provision')));
-    cloud.answersMalformed = false;
-    await until(async () => (await post(at, '/api/jobs/job-1/abort', {}))?.status === 200);
-    await post(at, '/api/jobs', body('job-2', { Pieces: 1 }));
-    await until(async () => (await status(at, 'job-2'))?.body.Status === 'done');
+    cloud.sendsMalformedAnswers = false;
+    await until(async () => (await requestJson(at, '/api/jobs/job-1/abort', {}))?.status === 200);
+    await requestJson(at, '/api/jobs', jobBody('job-2', { Pieces: 1 }));
+    await until(async () => (await getJob(at, 'job-2'))?.body.Status === 'done');
     const provisions = malformedLogs().filter((l) => l.includes('provision'));
     expect(provisions).toHaveLength(1);
   });
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -14,15 +14,15 @@
 import {
   core,
   heartbeatOf,
-  type JobChange,
+  type JobOverrides,
   job,
   ledgerEntry,
+  machineType,
   recordedAttributes,
-  type,
 } from './support/builders.js';
 import { CoreDriver, ended, running } from './support/core-driver.js';
 
-const service = (change: JobChange = {}): JobChange => ({
+const service = (change: JobOverrides = {}): JobOverrides => ({
   shape: 'service',
   priority: 'critical',
   allowsSpot: false,
@@ -507,7 +507,7 @@
       };
       send(
         0,
-        { kind: 'machine-types', types: [type('c8')] },
+        { kind: 'machine-types', types: [machineType('c8')] },
         ...(unreadable ? [unreadableSegment] : []),
       );
       for (const spec of [job('job-1', service()), job('job-2', { allowsSpot: false })])
@@ -536,7 +536,7 @@
     applyCommands(
       state,
       [
-        { kind: 'machine-types', types: [type('c8')] },
+        { kind: 'machine-types', types: [machineType('c8')] },
         { kind: 'job', spec, submittedAt: 0 as Instant },
         // Recovered progress changes nothing: a service is never done.
         {
--- a/test/stand-ins/cloud.ts
+++ b/test/stand-ins/cloud.ts
@@ -2,7 +2,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { readJson, sendJson } from './http.js';
-import { type TaskEvent, Worker, type WorkerSurroundings } from './worker.js';
+import { type TaskEvent, Worker, type WorkerEnvironment } from './worker.js';
 
 /** A provision request, in the protocol's words. */
 interface Hire {
@@ -28,28 +28,28 @@
 };
 
 /** An HTTP server that provisions workers in this process. */
-export class Cloud implements WorkerSurroundings {
+export class Cloud implements WorkerEnvironment {
   /** Addresses of the controllers, and their names in the same order. */
-  nodes: string[] = [];
-  names: string[] = [];
+  controllerAddresses: string[] = [];
+  controllerNames: string[] = [];
   /** How long tasks run. */
   taskMs = 20;
   /** Takes requests and never answers them. */
-  isSilent = false;
+  isUnresponsive = false;
   /** How many requests got no answer, and how many of them the client gave up. */
-  unanswered = 0;
-  givenUp = 0;
+  unansweredRequests = 0;
+  abandonedRequests = 0;
   /** Answers what is none of the protocol's. */
-  answersMalformed = false;
+  sendsMalformedAnswers = false;
   readonly starts: string[] = [];
   /** All that happened to tasks, in order. */
-  readonly history: TaskEvent[] = [];
+  readonly taskEvents: TaskEvent[] = [];
   /** Machines that were returned, in order. */
-  readonly returned: string[] = [];
+  readonly returnedMachines: string[] = [];
   /** How far tasks that write checkpoints have come, by their last one. */
   private readonly checkpointedMs = new Map<string, number>();
   /** The run time of other tasks that was lost. */
-  redoneMs = 0;
+  lostRunMs = 0;
   /** Whether a task writes a checkpoint when it is stopped. */
   writesCheckpoints: (task: string) => boolean = () => false;
   /** Pause between the heartbeats of a worker. */
@@ -58,7 +58,7 @@
   runMsOf: (task: string) => number | null = () => this.taskMs;
   readonly workers = new Map<string, Worker>();
   /** Machines by provision request; a repeated request provisions nothing new. */
-  readonly provisioned = new Map<string, string[]>();
+  readonly machinesByRequest = new Map<string, string[]>();
   private nextMachine = 0;
   private readonly server: Server;
 
@@ -69,18 +69,18 @@
   }
 
   /** What is left to run of a task. */
-  leftMsOf(task: string): number | null {
+  remainingMsOf(task: string): number | null {
     const runMs = this.runMsOf(task);
     return runMs === null ? null : Math.max(0, runMs - (this.checkpointedMs.get(task) ?? 0));
   }
 
   /** A task was stopped, or lost with its machine. */
-  interrupted(task: string, ranMs: number, stopped: boolean): void {
+  recordInterruption(task: string, ranMs: number, stopped: boolean): void {
     // A replica has no end that it could be short of.
     if (this.runMsOf(task) === null) return;
     if (stopped && this.writesCheckpoints(task))
       this.checkpointedMs.set(task, (this.checkpointedMs.get(task) ?? 0) + ranMs);
-    else this.redoneMs += ranMs;
+    else this.lostRunMs += ranMs;
   }
 
   /** Starts to serve; returns the address. */
@@ -105,12 +105,12 @@
 
   private async serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const body = await readJson(req);
-    if (this.isSilent) {
-      this.unanswered += 1;
-      res.on('close', () => (this.givenUp += 1));
+    if (this.isUnresponsive) {
+      this.unansweredRequests += 1;
+      res.on('close', () => (this.abandonedRequests += 1));
       return;
     }
-    if (this.answersMalformed) return sendJson(res, 200, { Hulls: 7, Berths: 'none' });
+    if (this.sendsMalformedAnswers) return sendJson(res, 200, { Hulls: 7, Berths: 'none' });
     const path = (req.url ?? '').split('?')[0];
     if (path === '/machine_types') return sendJson(res, 200, { Hulls: [MACHINE_TYPE] });
     if (path === '/machines/delete') {
@@ -124,12 +124,12 @@
   private deleteMachines(ids: readonly string[]): void {
     for (const id of ids) {
       this.workers.get(id)?.stop();
-      if (this.workers.delete(id)) this.returned.push(id);
+      if (this.workers.delete(id)) this.returnedMachines.push(id);
     }
   }
 
   private provision(hire: Hire, res: ServerResponse): void {
-    const before = this.provisioned.get(hire.Hire);
+    const before = this.machinesByRequest.get(hire.Hire);
     if (before) return sendJson(res, 200, { Berths: before });
     const free = Math.min(hire.HowMany, this.capacity - this.workers.size);
     if (free <= 0) return sendJson(res, 503, { error: 'no capacity' });
@@ -140,7 +140,7 @@
       this.workers.set(id, new Worker(machine, this));
       ids.push(id);
     }
-    this.provisioned.set(hire.Hire, ids);
+    this.machinesByRequest.set(hire.Hire, ids);
     sendJson(res, 200, { Berths: ids });
   }
 
--- a/test/stand-ins/cluster.ts
+++ b/test/stand-ins/cluster.ts
@@ -9,7 +9,7 @@
 import { Jitter } from '../../src/adapters/runtime/random.js';
 import { Controller } from '../../src/service/controller.js';
 import { Cloud } from './cloud.js';
-import { post } from './http.js';
+import { requestJson } from './http.js';
 import { KeyValueStoreServer } from './key-value-store.js';
 import { settingsText } from './settings.js';
 
@@ -61,7 +61,7 @@
 
 /** A controller, its API's address, and how to end it. */
 export interface ClusterNode {
-  at: string;
+  address: string;
   controller: Controller;
   stop: () => void;
 }
@@ -117,7 +117,7 @@
     peers.close();
   };
   cleanups.push(stop);
-  return { at: api_addr, controller, stop };
+  return { address: api_addr, controller, stop };
 };
 
 /** Starts controllers beside stand-ins, and waits until all are ready and one leads. */
@@ -125,7 +125,9 @@
   const { capacity = 3, isolatedNode = -1 } = options;
   const state = new KeyValueStoreServer();
   const cloud = new Cloud(capacity);
-  const fronts = await Promise.all(Array.from({ length: count }, () => state.front()));
+  const storeEndpoints = await Promise.all(
+    Array.from({ length: count }, () => state.openEndpoint()),
+  );
   const cloudAt = await cloud.listen();
   cleanups.push(
     () => state.close(),
@@ -133,8 +135,8 @@
   );
   const ports: { api: number; back: number }[] = [];
   for (let i = 0; i < count; i += 1) ports.push({ api: await freePort(), back: await freePort() });
-  cloud.nodes = ports.map((p) => `127.0.0.1:${p.api}`);
-  cloud.names = ports.map((_, i) => `node-${i}`);
+  cloud.controllerAddresses = ports.map((p) => `127.0.0.1:${p.api}`);
+  cloud.controllerNames = ports.map((_, i) => `node-${i}`);
   const nowhere = await freePort();
   const endpointOf = (i: number, j: number) =>
     `127.0.0.1:${i === isolatedNode || j === isolatedNode ? nowhere : ports[j]!.back}`;
@@ -147,19 +149,21 @@
       api: `127.0.0.1:${api}`,
       back: `127.0.0.1:${back}`,
       seeds,
-      outside: { cloud: cloudAt, state: fronts[i]!.at },
+      outside: { cloud: cloudAt, state: storeEndpoints[i]!.address },
     };
     return startNode(i, addresses, options);
   };
   const nodes = ports.map((_, i) => start(i));
   for (const node of nodes)
-    await until(async () => (await post(node.at, '/up', undefined, 'GET'))?.status === 200);
+    await until(
+      async () => (await requestJson(node.address, '/up', undefined, 'GET'))?.status === 200,
+    );
   await until(() => nodes.some((n) => n.controller.authority() === 'lead'));
-  return { state, cloud, nodes, fronts, start };
+  return { state, cloud, nodes, storeEndpoints, start };
 };
 
 /** A job to submit, in the protocol's words. */
-export const body = (id: string, change: object = {}) => ({
+export const jobBody = (id: string, change: object = {}) => ({
   Ref: id,
   Lane: 'any',
   Crew: 'blue',
@@ -184,8 +188,8 @@
 });
 
 /** What a controller tells of a job. */
-export const status = async (at: string, id: string) =>
-  (await post(at, `/api/jobs/${id}`, undefined, 'GET')) as {
+export const getJob = async (at: string, id: string) =>
+  (await requestJson(at, `/api/jobs/${id}`, undefined, 'GET')) as {
     status: number;
     body: Record<string, unknown>;
   } | null;
--- a/test/stand-ins/http.ts
+++ b/test/stand-ins/http.ts
@@ -20,7 +20,7 @@
 };
 
 /** Sends a request; null when no answer came. A body that is text goes as it is. */
-export const post = (
+export const requestJson = (
   at: string,
   path: string,
   body: unknown,
--- a/test/stand-ins/key-value-store.ts
+++ b/test/stand-ins/key-value-store.ts
@@ -59,26 +59,26 @@
   /** Drops the next transactions without carrying them out. */
   requestsToDrop = 0;
   /** Of every so many transactions one is carried out at once and its answer is lost; 0: none. */
-  loseEvery = 0;
+  loseAnswerEvery = 0;
   /**
    * Of every so many transactions one gets no answer and is carried out `lateMs` later, after newer
    * ones; 0: none.
    */
-  lateEvery = 0;
-  lateMs = 400;
+  delayEvery = 0;
+  delayMs = 400;
   /** How many such transactions there were, and how many of the late ones were still carried out. */
-  lost = 0;
-  late = 0;
-  lateDone = 0;
-  transactions = 0;
+  lostAnswers = 0;
+  delayedTransactions = 0;
+  delayedCommits = 0;
+  transactionCount = 0;
   /** Enforced at each transaction; may be lowered at any time. */
   limits = { valueBytes: 65_536, txnOps: 1000, writeRps: Number.POSITIVE_INFINITY };
   /** Transactions that were refused with 400, as they came. */
-  readonly refused: string[] = [];
+  readonly rejectedTransactions: string[] = [];
   /** Transactions that were refused with 429. */
   rateLimitedCount = 0;
   private tokens = { left: Number.POSITIVE_INFINITY, at: Date.now() };
-  private readonly fronts: Server[] = [];
+  private readonly endpointServers: Server[] = [];
   private readonly server: Server;
 
   constructor() {
@@ -94,21 +94,21 @@
   }
 
   /** Another address of the same service, which can be made to answer 503 by itself. */
-  async front(): Promise<{ at: string; refuse: boolean }> {
-    const front = { at: '', refuse: false };
+  async openEndpoint(): Promise<{ address: string; isDown: boolean }> {
+    const endpoint = { address: '', isDown: false };
     const server = createServer((req, res) => {
-      if (front.refuse) return sendJson(res, 503, { error: 'trouble' });
+      if (endpoint.isDown) return sendJson(res, 503, { error: 'trouble' });
       this.serve(req, res).catch(() => res.destroy());
     });
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
-    front.at = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-    this.fronts.push(server);
-    return front;
+    endpoint.address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
+    this.endpointServers.push(server);
+    return endpoint;
   }
 
   /** Ends the server and all leases. */
   close(): void {
-    for (const server of this.fronts) {
+    for (const server of this.endpointServers) {
       server.closeAllConnections();
       server.close();
     }
@@ -211,7 +211,7 @@
   }
 
   private serveTransaction(req: IncomingMessage, res: ServerResponse, body: Multi): void {
-    this.transactions += 1;
+    this.transactionCount += 1;
     if (this.requestsToDrop > 0) {
       this.requestsToDrop -= 1;
       req.socket.destroy();
@@ -219,18 +219,18 @@
     }
     const fault = this.sizeFault(body);
     if (fault) {
-      this.refused.push(JSON.stringify(body));
+      this.rejectedTransactions.push(JSON.stringify(body));
       return sendJson(res, 400, { error: fault });
     }
     if (!this.takeTokens(body.Apply?.length ?? 0)) {
       this.rateLimitedCount += 1;
       return sendJson(res, 429, { error: 'too many' });
     }
-    if (this.lateEvery > 0 && this.transactions % this.lateEvery === 0) {
-      this.late += 1;
+    if (this.delayEvery > 0 && this.transactionCount % this.delayEvery === 0) {
+      this.delayedTransactions += 1;
       setTimeout(() => {
-        if (this.commit(body).status === 200) this.lateDone += 1;
-      }, this.lateMs);
+        if (this.commit(body).status === 200) this.delayedCommits += 1;
+      }, this.delayMs);
       setTimeout(() => req.socket.destroy(), CUT_AFTER_MS);
       return;
     }
@@ -240,8 +240,8 @@
   }
 
   private isAnswerLost(): boolean {
-    if (this.loseEvery > 0 && this.transactions % this.loseEvery === 0) {
-      this.lost += 1;
+    if (this.loseAnswerEvery > 0 && this.transactionCount % this.loseAnswerEvery === 0) {
+      this.lostAnswers += 1;
       return true;
     }
     if (this.answersToLose === 0) return false;
--- a/test/stand-ins/processes.ts
+++ b/test/stand-ins/processes.ts
@@ -9,7 +9,7 @@
 import { promisify } from 'node:util';
 import { Cloud } from './cloud.js';
 import { cleanups, freePort, until } from './cluster.js';
-import { post } from './http.js';
+import { requestJson } from './http.js';
 import { KeyValueStoreServer } from './key-value-store.js';
 import { settingsText } from './settings.js';
 
@@ -79,8 +79,8 @@
   for (let i = 0; i < count; i += 1) {
     ports.push({ api: `127.0.0.1:${await freePort()}`, back: `127.0.0.1:${await freePort()}` });
   }
-  cloud.nodes = ports.map(({ api }) => api);
-  cloud.names = ports.map((_, i) => `node-${i}`);
+  cloud.controllerAddresses = ports.map(({ api }) => api);
+  cloud.controllerNames = ports.map((_, i) => `node-${i}`);
   const base = JSON.parse(settingsText()) as { params: Record<string, unknown> };
   const spawnNode = async (i: number): Promise<ChildProcess> => {
     const file = join(directory, `settings-${i}.json`);
@@ -113,7 +113,7 @@
     processes.push({ node: `node-${i}`, api, child: await spawnNode(i) });
   }
   for (const { api } of processes) {
-    await until(async () => (await post(api, '/up', undefined, 'GET'))?.status === 200);
+    await until(async () => (await requestJson(api, '/up', undefined, 'GET'))?.status === 200);
   }
   const leader = () => {
     const data = state.keys.get('leader')?.value as { node?: string } | undefined;
--- a/test/stand-ins/recorder.ts
+++ b/test/stand-ins/recorder.ts
@@ -3,15 +3,15 @@
  * was there before the question.
  */
 
-import { body } from './cluster.js';
-import { post } from './http.js';
+import { jobBody } from './cluster.js';
+import { requestJson } from './http.js';
 
 const RANK: Record<string, number> = { absent: 0, queued: 1, running: 1, done: 2, withdrawn: 2 };
 
 /** Asks about jobs, and keeps the newest answer of each. */
 export class Recorder {
   readonly problems: string[] = [];
-  answers = 0;
+  answerCount = 0;
   /** Answers by what was said. */
   readonly answersByStatus: Record<string, number> = {};
   /** The newest that was told of each job. */
@@ -26,7 +26,7 @@
     told: string,
     asked: string,
   ): void {
-    this.answers += 1;
+    this.answerCount += 1;
     this.answersByStatus[told] = (this.answersByStatus[told] ?? 0) + 1;
     const rank = RANK[told] ?? 0;
     if (before !== undefined) {
@@ -47,7 +47,7 @@
     method = 'POST',
   ): Promise<string | null> {
     const before = this.newest.get(id);
-    const reply = await post(at, path, sent, method);
+    const reply = await requestJson(at, path, sent, method);
     if (!reply || ![200, 201, 404].includes(reply.status)) {
       // Whoever has been told that the job is accepted is never told that it can't be.
       if (
@@ -72,7 +72,7 @@
 
   /** Submits a job, or repeats it. */
   submit(id: string, at: string, change: object = {}) {
-    return this.ask(id, at, '/api/jobs', body(id, change));
+    return this.ask(id, at, '/api/jobs', jobBody(id, change));
   }
 
   /** Cancels a job. */
@@ -81,7 +81,7 @@
   }
 
   /** Until a node takes it, as users do. */
-  async untilAnswered(what: (at: string) => Promise<string | null>): Promise<string> {
+  async retryUntilAnswered(what: (at: string) => Promise<string | null>): Promise<string> {
     for (let i = 0; ; i += 1) {
       const nodes = this.nodes();
       const told = await what(nodes[i % nodes.length]!);
@@ -91,7 +91,7 @@
   }
 
   /** At all nodes at once, a few times within milliseconds, with repeats of the submission. */
-  async askEverywhere(id: string, times = 3): Promise<void> {
+  async queryAllNodes(id: string, times = 3): Promise<void> {
     const asked: Promise<unknown>[] = [];
     for (let i = 0; i < times; i += 1) {
       for (const at of this.nodes()) {
--- a/test/stand-ins/recording-server.ts
+++ b/test/stand-ins/recording-server.ts
@@ -4,7 +4,7 @@
 import { cleanups } from './cluster.js';
 
 /** A request as it came. */
-export interface SentRequest {
+export interface RecordedRequest {
   readonly method: string;
   readonly path: string;
   readonly contentType: string | null;
@@ -13,9 +13,9 @@
 
 /** Starts the server; it ends with the test. */
 export const startRecordingServer = async (
-  answer: (sent: SentRequest) => readonly [number, unknown],
+  answer: (sent: RecordedRequest) => readonly [number, unknown],
 ) => {
-  const sent: SentRequest[] = [];
+  const sent: RecordedRequest[] = [];
   const server = createServer(async (req, res) => {
     let body = '';
     for await (const part of req) body += part;
--- a/test/stand-ins/worker.ts
+++ b/test/stand-ins/worker.ts
@@ -1,5 +1,5 @@
 /** A stand-in for a machine's worker, written to the protocol: reports, obeys, and runs tasks. */
-import { post } from './http.js';
+import { requestJson } from './http.js';
 
 /** The pause before the first heartbeat, and before the next after one without an answer. */
 const FIRST_HEARTBEAT_MS = 10;
@@ -33,18 +33,18 @@
 }
 
 /** Where a worker finds controllers, and where it tells what happened to its tasks. */
-export interface WorkerSurroundings {
+export interface WorkerEnvironment {
   /** Addresses of the controllers, and their names in the same order. */
-  readonly nodes: readonly string[];
-  readonly names: readonly string[];
+  readonly controllerAddresses: readonly string[];
+  readonly controllerNames: readonly string[];
   readonly heartbeatMs: number;
   /** Starts, as `task#attempt`. */
   readonly starts: string[];
-  readonly history: TaskEvent[];
+  readonly taskEvents: TaskEvent[];
   /** What is left to run of a task, in milliseconds; null: it never ends. */
-  leftMsOf(task: string): number | null;
+  remainingMsOf(task: string): number | null;
   /** A task was stopped, or lost with its machine. */
-  interrupted(task: string, ranMs: number, stopped: boolean): void;
+  recordInterruption(task: string, ranMs: number, stopped: boolean): void;
 }
 
 /** What a worker is told to do, in the protocol's words. */
@@ -71,13 +71,13 @@
 
   constructor(
     readonly machine: WorkerMachine,
-    private readonly surroundings: WorkerSurroundings,
+    private readonly surroundings: WorkerEnvironment,
   ) {
     this.schedule(FIRST_HEARTBEAT_MS);
   }
 
   private recordEvent(kind: TaskEvent['kind'], task: string): void {
-    const { history } = this.surroundings;
+    const { taskEvents: history } = this.surroundings;
     history.push({ at: Date.now(), kind, task, machine: this.machine.id });
   }
 
@@ -99,7 +99,7 @@
     if (this.isGone) return;
     for (const task of this.running()) {
       this.recordEvent(kind, task);
-      this.surroundings.interrupted(task, this.ranMs(task), false);
+      this.surroundings.recordInterruption(task, this.ranMs(task), false);
     }
     this.isGone = true;
     if (this.timer) clearTimeout(this.timer);
@@ -129,8 +129,8 @@
   }
 
   private async sendHeartbeat(): Promise<void> {
-    const { nodes, names, heartbeatMs } = this.surroundings;
-    const reply = await post(nodes[this.at % nodes.length]!, '/checkin', this.heartbeat());
+    const { controllerAddresses: nodes, controllerNames: names, heartbeatMs } = this.surroundings;
+    const reply = await requestJson(nodes[this.at % nodes.length]!, '/checkin', this.heartbeat());
     if (reply?.status === 200) {
       this.obey(reply.body as Reply);
       this.schedule(heartbeatMs);
@@ -163,7 +163,7 @@
     this.tasks.set(name, task);
     starts.push(`${name}#${attempt}`);
     this.recordEvent('start', name);
-    const runMs = this.surroundings.leftMsOf(name);
+    const runMs = this.surroundings.remainingMsOf(name);
     this.startedAt.set(name, Date.now());
     if (runMs === null) return;
     setTimeout(() => {
@@ -176,7 +176,7 @@
 
   private kill(task: Piece): void {
     this.recordEvent('stop', task.Piece);
-    this.surroundings.interrupted(task.Piece, this.ranMs(task.Piece), true);
+    this.surroundings.recordInterruption(task.Piece, this.ranMs(task.Piece), true);
     task.Status = 'ended';
     task.Cause = 'halted';
   }
--- a/test/start-up.test.ts
+++ b/test/start-up.test.ts
@@ -8,8 +8,8 @@
 import { promisify } from 'node:util';
 import { afterAll, afterEach, beforeAll, describe, expect, it } from 'vitest';
 import { Cloud } from './stand-ins/cloud.js';
-import { body, cleanUp, cleanups, freePort, until } from './stand-ins/cluster.js';
-import { post } from './stand-ins/http.js';
+import { cleanUp, cleanups, freePort, jobBody, until } from './stand-ins/cluster.js';
+import { requestJson } from './stand-ins/http.js';
 import { KeyValueStoreServer } from './stand-ins/key-value-store.js';
 import { buildProgram } from './stand-ins/processes.js';
 import { settingsText } from './stand-ins/settings.js';
@@ -43,8 +43,8 @@
     () => cloud.close(),
   );
   const api = `127.0.0.1:${await freePort()}`;
-  cloud.nodes = [api];
-  cloud.names = ['node-0'];
+  cloud.controllerAddresses = [api];
+  cloud.controllerNames = ['node-0'];
   const outside = { cloud: await cloud.listen(), state: await store.listen() };
   const back = `127.0.0.1:${await freePort()}`;
   const settings = join(directory, 'settings.json');
@@ -81,7 +81,7 @@
     const bareNode = await run(process.execPath, ['-p', 'JSON.stringify(process.moduleLoadList)']);
     const bareModules = new Set(builtIns(JSON.parse(bareNode.stdout) as string[]));
     const { api, loaded } = await startProcess();
-    await until(async () => (await post(api, '/up', undefined, 'GET'))?.status === 200);
+    await until(async () => (await requestJson(api, '/up', undefined, 'GET'))?.status === 200);
     const loadedAtStart = (await loaded()).filter((name) => !bareModules.has(name));
     const unneededModules = [
       'undici',
@@ -97,30 +97,35 @@
     expect(loadedAtStart.filter(isUnneeded)).toEqual([]);
     // 54 at present; 111 with the modules that are no longer loaded.
     expect(loadedAtStart.length).toBeLessThanOrEqual(60);
-    expect((await post(api, '/api/jobs', body('job-1')))?.status).toBe(201);
+    expect((await requestJson(api, '/api/jobs', jobBody('job-1')))?.status).toBe(201);
     await until(async () => {
-      const view = (await post(api, '/api/jobs/job-1', undefined, 'GET'))?.body as {
+      const view = (await requestJson(api, '/api/jobs/job-1', undefined, 'GET'))?.body as {
         Status?: string;
       } | null;
       return view?.Status === 'done';
     });
-    expect((await post(api, '/nowhere', undefined, 'GET'))?.status).toBe(404);
+    expect((await requestJson(api, '/nowhere', undefined, 'GET'))?.status).toBe(404);
     expect((await loaded()).filter(isUnneeded)).toEqual([]);
   });
 
   it('loads no package that no file enables, and stores no record of one', async () => {
     const withoutPackage = await startProcess();
     await until(
-      async () => (await post(withoutPackage.api, '/up', undefined, 'GET'))?.status === 200,
+      async () => (await requestJson(withoutPackage.api, '/up', undefined, 'GET'))?.status === 200,
     );
     expect(await withoutPackage.files()).toEqual(['main.cjs', 'spy.cjs']);
-    expect((await post(withoutPackage.api, '/api/drains', undefined, 'GET'))?.status).toBe(404);
-    expect((await post(withoutPackage.api, '/api/jobs', body('job-1')))?.status).toBe(201);
+    expect((await requestJson(withoutPackage.api, '/api/drains', undefined, 'GET'))?.status).toBe(
+      404,
+    );
+    expect((await requestJson(withoutPackage.api, '/api/jobs', jobBody('job-1')))?.status).toBe(
+      201,
+    );
     await until(() => withoutPackage.store.keys.has('f/job-1'));
     expect([...withoutPackage.store.keys.keys()].filter((key) => key.startsWith('x/'))).toEqual([]);
     const withPackage = await startProcess('--enable', 'deploy/drain.scm');
     await until(
-      async () => (await post(withPackage.api, '/api/drains', undefined, 'GET'))?.status === 200,
+      async () =>
+        (await requestJson(withPackage.api, '/api/drains', undefined, 'GET'))?.status === 200,
     );
     expect(await withPackage.files()).toEqual(['drain.cjs', 'main.cjs', 'spy.cjs']);
   });
--- a/test/starvation.test.ts
+++ b/test/starvation.test.ts
@@ -1,6 +1,6 @@
 /** No job starves: none waits 90 s beside capacity that fits while its team is within quota. */
 import { describe, expect, it } from 'vitest';
-import { core, type task } from './support/builders.js';
+import { core, type taskStatus } from './support/builders.js';
 import { CoreDriver, ended, running } from './support/core-driver.js';
 
 /** Sends heartbeats of running tasks until one of the job starts; returns the wait in ms. */
@@ -8,7 +8,7 @@
   driver: CoreDriver,
   ids: readonly string[],
   job: string,
-  reported: Map<string, ReturnType<typeof task>[]>,
+  reported: Map<string, ReturnType<typeof taskStatus>[]>,
 ) => {
   const from = driver.now;
   while (driver.now - from < 240_000) {
--- a/test/support/builders.ts
+++ b/test/support/builders.ts
@@ -34,7 +34,7 @@
 type Change<T> = { readonly [K in keyof T]?: Plain<T[K]> };
 
 /** Fields of a job that a test sets. */
-export type JobChange = Change<JobSpec>;
+export type JobOverrides = Change<JobSpec>;
 
 /** The default with some fields replaced; a name that it does not have is a mistake in the test. */
 const override = <T extends object>(base: T, change: Partial<Record<keyof T, unknown>>): T => {
@@ -45,7 +45,7 @@
 };
 
 /** An array of one task, with the fields that a test sets. */
-export const job = (id: string, change: JobChange = {}): JobSpec =>
+export const job = (id: string, change: JobOverrides = {}): JobSpec =>
   override<JobSpec>(
     {
       id: id as JobId,
@@ -73,7 +73,7 @@
   );
 
 /** A machine type with 8 processors in two zones. */
-export const type = (name: string, change: Change<MachineType> = {}): MachineType =>
+export const machineType = (name: string, change: Change<MachineType> = {}): MachineType =>
   override<MachineType>(
     {
       name: name as MachineTypeName,
@@ -122,7 +122,7 @@
   );
 
 /** What a worker reports of a task. */
-export const task = (
+export const taskStatus = (
   jobId: string,
   index: number,
   attempt: number,
--- a/test/support/core-driver.ts
+++ b/test/support/core-driver.ts
@@ -7,7 +7,7 @@
 import type { ReplyTicket } from '../../src/core/model/ids.js';
 import type { Instant } from '../../src/core/model/time.js';
 import type { WorkerCommand } from '../../src/core/model/worker-command.js';
-import { core, heartbeatOf, type JobChange, job, task, type } from './builders.js';
+import { core, heartbeatOf, type JobOverrides, job, machineType, taskStatus } from './builders.js';
 
 /** Clock steps while the driver waits for a reply, and how many it waits at most. */
 const STEP_MS = 250;
@@ -25,7 +25,10 @@
 
   constructor(state: CoreState = core()) {
     this.state = state;
-    this.send({ kind: 'machine-types', types: [type('c8')] }, { kind: 'recovery-completed' });
+    this.send(
+      { kind: 'machine-types', types: [machineType('c8')] },
+      { kind: 'recovery-completed' },
+    );
     this.send({ kind: 'machines-listed', requestedAt: 0 as Instant, machines: [] });
     this.advance(3000);
   }
@@ -115,7 +118,7 @@
   }
 
   /** Submits a job. */
-  submit(id: string, change: JobChange = {}): void {
+  submit(id: string, change: JobOverrides = {}): void {
     this.send({ kind: 'job', spec: job(id, change), submittedAt: this.now as Instant });
   }
 
@@ -123,7 +126,7 @@
   currentHeartbeat(id: string): Heartbeat {
     const machine = this.state.machines.get(id as Heartbeat['machine'])!;
     const tasks = [...machine.placements.values()].map(({ entry }) =>
-      task(entry.job, entry.index, entry.attempt),
+      taskStatus(entry.job, entry.index, entry.attempt),
     );
     const sequence = (this.sequences.get(id) ?? 0) + 1;
     return heartbeatOf(id, sequence, this.state.config.fencingToken, tasks);
@@ -139,8 +142,8 @@
 type AttemptRef = Pick<WorkerCommand, 'job' | 'index' | 'attempt'>;
 
 /** The status of an attempt that runs. */
-export const running = ({ job, index, attempt }: AttemptRef) => task(job, index, attempt);
+export const running = ({ job, index, attempt }: AttemptRef) => taskStatus(job, index, attempt);
 
 /** The status of an attempt that has ended. */
 export const ended = ({ job, index, attempt }: AttemptRef, cause: TaskStatus['cause']) =>
-  task(job, index, attempt, 'ended', cause);
+  taskStatus(job, index, attempt, 'ended', cause);
--- a/test/support/simulated-world/counters.ts
+++ b/test/support/simulated-world/counters.ts
@@ -11,11 +11,11 @@
   /** Heartbeats that the network delivered again, late. */
   delayedCopies: 0,
   /** Spells in which a machine is heard but nothing reaches it. */
-  deafSpells: 0,
+  inboundBlocks: 0,
   /** Leaders that crashed and were back within a second. */
   quickRestarts: 0,
   /** Faults of many machines at once, by kind. */
-  massFaults: { gone: 0, restarted: 0, hung: 0, held: 0, noticed: 0 },
+  massFaults: { removed: 0, restarted: 0, hung: 0, held: 0, reclaimNotice: 0 },
   /** Leaders whose process stood still. */
   freezes: 0,
   /** All controllers down at once. */
@@ -23,7 +23,7 @@
   /** Outages of the key-value store. */
   outages: 0,
   /** Spells in which the key-value store is slow. */
-  slowSpells: 0,
+  slowPeriods: 0,
   /** Replicas started, ended by themselves, moved off machines about to go; services cancelled. */
   services: { starts: 0, ends: 0, moves: 0, cancelled: 0 },
   /** Leaders that follow one of the other version. */
--- a/test/support/simulated-world/faults.ts
+++ b/test/support/simulated-world/faults.ts
@@ -34,7 +34,7 @@
 type MachineFault = 'hung' | 'noticed' | 'gone' | 'deaf' | 'restarted' | 'mute';
 
 /** The parts of the world that faults befall. */
-export interface FaultSurroundings {
+export interface FaultDependencies {
   readonly sim: Simulation;
   readonly fleet: Fleet;
   readonly leaders: Leaders;
@@ -45,7 +45,7 @@
 
 /** Draws faults; each method is one kind. */
 export class Faults {
-  constructor(private readonly world: FaultSurroundings) {}
+  constructor(private readonly world: FaultDependencies) {}
 
   /** Something goes wrong. */
   draw(): void {
@@ -92,18 +92,18 @@
         if (machine.spot) machine.reclaimAt = sim.now + sim.int(0, 10_000);
         return;
       case 'gone':
-        if (machine.spot) cloud.takeAway(machine.id);
+        if (machine.spot) cloud.removeMachine(machine.id);
         return;
       case 'deaf':
-        sim.reached.deafSpells += 1;
-        machine.deafUntil = sim.now + sim.int(3000, 60_000);
+        sim.counters.inboundBlocks += 1;
+        machine.inboundBlockedUntil = sim.now + sim.int(3000, 60_000);
         return;
       case 'restarted':
         workers.restart(machine);
         return;
       case 'mute':
-        sim.reached.compoundFaults.mute += 1;
-        machine.muteUntil = sim.now + sim.int(3000, 60_000);
+        sim.counters.compoundFaults.mute += 1;
+        machine.outboundBlockedUntil = sim.now + sim.int(3000, 60_000);
     }
   }
 
@@ -127,7 +127,7 @@
     }
     // A crashed process may be back within a fraction of a second, and takes its own key at once.
     const isQuick = hasCrashed && sim.chance(40);
-    if (isQuick) sim.reached.quickRestarts += 1;
+    if (isQuick) sim.counters.quickRestarts += 1;
     leaders.electAfter(
       isQuick ? sim.int(10, 900) : Math.max(0, old.leaseValidUntil - sim.now) + sim.int(10, 4000),
     );
@@ -142,14 +142,14 @@
   /** A good third of the machines at once. */
   private befallManyMachines(): void {
     const { sim, fleet, cloud, workers } = this.world;
-    const { massFaults } = sim.reached;
+    const { massFaults } = sim.counters;
     const kinds = Object.keys(massFaults) as (keyof typeof massFaults)[];
     const kind = kinds[sim.int(0, kinds.length - 1)]!;
     massFaults[kind] += 1;
     const until = sim.now + sim.int(3000, 45_000);
     for (const machine of fleet.all()) {
       if (!sim.chance(45)) continue;
-      if (kind === 'gone') cloud.takeAway(machine.id);
+      if (kind === 'removed') cloud.removeMachine(machine.id);
       else if (kind === 'hung') machine.hungUntil = until;
       else if (kind === 'held') machine.heldUntil = until;
       else if (kind === 'restarted') workers.restart(machine);
@@ -165,7 +165,7 @@
     const { sim, leaders } = this.world;
     const leader = leaders.current();
     if (!leader) return;
-    sim.reached.freezes += 1;
+    sim.counters.freezes += 1;
     leader.isCurrent = false;
     leader.frozenUntil = sim.now + sim.int(1000, 30_000);
     leaders.electAfter(Math.max(0, leader.leaseValidUntil - sim.now) + sim.int(10, 4000));
@@ -177,9 +177,9 @@
    */
   private blackOut(): void {
     const { sim, leaders } = this.world;
-    sim.reached.blackouts += 1;
+    sim.counters.blackouts += 1;
     leaders.list = [];
-    if (sim.chance(25)) sim.reached.compoundFaults.longBlackouts += 1;
+    if (sim.chance(25)) sim.counters.compoundFaults.longBlackouts += 1;
     const isLong = sim.chance(25);
     leaders.electAfter(
       isLong ? sim.int(WORKER_LEASE_MS, 2 * WORKER_LEASE_MS) : sim.int(3000, 9000),
@@ -190,10 +190,10 @@
   private disturbStore(): void {
     const { sim } = this.world;
     if (sim.chance(50)) {
-      sim.reached.outages += 1;
+      sim.counters.outages += 1;
       sim.faultTimes.storeDownUntil = sim.now + sim.int(2000, 25_000);
     } else {
-      sim.reached.slowSpells += 1;
+      sim.counters.slowPeriods += 1;
       sim.faultTimes.storeSlowUntil = sim.now + sim.int(5000, 30_000);
     }
   }
@@ -207,7 +207,7 @@
     const { sim, leaders, users } = this.world;
     const old = leaders.current();
     if (!old || sim.now < sim.faultTimes.storeDownUntil) return;
-    sim.reached.compoundFaults.refusedThenDown += 1;
+    sim.counters.compoundFaults.refusedThenDown += 1;
     old.isCurrent = false;
     const lapseMs = Math.max(0, old.leaseValidUntil - sim.now);
     for (const machine of all) {
@@ -232,7 +232,7 @@
     const { sim, users } = this.world;
     const busy = all.filter((machine) => machine.isBusy());
     for (const machine of busy.slice(0, sim.int(1, 3))) {
-      sim.reached.compoundFaults.cancelledWithHang += 1;
+      sim.counters.compoundFaults.cancelledWithHang += 1;
       users.cancel(machine.activeTasks()[0]!.job);
       machine.hungUntil = sim.now + sim.int(1000, 30_000);
     }
@@ -241,7 +241,7 @@
   /** Hand over and back, within a second or two; jobs are cancelled in between. */
   private handOverAndBack(): void {
     const { sim, leaders, users } = this.world;
-    sim.reached.compoundFaults.handedOverAndBack += 1;
+    sim.counters.compoundFaults.handedOverAndBack += 1;
     for (let i = 0; i < 4; i += 1) {
       sim.after(i * sim.int(100, 700), () => {
         users.cancel();
@@ -269,8 +269,8 @@
     for (const machine of fleet.machines.values()) {
       machine.isFaulty = false;
       machine.hungUntil = 0;
-      machine.deafUntil = 0;
-      machine.muteUntil = 0;
+      machine.inboundBlockedUntil = 0;
+      machine.outboundBlockedUntil = 0;
       machine.heldUntil = 0;
     }
     const { faultTimes } = sim;
--- a/test/support/simulated-world/fleet.ts
+++ b/test/support/simulated-world/fleet.ts
@@ -18,7 +18,7 @@
   state: 'running' | 'ended';
   cause: 'done' | 'stopped' | 'error' | null;
   /** How long it still runs, in milliseconds. */
-  leftMs: number;
+  remainingMs: number;
 }
 
 /** A machine with its worker. */
@@ -28,7 +28,7 @@
   fencingToken = 0;
   tasks: MachineTask[] = [];
   /** Its lease counts from here. */
-  leaseStart: number;
+  leaseStartedAt: number;
   nextHeartbeatAt: number;
   lastHeartbeatAt = 0;
   /** The heartbeat whose answer it waits for. */
@@ -37,16 +37,16 @@
   reclaimAt: number | null = null;
   /** Whatever runs on it ends in error. */
   isFaulty = false;
-  isGone = false;
+  isRemoved = false;
   upAt: number;
   hungUntil = 0;
   /** While cut off, it reaches only this leader, and nothing else reaches it. */
   cutOffWith: Leader | null = null;
   cutOffUntil = 0;
   /** While deaf, its heartbeats arrive, but no reply and no command reaches it. */
-  deafUntil = 0;
+  inboundBlockedUntil = 0;
   /** While mute, it reaches no controller, but commands sent to it arrive. */
-  muteUntil = 0;
+  outboundBlockedUntil = 0;
   /** What it sends and what is sent to it is held back until then, and arrives all at once. */
   heldUntil = 0;
 
@@ -58,7 +58,7 @@
     bootMs: number,
   ) {
     this.upAt = now + bootMs;
-    this.leaseStart = this.upAt;
+    this.leaseStartedAt = this.upAt;
     this.nextHeartbeatAt = this.upAt;
   }
 
--- a/test/support/simulated-world/interruptions.ts
+++ b/test/support/simulated-world/interruptions.ts
@@ -4,7 +4,7 @@
 import type { Simulation } from './simulation.js';
 
 /** A task that was stopped or lost, until it runs again. */
-export interface Interrupted {
+export interface Interruption {
   readonly team: string;
   readonly jobClass: string;
   /** By the leader's own decision. */
@@ -14,7 +14,7 @@
 /** Keeps count of interrupted tasks, for checks of budgets. */
 export class Interruptions {
   /** By task, as `job/index`. */
-  readonly byTask = new Map<string, Interrupted>();
+  readonly byTask = new Map<string, Interruption>();
   /** Told of each task that is stopped by decision. */
   onVoluntaryStop: (name: string) => void = () => {};
   /** Tasks that are done, as `job/index`. */
@@ -37,8 +37,8 @@
   }
 
   /** Tasks that were interrupted by decision, do not run again yet, and are still wanted. */
-  openVoluntary(): Interrupted[] {
-    const open: Interrupted[] = [];
+  openVoluntaryInterruptions(): Interruption[] {
+    const open: Interruption[] = [];
     for (const [name, interrupted] of this.byTask) {
       const isWanted = this.isWanted(name.split('/')[0]!) && !this.doneTasks.has(name);
       if (isWanted && interrupted.voluntary) open.push(interrupted);
@@ -56,7 +56,7 @@
   }
 
   /** A stop by decision, unless a reclaim notice is behind it or a leader of the other version. */
-  noteStop(machine: Machine, t: MachineTask, byOldVersion: boolean): void {
+  recordStop(machine: Machine, t: MachineTask, byOldVersion: boolean): void {
     this.interrupt(t, machine.reclaimAt === null && !byOldVersion);
   }
 }
--- a/test/support/simulated-world/key-value-store.ts
+++ b/test/support/simulated-world/key-value-store.ts
@@ -5,7 +5,7 @@
 import { encodeSegment } from '../../../src/service/stored-records.js';
 import type { Leader } from './leaders.js';
 import type { RuleChecks } from './rule-checks.js';
-import { LIMITS, NEXT_LIMITS } from './settings.js';
+import { INITIAL_LIMITS, REDUCED_LIMITS } from './settings.js';
 import type { Simulation } from './simulation.js';
 
 /** What is stored. */
@@ -57,7 +57,7 @@
   /** In as many transactions as it takes, one by one; any may be the last that is carried out. */
   persist(leader: Leader, ops: readonly StoreOperation[], onStored: () => void): void {
     const { sim } = this;
-    const { compoundFaults } = sim.reached;
+    const { compoundFaults } = sim.counters;
     const lateMs = this.drawLateness();
     if (ops.length === 0) {
       if (lateMs > 0) compoundFaults.answeredLate += 1;
@@ -70,16 +70,16 @@
       if (leader.fencingToken !== this.data.fencingToken) return;
       // An old leader is refused what is too large, and tries for ever; until the next takes over
       // nothing starts.
-      if (leader.isOldVersion && sim.now >= sim.limitsFallAt) return;
+      if (leader.isPreviousVersion && sim.now >= sim.limitsReducedAt) return;
       const written = this.writeTransaction(leader, ops);
-      if (written < ops.length) sim.reached.splitBatches += 1;
+      if (written < ops.length) sim.counters.splitBatches += 1;
       this.persist(leader, ops.slice(written), onStored);
     });
   }
 
   /** Writes as many operations as one transaction takes, and returns how many those are. */
   private writeTransaction(leader: Leader, ops: readonly StoreOperation[]): number {
-    const { maxTransactionOperations } = leader.isOldVersion ? LIMITS : NEXT_LIMITS;
+    const { maxTransactionOperations } = leader.isPreviousVersion ? INITIAL_LIMITS : REDUCED_LIMITS;
     let changes = 0;
     for (const [n, op] of ops.entries()) {
       changes += op.kind === 'job-completion' ? 2 : 1;
@@ -89,14 +89,14 @@
     return ops.length;
   }
 
-  private write(op: StoreOperation, { isOldVersion }: Leader): void {
+  private write(op: StoreOperation, { isPreviousVersion: isOldVersion }: Leader): void {
     const { data } = this;
     const { problems } = this.sim;
     switch (op.kind) {
       case 'write-segment': {
         if (data.ledger.has(op.key)) problems.push(`record written twice ${op.key}`);
         const text = JSON.stringify(encodeSegment(op));
-        if (text.length > (isOldVersion ? LIMITS : NEXT_LIMITS).maxValueBytes)
+        if (text.length > (isOldVersion ? INITIAL_LIMITS : REDUCED_LIMITS).maxValueBytes)
           problems.push(`record of ${text.length} bytes`);
         data.ledger.set(op.key, text);
         return;
@@ -112,7 +112,7 @@
         if (before && before !== op.outcome) problems.push(`went_back ${op.job}`);
         data.completions.set(op.job, op.outcome);
         data.jobs.delete(op.job);
-        if (op.outcome === 'cancelled') this.checks.noteCancelled(op.job);
+        if (op.outcome === 'cancelled') this.checks.recordCancellation(op.job);
       }
     }
   }
@@ -123,7 +123,7 @@
       return;
     }
     const text = JSON.stringify(value);
-    if (text.length > NEXT_LIMITS.maxValueBytes)
+    if (text.length > REDUCED_LIMITS.maxValueBytes)
       this.sim.problems.push(`record ${key} of ${text.length} bytes`);
     this.data.records.set(key, text);
   }
--- a/test/support/simulated-world/leader-runner.ts
+++ b/test/support/simulated-world/leader-runner.ts
@@ -12,7 +12,7 @@
 import type { Users } from './users.js';
 
 /** The parts of the world on which effects act. */
-export interface RunnerSurroundings {
+export interface RunnerDependencies {
   readonly sim: Simulation;
   readonly leaders: Leaders;
   readonly store: ModelKeyValueStore;
@@ -24,7 +24,7 @@
 
 /** Runs leaders, one round of commands after the other. */
 export class LeaderRunner {
-  constructor(private readonly world: RunnerSurroundings) {}
+  constructor(private readonly world: RunnerDependencies) {}
 
   /** Applies what is queued for a leader, unless its process stands still. */
   run(leader: Leader): void {
@@ -52,7 +52,7 @@
       case 'operator-answer':
         return users.receiveAnswer(effect.ticket, effect.answer);
       case 'cancellation-settled':
-        return checks.checkSettled(effect);
+        return checks.checkCancellationSettled(effect);
       case 'provision':
         return cloud.provision(effect, reply);
       case 'delete-machines':
--- a/test/support/simulated-world/leaders.ts
+++ b/test/support/simulated-world/leaders.ts
@@ -9,7 +9,7 @@
 import { core } from '../builders.js';
 import type { Fleet } from './fleet.js';
 import type { ModelKeyValueStore } from './key-value-store.js';
-import { GRACE_MS, LIMITS, MACHINE_TYPE, NEXT_LIMITS, TEAMS } from './settings.js';
+import { GRACE_MS, INITIAL_LIMITS, MACHINE_TYPE, REDUCED_LIMITS, TEAMS } from './settings.js';
 import type { Simulation } from './simulation.js';
 
 /** A leader's lease when it was just renewed. */
@@ -28,7 +28,7 @@
    * It writes by the layout and limits of the version before this one, and cannot read what stands
    * for a service.
    */
-  readonly isOldVersion: boolean;
+  readonly isPreviousVersion: boolean;
   readonly state: CoreState;
   /** false once another may lead: what it still does is fenced by the store. */
   isCurrent: boolean;
@@ -74,10 +74,10 @@
     const isOldVersion = sim.now < sim.upgradedAt && sim.chance(50);
     const leader = this.createLeader(this.store.data.fencingToken, isOldVersion);
     const before = this.list.at(-1);
-    if (before && before.isOldVersion !== isOldVersion) sim.reached.versionChanges += 1;
+    if (before && before.isPreviousVersion !== isOldVersion) sim.counters.versionChanges += 1;
     this.list.push(leader);
-    sim.reached.failovers += 1;
-    this.countUnaskedAtQuota();
+    sim.counters.failovers += 1;
+    this.countUnreachedMachinesAtQuota();
     // Old heartbeats reach the new leader just as it begins.
     for (const deliver of this.heldHeartbeats.splice(0)) sim.after(sim.int(0, 500), deliver);
     this.recover(leader);
@@ -91,12 +91,12 @@
       acquiredAt: sim.now as Instant,
       teams: new Map(TEAMS.map((t) => [t.name, t])),
       graceAfterLeaseLossMs: GRACE_MS,
-      ...(isOldVersion ? LIMITS : NEXT_LIMITS),
+      ...(isOldVersion ? INITIAL_LIMITS : REDUCED_LIMITS),
     });
     if (!isOldVersion && module) state.extensions = new ExtensionHost(state, [module.create()]);
     return {
       fencingToken,
-      isOldVersion,
+      isPreviousVersion: isOldVersion,
       state,
       isCurrent: true,
       leaseValidUntil: sim.now + LEADER_LEASE_MS,
@@ -106,18 +106,24 @@
   }
 
   /** Counts leaders that begin with a team at its quota and busy machines out of reach. */
-  private countUnaskedAtQuota(): void {
+  private countUnreachedMachinesAtQuota(): void {
     const { sim } = this;
     const isUnasked = this.fleet
       .all()
       .some(
         (m) =>
           m.isBusy() &&
-          Math.max(m.hungUntil, m.cutOffUntil, m.heldUntil, m.deafUntil, m.muteUntil) >
+          Math.max(
+            m.hungUntil,
+            m.cutOffUntil,
+            m.heldUntil,
+            m.inboundBlockedUntil,
+            m.outboundBlockedUntil,
+          ) >
             sim.now + UNASKED_MS,
       );
     if (isUnasked && TEAMS.some((t) => this.fleet.cpusOf(t.name) >= t.cpusMax - 1))
-      sim.reached.compoundFaults.atLimitUnasked += 1;
+      sim.counters.compoundFaults.atLimitUnasked += 1;
   }
 
   /** Queues what the key-value store and the cloud hold, as the service reads it at a failover. */
@@ -125,7 +131,7 @@
     const { queue } = leader;
     queue.push({ kind: 'machine-types', types: [MACHINE_TYPE] });
     for (const [, { spec, at }] of this.store.data.jobs) {
-      if (leader.isOldVersion && spec.shape === 'service') continue;
+      if (leader.isPreviousVersion && spec.shape === 'service') continue;
       queue.push({ kind: 'job', spec, submittedAt: at as Instant });
     }
     const attempts: Command[] = [];
@@ -168,13 +174,13 @@
   }
 
   /** The last process of the old version is killed once all controllers have this one. */
-  upgradeWhenDue(): void {
+  stopPreviousVersionWhenUpgraded(): void {
     const { sim } = this;
-    if (sim.now < sim.upgradedAt || !this.list.some((l) => l.isOldVersion)) return;
-    const wasOldLeading = this.current()?.isOldVersion;
-    this.list = this.list.filter((l) => !l.isOldVersion);
+    if (sim.now < sim.upgradedAt || !this.list.some((l) => l.isPreviousVersion)) return;
+    const wasOldLeading = this.current()?.isPreviousVersion;
+    this.list = this.list.filter((l) => !l.isPreviousVersion);
     if (!wasOldLeading) return;
-    sim.reached.versionChanges += 1;
+    sim.counters.versionChanges += 1;
     this.electAfter(sim.int(10, 6000));
   }
 
--- a/test/support/simulated-world/model-cloud.ts
+++ b/test/support/simulated-world/model-cloud.ts
@@ -14,7 +14,7 @@
 type Reply = (command: Command) => void;
 
 /** The parts of the world that the cloud knows. */
-export interface CloudSurroundings {
+export interface CloudDependencies {
   readonly sim: Simulation;
   readonly fleet: Fleet;
   readonly leaders: Leaders;
@@ -27,7 +27,7 @@
   /** The machine that each request provisioned. */
   private readonly provisioned = new Map<string, string>();
 
-  constructor(private readonly world: CloudSurroundings) {}
+  constructor(private readonly world: CloudDependencies) {}
 
   /** Provisions one machine; a repeated request provisions nothing new. */
   provision(effect: ProvisionEffect, reply: Reply): void {
@@ -45,7 +45,7 @@
         answer('ok', [known]);
         return;
       }
-      const isFull = fleet.machines.size >= (sim.options.mostMachines ?? MOST_MACHINES);
+      const isFull = fleet.machines.size >= (sim.options.maxMachines ?? MOST_MACHINES);
       if (isFull || sim.now < sim.faultTimes.noCapacityUntil) {
         answer('refused', []);
         return;
@@ -62,7 +62,7 @@
   private drawBootMs(): number {
     const { sim } = this.world;
     const isUpAtOnce = sim.chance(25);
-    if (isUpAtOnce) sim.reached.compoundFaults.upAtOnce += 1;
+    if (isUpAtOnce) sim.counters.compoundFaults.upAtOnce += 1;
     const bootMs = isUpAtOnce ? sim.int(50, 2000) : sim.int(1000, 9000);
     return sim.now < sim.faultTimes.bootFaultsUntil ? Number.POSITIVE_INFINITY : bootMs;
   }
@@ -81,17 +81,17 @@
         return;
       }
       const ok = !sim.chance(15);
-      if (ok || sim.chance(50)) for (const id of machines) this.takeAway(id);
+      if (ok || sim.chance(50)) for (const id of machines) this.removeMachine(id);
       reply({ kind: 'deletion-result', machines, ok });
     });
   }
 
   /** A machine goes, with all that runs on it. */
-  takeAway(id: string): void {
+  removeMachine(id: string): void {
     const { fleet, interruptions } = this.world;
     const machine = fleet.machines.get(id);
     if (machine) {
-      machine.isGone = true;
+      machine.isRemoved = true;
       for (const t of machine.tasks) interruptions.interrupt(t, false);
     }
     fleet.machines.delete(id);
--- a/test/support/simulated-world/model-workers.ts
+++ b/test/support/simulated-world/model-workers.ts
@@ -3,7 +3,7 @@
 import type { Heartbeat } from '../../../src/core/model/heartbeat.js';
 import type { MachineTypeName, ZoneName } from '../../../src/core/model/ids.js';
 import type { WorkerCommand } from '../../../src/core/model/worker-command.js';
-import { heartbeatOf, task } from '../builders.js';
+import { heartbeatOf, taskStatus } from '../builders.js';
 import type { Fleet, Machine } from './fleet.js';
 import type { Leader, Leaders } from './leaders.js';
 import type { ModelCloud } from './model-cloud.js';
@@ -18,7 +18,7 @@
 type SendCommandsEffect = Extract<Effect, { kind: 'send-commands' }>;
 
 /** The parts of the world that workers know. */
-export interface WorkerSurroundings {
+export interface WorkerDependencies {
   readonly sim: Simulation;
   readonly fleet: Fleet;
   readonly leaders: Leaders;
@@ -34,17 +34,17 @@
     (commands: readonly WorkerCommand[] | null) => void
   >();
 
-  constructor(private readonly world: WorkerSurroundings) {}
+  constructor(private readonly world: WorkerDependencies) {}
 
   /** Plays some time on one machine. */
   advance(machine: Machine, passedMs: number): void {
     const { sim, cloud, tasks } = this.world;
-    if (sim.now < machine.upAt || machine.isGone) return;
+    if (sim.now < machine.upAt || machine.isRemoved) return;
     if (machine.reclaimAt !== null && sim.now >= machine.reclaimAt) {
-      cloud.takeAway(machine.id);
+      cloud.removeMachine(machine.id);
       return;
     }
-    if (sim.now - machine.leaseStart > WORKER_LEASE_MS) this.expireLease(machine);
+    if (sim.now - machine.leaseStartedAt > WORKER_LEASE_MS) this.expireLease(machine);
     if (sim.now < machine.hungUntil) return;
     if (tasks.advance(machine, passedMs)) {
       const early = Math.max(sim.now, machine.lastHeartbeatAt + EARLY_HEARTBEAT_MS);
@@ -63,7 +63,7 @@
     const { now } = this.world.sim;
     machine.agentEpoch += 1;
     machine.tasks = [];
-    machine.leaseStart = Math.max(now, machine.hungUntil);
+    machine.leaseStartedAt = Math.max(now, machine.hungUntil);
     machine.pendingHeartbeat = null;
     machine.nextHeartbeatAt = now;
   }
@@ -76,14 +76,16 @@
     machine.tasks = [];
     machine.pendingHeartbeat = null;
     machine.upAt = sim.now + sim.int(50, 900);
-    machine.leaseStart = machine.upAt;
+    machine.leaseStartedAt = machine.upAt;
     machine.nextHeartbeatAt = machine.upAt;
   }
 
   private heartbeatOf(machine: Machine): Heartbeat {
     machine.heartbeatSequence += 1;
     const { id, heartbeatSequence, fencingToken, reclaimAt } = machine;
-    const statuses = machine.tasks.map((t) => task(t.job, t.index, t.attempt, t.state, t.cause));
+    const statuses = machine.tasks.map((t) =>
+      taskStatus(t.job, t.index, t.attempt, t.state, t.cause),
+    );
     return heartbeatOf(id, heartbeatSequence, fencingToken, statuses, {
       agentEpoch: machine.agentEpoch,
       zone: machine.zone as ZoneName,
@@ -113,7 +115,7 @@
       });
       to.queue.push({ kind: 'heartbeat', heartbeat, ticket });
     };
-    if (sim.now < machine.muteUntil) return;
+    if (sim.now < machine.outboundBlockedUntil) return;
     sim.after(fleet.linkDelay(machine), () => deliver(first));
     this.drawCopies(deliver, cutOffWith !== null);
   }
@@ -133,11 +135,11 @@
   private drawCopies(deliver: (to: Leader | null) => void, isCutOff: boolean): void {
     const { sim, leaders } = this.world;
     const deliverCopy = () => {
-      sim.reached.delayedCopies += 1;
+      sim.counters.delayedCopies += 1;
       deliver(leaders.current());
     };
     if (sim.chance(1) && !isCutOff) {
-      sim.reached.compoundFaults.keptForNext += 1;
+      sim.counters.compoundFaults.keptForNext += 1;
       // To every controller that takes heartbeats, those that have been replaced too.
       leaders.heldHeartbeats.push(() => {
         for (const l of leaders.list) deliver(l);
@@ -164,22 +166,22 @@
     const { sim, fleet, tasks } = this.world;
     const { fencingToken } = leader;
     if (sim.chance(5)) {
-      sim.reached.lostReplies += 1;
+      sim.counters.lostReplies += 1;
       return;
     }
     sim.after(fleet.linkDelay(machine), () => {
       const isGivenUp =
-        machine.isGone ||
+        machine.isRemoved ||
         machine.pendingHeartbeat !== pending ||
         sim.now - pending.sentAt > ANSWER_TIMEOUT_MS;
-      if (isGivenUp || sim.now < machine.hungUntil || sim.now < machine.deafUntil) return;
+      if (isGivenUp || sim.now < machine.hungUntil || sim.now < machine.inboundBlockedUntil) return;
       machine.pendingHeartbeat = null;
       if (fencingToken < machine.fencingToken || machine.agentEpoch !== pending.agentEpoch) return;
       if (fencingToken > machine.fencingToken)
         machine.nextHeartbeatAt = Math.min(machine.nextHeartbeatAt, sim.now + EARLY_HEARTBEAT_MS);
       machine.fencingToken = fencingToken;
-      machine.leaseStart = pending.sentAt;
-      tasks.execute(machine, commands, leader.isOldVersion);
+      machine.leaseStartedAt = pending.sentAt;
+      tasks.execute(machine, commands, leader.isPreviousVersion);
     });
   }
 
@@ -193,7 +195,7 @@
       if (leader.fencingToken < machine.fencingToken || effect.agentEpoch !== machine.agentEpoch)
         return;
       machine.fencingToken = leader.fencingToken;
-      tasks.execute(machine, effect.commands, leader.isOldVersion);
+      tasks.execute(machine, effect.commands, leader.isPreviousVersion);
       const heartbeat = this.heartbeatOf(machine);
       // Held up for seconds: the command was carried out, and its answer comes late.
       const heldUpMs = sim.chance(3) ? sim.int(2000, 12_000) : 0;
@@ -205,7 +207,8 @@
 
   private isReachable(machine: Machine, leader: Leader): boolean {
     const { now } = this.world.sim;
-    if (machine.hungUntil > now || machine.upAt > now || machine.deafUntil > now) return false;
+    if (machine.hungUntil > now || machine.upAt > now || machine.inboundBlockedUntil > now)
+      return false;
     return now >= machine.cutOffUntil || machine.cutOffWith === leader;
   }
 }
--- a/test/support/simulated-world/rule-checks.ts
+++ b/test/support/simulated-world/rule-checks.ts
@@ -27,9 +27,9 @@
     const { sim } = this;
     const name = `${id}/${index}`;
     const spec = sim.specOf(id);
-    sim.reached.starts += 1;
+    sim.counters.starts += 1;
     this.interruptions.byTask.delete(name);
-    if (spec.shape === 'service') sim.reached.services.starts += 1;
+    if (spec.shape === 'service') sim.counters.services.starts += 1;
     this.checkRunsOnce(machine, id, index);
     if (this.attempts.has(`${name}#${attempt}`))
       sim.problems.push(`attempt given twice ${name}#${attempt}`);
@@ -62,7 +62,7 @@
   }
 
   /** What must hold at every moment. */
-  checkNow(): void {
+  checkInvariants(): void {
     const { sim } = this;
     for (const { name, cpusMax } of TEAMS) {
       const cpus = this.fleet.cpusOf(name);
@@ -76,7 +76,7 @@
 
   /** The leader ends a job. */
   checkJobEnded({ job, outcome }: Extract<Effect, { kind: 'job-ended' }>): void {
-    const { problems, reached } = this.sim;
+    const { problems, counters: reached } = this.sim;
     const { shape, tasks } = this.sim.specOf(job);
     if (outcome === 'done' && shape === 'service') problems.push(`not_done ${job}`);
     if (outcome === 'cancelled' && shape === 'service') reached.services.cancelled += 1;
@@ -87,17 +87,20 @@
   }
 
   /** A user is told how a cancellation ended. */
-  checkSettled({ ticket, outcome }: Extract<Effect, { kind: 'cancellation-settled' }>): void {
+  checkCancellationSettled({
+    ticket,
+    outcome,
+  }: Extract<Effect, { kind: 'cancellation-settled' }>): void {
     const id = this.interruptions.cancelRequests.get(ticket)!;
     if (outcome !== null && this.stored.completions.get(id) !== outcome)
       this.sim.problems.push(`told before it was stored ${id}`);
   }
 
   /** The end of a cancelled job is stored, though the leader has not learnt of it yet. */
-  noteCancelled(job: string): void {
+  recordCancellation(job: string): void {
     const { sim } = this;
     this.cancelledAt.set(job, sim.now);
-    if (sim.now < sim.faultTimes.refusalGapUntil) sim.reached.compoundFaults.cancelledInGap += 1;
+    if (sim.now < sim.faultTimes.refusalGapUntil) sim.counters.compoundFaults.cancelledInGap += 1;
     if (!this.interruptions.isCancelRequested(job)) sim.problems.push(`cancelled by nobody ${job}`);
   }
 
--- a/test/support/simulated-world/settings.ts
+++ b/test/support/simulated-world/settings.ts
@@ -2,7 +2,7 @@
 import type { ExtensionModule } from '../../../src/core/extensions/extension.js';
 import { graceAfterLeaseLoss } from '../../../src/core/lifecycle/worker-leases.js';
 import type { Millis } from '../../../src/core/model/time.js';
-import { team, type } from '../builders.js';
+import { machineType, team } from '../builders.js';
 
 /** Interval at which workers report. */
 export const HEARTBEAT_MS = 2000;
@@ -20,16 +20,16 @@
 export const ANSWER_TIMEOUT_MS = 4000;
 
 /** The only type of machine. */
-export const MACHINE_TYPE = type('c8', { bootS: 5 });
+export const MACHINE_TYPE = machineType('c8', { bootS: 5 });
 
 /** The teams and their quotas. */
 export const TEAMS = [team('blue', 20), team('green', 12)];
 
 /** What the key-value store takes until its limits fall. */
-export const LIMITS = { maxValueBytes: 8192, maxTransactionOperations: 12 };
+export const INITIAL_LIMITS = { maxValueBytes: 8192, maxTransactionOperations: 12 };
 
 /** What it takes after that; leaders of this version obey it from the first second. */
-export const NEXT_LIMITS = { maxValueBytes: 1024, maxTransactionOperations: 3 };
+export const REDUCED_LIMITS = { maxValueBytes: 1024, maxTransactionOperations: 3 };
 
 /** What a test may set about a world. */
 export interface WorldOptions {
@@ -42,5 +42,5 @@
   /** Machines are provisioned in the zone that was asked for, and not in a drawn one. */
   readonly keepZones?: boolean;
   /** How many machines there may be. */
-  readonly mostMachines?: number;
+  readonly maxMachines?: number;
 }
--- a/test/support/simulated-world/simulation.ts
+++ b/test/support/simulated-world/simulation.ts
@@ -18,7 +18,7 @@
   now = 0;
   /** Broken rules: the world stops at the first. */
   readonly problems: string[] = [];
-  readonly reached = createCounters();
+  readonly counters = createCounters();
   /** Every job that was ever submitted. */
   readonly specs = new Map<string, JobSpec>();
   /** Jobs whose tasks end in error wherever they run. */
@@ -40,7 +40,7 @@
   /** When all controllers have this version; both versions take turns before. */
   readonly upgradedAt: number;
   /** When the limits of the key-value store fall. */
-  readonly limitsFallAt: number;
+  readonly limitsReducedAt: number;
   private readonly rng;
   private messages: Message[] = [];
   private lastTicket = 0;
@@ -51,7 +51,7 @@
   ) {
     this.rng = xoroshiro128plus(seed);
     this.upgradedAt = options.bothVersions === false ? -1 : this.int(0, 90_000);
-    this.limitsFallAt = this.upgradedAt + this.int(0, 40_000);
+    this.limitsReducedAt = this.upgradedAt + this.int(0, 40_000);
   }
 
   /** Draws a whole number between two, both included. */
--- a/test/support/simulated-world/task-execution.ts
+++ b/test/support/simulated-world/task-execution.ts
@@ -11,7 +11,7 @@
 type StartCommand = Extract<WorkerCommand, { op: 'start' }>;
 
 /** The parts of the world that tasks touch. */
-export interface TaskSurroundings {
+export interface TaskDependencies {
   readonly sim: Simulation;
   readonly stored: StoredData;
   readonly checks: RuleChecks;
@@ -21,7 +21,7 @@
 
 /** Runs tasks on machines. */
 export class TaskExecution {
-  constructor(private readonly world: TaskSurroundings) {}
+  constructor(private readonly world: TaskDependencies) {}
 
   /** Carries out commands of a leader. */
   execute(machine: Machine, commands: readonly WorkerCommand[], byOldVersion: boolean): void {
@@ -41,7 +41,7 @@
     if (held?.attempt === attempt) return;
     const spec = sim.specOf(job);
     if (held || machine.usedCpus(sim.specs) + spec.cpus > MACHINE_TYPE.cpus) {
-      machine.tasks.push({ job, index, attempt, state: 'ended', cause: 'error', leftMs: 0 });
+      machine.tasks.push({ job, index, attempt, state: 'ended', cause: 'error', remainingMs: 0 });
       return;
     }
     checks.checkStart(machine, job, index, attempt);
@@ -49,15 +49,15 @@
     // Some run for longer than a cancellation may take.
     const runMs = sim.chance(6) ? sim.int(20_000, 120_000) : sim.int(500, 20_000);
     const leftMs = isEndless ? Number.POSITIVE_INFINITY : runMs;
-    machine.tasks.push({ job, index, attempt, state: 'running', cause: null, leftMs });
+    machine.tasks.push({ job, index, attempt, state: 'running', cause: null, remainingMs: leftMs });
   }
 
   private stop(machine: Machine, t: MachineTask | undefined, byOldVersion: boolean): void {
     const { sim, stored, interruptions } = this.world;
     if (!t || t.state === 'ended') return;
     if (machine.reclaimAt !== null && stored.jobs.has(t.job) && sim.isService(t.job))
-      sim.reached.services.moves += 1;
-    interruptions.noteStop(machine, t, byOldVersion);
+      sim.counters.services.moves += 1;
+    interruptions.recordStop(machine, t, byOldVersion);
     t.state = 'ended';
     t.cause = 'stopped';
   }
@@ -67,8 +67,8 @@
     let hasEnded = false;
     for (const t of machine.tasks) {
       if (t.state !== 'running') continue;
-      t.leftMs -= passedMs;
-      if (t.leftMs > 0 && !machine.isFaulty) continue;
+      t.remainingMs -= passedMs;
+      if (t.remainingMs > 0 && !machine.isFaulty) continue;
       this.end(machine, t);
       hasEnded = true;
     }
@@ -80,13 +80,13 @@
     t.state = 'ended';
     t.cause = machine.isFaulty || sim.failingJobs.has(t.job) ? 'error' : 'done';
     if (sim.isService(t.job)) {
-      sim.reached.services.ends += 1;
+      sim.counters.services.ends += 1;
       if (sim.chance(50)) t.cause = 'error';
     } else if (t.cause === 'done') {
       interruptions.doneTasks.add(`${t.job}/${t.index}`);
       // A cancellation meets the end of a task, of the last one too.
       if (sim.chance(2)) {
-        sim.reached.compoundFaults.cancelledAtEnd += 1;
+        sim.counters.compoundFaults.cancelledAtEnd += 1;
         sim.after(sim.int(0, 1500), () => users.cancel(t.job));
       }
     }
--- a/test/support/simulated-world/users.ts
+++ b/test/support/simulated-world/users.ts
@@ -44,7 +44,7 @@
     if (sim.chance(4)) sim.failingJobs.add(id);
     this.stored.jobs.set(id, { spec, at: sim.now });
     const leader = this.leaders.current();
-    if (leader && !(leader.isOldVersion && service))
+    if (leader && !(leader.isPreviousVersion && service))
       leader.queue.push({ kind: 'job', spec, submittedAt: sim.now as Instant });
   }
 
--- a/test/support/simulated-world/world.ts
+++ b/test/support/simulated-world/world.ts
@@ -7,7 +7,7 @@
 import type { OperatorAnswer, OperatorCall } from '../../../src/core/extensions/extension.js';
 import { Faults } from './faults.js';
 import { Fleet } from './fleet.js';
-import { type Interrupted, Interruptions } from './interruptions.js';
+import { type Interruption, Interruptions } from './interruptions.js';
 import { createStoredData, ModelKeyValueStore, type StoredData } from './key-value-store.js';
 import { LeaderRunner } from './leader-runner.js';
 import { Leaders } from './leaders.js';
@@ -74,8 +74,8 @@
   }
 
   /** What the history has reached. */
-  get reached(): Simulation['reached'] {
-    return this.sim.reached;
+  get counters(): Simulation['counters'] {
+    return this.sim.counters;
   }
 
   /** Until when faults of the cloud and the key-value store last; tests may set them. */
@@ -84,7 +84,7 @@
   }
 
   /** Plays some milliseconds; with `calm`, no new jobs and no new faults. */
-  play(ms: number, calm: boolean): void {
+  advance(ms: number, calm: boolean): void {
     const { sim } = this;
     const end = sim.now + ms;
     while (sim.now < end && sim.problems.length === 0) this.step(calm);
@@ -95,7 +95,7 @@
     sim.now += STEP_MS;
     if (!calm) this.drawEvents();
     sim.deliverDue();
-    leaders.upgradeWhenDue();
+    leaders.stopPreviousVersionWhenUpgraded();
     leaders.renewLease();
     for (const leader of [...leaders.list]) {
       if (sim.now % TICK_MS === 0) leader.queue.push({ kind: 'tick' });
@@ -103,7 +103,7 @@
       leaders.endIfExpired(leader);
     }
     for (const machine of this.fleet.all()) this.workers.advance(machine, STEP_MS);
-    this.checks.checkNow();
+    this.checks.checkInvariants();
   }
 
   private drawEvents(): void {
@@ -124,12 +124,12 @@
   }
 
   /** Tasks that were stopped by decision and do not run again yet. */
-  interruptedByDecision(): Interrupted[] {
-    return this.interruptions.openVoluntary();
+  voluntaryInterruptions(): Interruption[] {
+    return this.interruptions.openVoluntaryInterruptions();
   }
 
   /** Arrays that are still open though they could have been done. */
-  unfinished(): string[] {
+  unfinishedArrays(): string[] {
     const { sim } = this;
     return [...this.stored.jobs.keys()].filter(
       (id) => !sim.isService(id) && !sim.failingJobs.has(id),
@@ -137,11 +137,11 @@
   }
 
   /** Jobs with a waiting task that a machine has room for, whose team is under its quota. */
-  waitingBesideRoom(): string[] {
-    return [...this.stored.jobs.keys()].filter((id) => this.waitsBesideRoom(id));
+  jobsWaitingDespiteCapacity(): string[] {
+    return [...this.stored.jobs.keys()].filter((id) => this.waitsDespiteCapacity(id));
   }
 
-  private waitsBesideRoom(id: string): boolean {
+  private waitsDespiteCapacity(id: string): boolean {
     const { sim, fleet } = this;
     const spec = sim.specOf(id);
     const { cpusMax } = TEAMS.find((t) => t.name === spec.team)!;
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -41,7 +41,7 @@
   job,
   ledgerEntry,
   recordedAttributes,
-  task,
+  taskStatus,
 } from './support/builders.js';
 
 interface StoredRecord {
@@ -140,7 +140,7 @@
       let isDeleted = false;
       for (let now = 500; now < 15_000; now += 500) {
         // An attempt to store in each step, as in normal operation.
-        const reported = heartbeatOf('n-new', now, 50, [task('job-77', now, now)]);
+        const reported = heartbeatOf('n-new', now, 50, [taskStatus('job-77', now, now)]);
         for (const e of applyCommands(
           state,
           [{ kind: 'heartbeat', heartbeat: reported, ticket: null }],
