--- a/test/model/overloaded-day.ts
+++ b/test/model/overloaded-day.ts
@@ -1,6 +1,6 @@
 /**
- * A day on which more is asked than can be done: steady arrivals, a fixed fleet, workers that do as
- * they are told.
+ * A simulated overload: jobs arrive at a steady rate above the capacity of a fixed fleet, whose
+ * workers execute every command.
  */
 
 import { applyCommands } from '../../src/core/apply-commands.js';
@@ -13,16 +13,16 @@
 import { core, heartbeatOf, job, machineType, taskStatus, team } from '../support/builders.js';
 
 const STEP_MS = 1000;
-const ARRIVALS_MS = 400_000;
+const SUBMISSIONS_END_MS = 400_000;
 const DAY_MS = 1_200_000;
-const MACHINES = 10;
+const MACHINE_COUNT = 10;
 
 interface Running {
   readonly command: WorkerCommand;
   readonly endsAt: number;
 }
 
-/** A job of the day, with the times in milliseconds at which it began and was done. */
+/** A job, with the times in milliseconds at which its first task started and the job ended. */
 export interface ModelJob {
   readonly spec: JobSpec;
   readonly submittedAt: number;
@@ -30,22 +30,22 @@
   doneAt: number | null;
 }
 
-/** Plays the day with a leader that never fails. */
+/** Runs the day with one leader that never fails. */
 export class OverloadedDay {
   readonly jobs: ModelJob[] = [];
   private readonly state: CoreState;
   private readonly byId = new Map<string, ModelJob>();
-  private readonly running = Array.from({ length: MACHINES }, () => [] as Running[]);
+  private readonly running = Array.from({ length: MACHINE_COUNT }, () => [] as Running[]);
 
-  constructor(policy: Partial<Policy> = {}, limit = 60) {
-    const teams = [team('blue', limit), team('green', limit)];
+  constructor(policy: Partial<Policy> = {}, cpuQuota = 60) {
+    const teams = [team('blue', cpuQuota), team('green', cpuQuota)];
     this.state = core(
       { teams: new Map(teams.map((t) => [t.name, t])), maxValueBytes: 16_384 },
       policy,
     );
   }
 
-  private arrive(now: number): void {
+  private submitNextJob(now: number): void {
     const n = this.jobs.length;
     const large = n % 4 === 0;
     const spec = job(`job-${n}`, {
@@ -56,9 +56,9 @@
       estimateS: large ? 40 : 20,
       deadlineS: large ? 150 : 60,
     });
-    const dayJob: ModelJob = { spec, submittedAt: now, startedAt: null, doneAt: null };
-    this.jobs.push(dayJob);
-    this.byId.set(spec.id, dayJob);
+    const modelJob: ModelJob = { spec, submittedAt: now, startedAt: null, doneAt: null };
+    this.jobs.push(modelJob);
+    this.byId.set(spec.id, modelJob);
     this.send(now, { kind: 'job', spec, submittedAt: now as Instant });
   }
 
@@ -72,7 +72,7 @@
     return effects;
   }
 
-  /** Plays the whole day. */
+  /** Runs the day: heartbeats of all machines and a tick each second. */
   run(): void {
     this.send(
       0,
@@ -81,7 +81,7 @@
     );
     let sequence = 0;
     for (let now = 4000; now < DAY_MS; now += STEP_MS) {
-      if (now < ARRIVALS_MS && now % 5000 === 0) this.arrive(now);
+      if (now < SUBMISSIONS_END_MS && now % 5000 === 0) this.submitNextJob(now);
       sequence += 1;
       for (const [i, running] of this.running.entries()) {
         const statuses = running.map(({ command, endsAt }) => {
@@ -100,22 +100,22 @@
           heartbeat: heartbeatOf(`n-${i}`, sequence, 7, statuses),
           ticket,
         });
-        const answer = effects.find(
+        const reply = effects.find(
           (effect) => effect.kind === 'reply-to-heartbeat' && effect.ticket === ticket,
         );
-        for (const command of (answer?.kind === 'reply-to-heartbeat' && answer.commands) || [])
-          this.obey(i, command, now);
+        for (const command of (reply?.kind === 'reply-to-heartbeat' && reply.commands) || [])
+          this.execute(i, command, now);
       }
       this.send(now, { kind: 'tick' });
     }
   }
 
-  private obey(machine: number, command: WorkerCommand, now: number): void {
+  private execute(machine: number, command: WorkerCommand, now: number): void {
     const running = this.running[machine]!;
     if (command.op === 'start') {
-      const dayJob = this.byId.get(command.job)!;
-      dayJob.startedAt ??= now;
-      running.push({ command, endsAt: now + dayJob.spec.estimateS * 1000 });
+      const modelJob = this.byId.get(command.job)!;
+      modelJob.startedAt ??= now;
+      running.push({ command, endsAt: now + modelJob.spec.estimateS * 1000 });
     } else {
       this.running[machine] = running.filter((r) => r.command.attempt !== command.attempt);
     }
--- a/test/model/plain-backfill.ts
+++ b/test/model/plain-backfill.ts
@@ -1,15 +1,14 @@
 /**
- * The design written down as plainly as can be, to compare the real round with: whole lists are
- * scanned again for every task, nothing is cached between tasks, and no order is relied on but the
- * stated one.
+ * A plain reference model of the scheduling round, to compare the real one with: it scans whole
+ * lists again for every task, caches nothing and relies only on the order that it states.
  */
 
-/** A waiting job; amounts are those of one task. */
+/** An unfinished job; `cpus`, `gpus` and `memoryGb` are those of one task. */
 export interface PlainJob {
   id: string;
   shape: 'array' | 'service';
   submittedAt: number;
-  /** Since when it has had nothing on a machine. */
+  /** Since when the job has had no attempt on a machine. */
   idleSince: number;
   /** The priority: 3 for critical down to 0 for best effort. */
   level: number;
@@ -28,7 +27,7 @@
   imageGb: number;
 }
 
-/** A machine that takes work. */
+/** A machine on which tasks can be placed. */
 export interface PlainMachine {
   id: string;
   type: string;
@@ -37,9 +36,9 @@
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** Reserved for services up to now. */
+  /** Reserved for services by earlier rounds. */
   isReservedForServices: boolean;
-  /** Milliseconds until its next heartbeat, whose reply carries starts. */
+  /** Milliseconds until its next heartbeat, whose reply carries start commands. */
   nextHeartbeatMs: number;
   fetchGbPerS: number;
 }
@@ -50,11 +49,11 @@
   machine: string;
   /** How long it has run, in milliseconds. */
   elapsedMs: number;
-  /** When it should end by its estimate; replicas have no end. */
+  /** The end by the job's estimate; Infinity for replicas. */
   end: number;
 }
 
-/** All that a round decides on. */
+/** The input of one scheduling round. */
 export interface PlainWorld {
   now: number;
   deadlineEstimateFactor: number;
@@ -63,7 +62,7 @@
   ageFactor: number;
   shortnessWeight: number;
   priorityWeight: number;
-  /** After this long a job's first task goes ahead of better ranked ones. */
+  /** After this wait, a job's first task is placed before tasks of higher-ranked jobs. */
   firstTaskAfterS: number;
   jobs: PlainJob[];
   /** Machine types with GPUs, in the fleet or not. */
@@ -76,7 +75,7 @@
 
 const EPSILON = 1e-6;
 
-/** The score of a waiting job; `pendingTasks` tells how many tasks of a job wait. */
+/** The score of a waiting job; `pendingTasks` counts the waiting tasks of a job. */
 export const plainScore = (
   world: PlainWorld,
   job: PlainJob,
@@ -98,8 +97,9 @@
         ((world.deadlineScoreMax - world.deadlineScoreMin) / overestimateMs) *
           (end - (deadlineAt - overestimateMs));
   }
-  const gpuTypes = world.gpuTypes.map((k) => k.type);
-  const gpusPerMachine = (type: string) => world.gpuTypes.find((k) => k.type === type)?.gpus ?? 0;
+  const gpuTypes = world.gpuTypes.map((gpuType) => gpuType.type);
+  const gpusPerMachine = (type: string) =>
+    world.gpuTypes.find((gpuType) => gpuType.type === type)?.gpus ?? 0;
   const requests = (other: PlainJob, type: string) =>
     other.gpus > 0 &&
     gpusPerMachine(type) >= other.gpus &&
@@ -113,31 +113,32 @@
       .reduce((sum, machine) => sum + machine.gpus, 0);
     return requested / Math.max(total, 1);
   };
-  const ample = gpuTypes.filter(
+  const ampleTypeCount = gpuTypes.filter(
     (type) => waiting.some((other) => requests(other, type)) && ratio(type) <= 1,
   ).length;
   let scarcity = 0;
   for (const type of gpuTypes) {
     if (requests(job, type))
-      scarcity += ratio(type) > 1 ? Math.max(ample, 1) * ratio(type) : ratio(type);
+      scarcity += ratio(type) > 1 ? Math.max(ampleTypeCount, 1) * ratio(type) : ratio(type);
   }
-  // An array's estimate, for shortness, is that of its waiting tasks one after the other.
+  // For shortness, an array's estimate is the sum over its waiting tasks.
   const estimateS = (other: PlainJob) => other.estimateS * pendingTasks(other);
   const shortest = Math.min(...waiting.filter((other) => other.shape === 'array').map(estimateS));
-  // A service never ends: it is never the shortest.
+  // A service has no end, so it is never the shortest job.
   const shortestOverOwn =
     job.shape === 'service' ? 0 : estimateS(job) > 0 ? shortest / estimateS(job) : 1;
   const shortness = world.shortnessWeight * shortestOverOwn;
   return aging + deadline + scarcity + shortness + world.priorityWeight * job.level;
 };
 
-/** What one round places and preempts, as "job@machine", in order, and who heads the queue. */
+/** Placements and preemptions of one round as "job@machine", in order, and the queue head. */
 export const plainRound = (
   world: PlainWorld,
 ): { placed: string[]; queueHead: string | null; preempted: string[] } => {
   const jobOf = (id: string) => world.jobs.find((job) => job.id === id)!;
-  const runs = world.attempts.map((run) => ({ ...run }));
-  const pendingTasks = (job: PlainJob) => job.tasks - runs.filter((r) => r.job === job.id).length;
+  const attempts = world.attempts.map((attempt) => ({ ...attempt }));
+  const pendingTasks = (job: PlainJob) =>
+    job.tasks - attempts.filter((r) => r.job === job.id).length;
   const waiting = world.jobs.filter((job) => pendingTasks(job) > 0);
   const scores = new Map(
     waiting.map((job) => [job.id, plainScore(world, job, waiting, pendingTasks)]),
@@ -154,9 +155,9 @@
   if (waiting.length === 0) return { placed: [], queueHead: null, preempted };
   const hasQueuePrecedence = (job: PlainJob) => job.shape === 'service' && job.level === 3;
 
-  const sum = (list: PlainAttempt[], what: 'cpus' | 'gpus' | 'memoryGb') =>
-    list.reduce((total, run) => total + jobOf(run.job)[what], 0);
-  const runsOn = (machine: PlainMachine) => runs.filter((r) => r.machine === machine.id);
+  const sum = (list: PlainAttempt[], resource: 'cpus' | 'gpus' | 'memoryGb') =>
+    list.reduce((total, attempt) => total + jobOf(attempt.job)[resource], 0);
+  const attemptsOn = (machine: PlainMachine) => attempts.filter((r) => r.machine === machine.id);
   const fits = (
     job: PlainJob,
     machine: PlainMachine,
@@ -166,50 +167,51 @@
     machine.gpus - taken.gpus + EPSILON >= job.gpus &&
     machine.memoryGb - taken.memoryGb + EPSILON >= job.memoryGb;
   const used = (machine: PlainMachine) => ({
-    cpus: sum(runsOn(machine), 'cpus'),
-    gpus: sum(runsOn(machine), 'gpus'),
-    memoryGb: sum(runsOn(machine), 'memoryGb'),
+    cpus: sum(attemptsOn(machine), 'cpus'),
+    gpus: sum(attemptsOn(machine), 'gpus'),
+    memoryGb: sum(attemptsOn(machine), 'memoryGb'),
   });
   const tasksWithinQuota = (job: PlainJob) => {
-    const teamRuns = runs.filter((r) => jobOf(r.job).team === job.team);
+    const teamAttempts = attempts.filter((r) => jobOf(r.job).team === job.team);
     const quota = world.quotas[job.team]!;
     const byCpu =
       job.cpus > 0
-        ? Math.floor((quota.cpus - sum(teamRuns, 'cpus') + EPSILON) / job.cpus)
+        ? Math.floor((quota.cpus - sum(teamAttempts, 'cpus') + EPSILON) / job.cpus)
         : Infinity;
     const byGpu =
       job.gpus > 0
-        ? Math.floor((quota.gpus - sum(teamRuns, 'gpus') + EPSILON) / job.gpus)
+        ? Math.floor((quota.gpus - sum(teamAttempts, 'gpus') + EPSILON) / job.gpus)
         : Infinity;
     return Math.max(0, Math.min(byCpu, byGpu));
   };
   const zonesOf = (job: PlainJob) =>
-    runs
+    attempts
       .filter((r) => r.job === job.id)
       .map((r) => world.machines.find((machine) => machine.id === r.machine)!.zone);
 
-  // On-demand machines are reserved for the services that may use no others: what these take and
-  // half as much again, and twice the largest; of each zone in turn, those with replicas first,
-  // then those reserved before.
+  // Reserves on-demand machines for services that may not use spot machines: 1.5 times the CPUs of
+  // all of them plus twice those of the largest. Zones take turns; in each, machines with replicas
+  // come first, then those already reserved.
   const onDemandServices = world.jobs.filter((job) => job.shape === 'service' && !job.allowsSpot);
-  const sizes = onDemandServices.map((job) => job.tasks * job.cpus);
+  const cpusByService = onDemandServices.map((job) => job.tasks * job.cpus);
   let reservedForServices = new Set<PlainMachine>(
     world.machines.filter((machine) => machine.isReservedForServices),
   );
   const onDemand = world.machines.filter((machine) => !machine.spot);
   const hasReplica = (machine: PlainMachine) =>
-    runsOn(machine).some((r) => jobOf(r.job).shape === 'service');
+    attemptsOn(machine).some((r) => jobOf(r.job).shape === 'service');
   const reserveMachines = () => {
     const before = reservedForServices;
     reservedForServices = new Set();
-    // Nothing is reserved against an array that has long waited for its first task.
+    // Nothing is reserved while an array's first task is overdue.
     const hasOverdueFirstTask = arrays.some(
       (job) =>
         pendingTasks(job) === job.tasks &&
         world.now - job.submittedAt >= world.firstTaskAfterS * 1000,
     );
     if (hasOverdueFirstTask) return;
-    let cpusToReserve = 1.5 * sizes.reduce((a, b) => a + b, 0) + 2 * Math.max(0, ...sizes);
+    let cpusToReserve =
+      1.5 * cpusByService.reduce((a, b) => a + b, 0) + 2 * Math.max(0, ...cpusByService);
     const rank = (machine: PlainMachine) => (hasReplica(machine) ? 2 : before.has(machine) ? 1 : 0);
     for (let turn = 0; turn < onDemand.length; turn += 1) {
       for (const z of [...new Set(onDemand.map((machine) => machine.zone))]) {
@@ -224,12 +226,12 @@
   };
   reserveMachines();
 
-  let starving: PlainJob | null = null;
+  let starvingJob: PlainJob | null = null;
   const isFeasible = (job: PlainJob, machine: PlainMachine) =>
     (job.shape === 'service' ||
       !job.allowsSpot ||
       !reservedForServices.has(machine) ||
-      job === starving) &&
+      job === starvingJob) &&
     (job.machineTypes === null || job.machineTypes.includes(machine.type)) &&
     (job.zone === null || job.zone === machine.zone) &&
     (job.allowsSpot || !machine.spot) &&
@@ -245,32 +247,34 @@
     a.gpus === b.gpus && a.cpus === b.cpus && a.memoryGb === b.memoryGb;
 
   const placed: string[] = [];
-  const preemptedRuns: PlainAttempt[] = [];
+  const preemptedAttempts: PlainAttempt[] = [];
   let shadowTime = 0;
-  // What is reserved for the head, and who will have ended, at the shadow time.
+  // The head's reservation, and attempts that will have ended, at the shadow time.
   let headReservation: PlainAttempt[] = [];
-  let endedRuns: PlainAttempt[] = [];
+  let endedAttempts: PlainAttempt[] = [];
   const outlastingShadowTime: PlainAttempt[] = [];
   /**
-   * Its own image, and those that the machine fetches for tasks that this round has just started
-   * there.
+   * Image sizes that the machine fetches before the job's task runs there: its own image and those
+   * of tasks that this round has placed there; 0 if the job already had an attempt there.
    */
   const gbToFetch = (job: PlainJob, machine: PlainMachine) => {
-    const newRuns = runs.slice(world.attempts.length).filter((r) => r.machine === machine.id);
+    const newAttempts = attempts
+      .slice(world.attempts.length)
+      .filter((r) => r.machine === machine.id);
     const formerJobs = world.attempts
-      .filter((run) => run.machine === machine.id)
-      .map((run) => run.job);
+      .filter((attempt) => attempt.machine === machine.id)
+      .map((attempt) => attempt.job);
     if (formerJobs.includes(job.id)) return 0;
     const names = new Set(
-      [...newRuns.map((r) => r.job), job.id].filter((id) => !formerJobs.includes(id)),
+      [...newAttempts.map((r) => r.job), job.id].filter((id) => !formerJobs.includes(id)),
     );
     return [...names].reduce((total, id) => total + jobOf(id).imageGb, 0);
   };
   const placeJob = (job: PlainJob, maxTasks = Infinity) => {
     let placedTasks = 0;
     const count = (machine: PlainMachine) =>
-      runs.filter((r) => r.job === job.id && r.machine === machine.id).length;
-    // A replica would run there in so many seconds.
+      attempts.filter((r) => r.job === job.id && r.machine === machine.id).length;
+    // Delay until a replica would run on each machine.
     const startDelayMs = new Map(
       world.machines.map((machine) => [
         machine.id,
@@ -303,12 +307,12 @@
         )
           return false;
         if (shadowTime === 0 || end <= shadowTime) return true;
-        const before = runs
+        const before = attempts
           .slice(0, world.attempts.length)
-          .filter((r) => r.machine === other.id && !endedRuns.includes(r));
+          .filter((r) => r.machine === other.id && !endedAttempts.includes(r));
         const atShadowTime = [
           ...before,
-          ...runs
+          ...attempts
             .slice(world.attempts.length)
             .filter(
               (r) =>
@@ -317,16 +321,16 @@
             ),
           ...headReservation.filter((r) => r.machine === other.id),
         ];
-        // The head's own fresh starts may have ended by then, too.
-        const remaining = atShadowTime.filter((r) => !endedRuns.includes(r));
+        // The head's own new attempts may have ended by then as well.
+        const remaining = atShadowTime.filter((r) => !endedAttempts.includes(r));
         return fits(job, other, {
           cpus: sum(remaining, 'cpus'),
           gpus: sum(remaining, 'gpus'),
           memoryGb: sum(remaining, 'memoryGb'),
         });
       });
-      // Replicas go where they run soonest, there to one machine after the other, and no third of
-      // them to one.
+      // Replicas go where they run soonest, then where the job has fewest; machines with a third of
+      // its replicas come last.
       if (job.shape === 'service') {
         feasible.sort(
           (a, b) =>
@@ -338,18 +342,18 @@
         );
       }
       const equallyPowerful = feasible.filter((other) => hasEqualPower(other, feasible[0]!));
-      // Among equals one where a task of the job has been, and so its image, comes first.
+      // Among equally powerful machines, one that has the image from an attempt of the job is first.
       const cached = equallyPowerful.find((other) =>
-        runs.some((r) => r.job === job.id && r.machine === other.id),
+        attempts.some((r) => r.job === job.id && r.machine === other.id),
       );
       const machine = job.shape === 'service' ? feasible[0] : (cached ?? equallyPowerful[0]);
       if (!machine) return;
-      const run = { job: job.id, machine: machine.id, elapsedMs: 0, end };
-      runs.push(run);
+      const attempt = { job: job.id, machine: machine.id, elapsedMs: 0, end };
+      attempts.push(attempt);
       placedTasks += 1;
       placed.push(`${job.id}@${machine.id}`);
-      // What started before the head counts at the shadow time, unless it has ended by then.
-      if (shadowTime > 0 ? end > shadowTime : job !== queueHead) outlastingShadowTime.push(run);
+      // Attempts placed before the reservation, or ending after it, count at the shadow time.
+      if (shadowTime > 0 ? end > shadowTime : job !== queueHead) outlastingShadowTime.push(attempt);
     }
   };
 
@@ -365,8 +369,8 @@
         placeJob(job, 1);
     }
   };
-  // Critical services go ahead of the queue; what they miss, they preempt: of lower priority, what
-  // loses least.
+  // Critical services are placed before the queue; for replicas that do not fit, they preempt array
+  // tasks of lower priority where the least run time is lost.
   for (const job of waiting.filter(hasQueuePrecedence)) {
     placeJob(job);
     let missingReplicas = Math.min(pendingTasks(job), tasksWithinQuota(job));
@@ -374,22 +378,24 @@
     for (const machine of byPower) {
       if (!isFeasible(job, machine)) continue;
       const without = (victims: PlainAttempt[]) => {
-        const rest = runsOn(machine).filter((r) => !victims.includes(r));
+        const rest = attemptsOn(machine).filter((r) => !victims.includes(r));
         return {
           cpus: sum(rest, 'cpus'),
           gpus: sum(rest, 'gpus'),
           memoryGb: sum(rest, 'memoryGb'),
         };
       };
-      const stopping = runsOn(machine).filter((r) => preemptedRuns.includes(r));
+      const stopping = attemptsOn(machine).filter((r) => preemptedAttempts.includes(r));
       if (stopping.length > 0 && fits(job, machine, without(stopping))) {
         missingReplicas -= 1;
         continue;
       }
-      const lower = runsOn(machine)
+      const lower = attemptsOn(machine)
         .filter(
           (r) =>
-            !preemptedRuns.includes(r) && jobOf(r.job).shape === 'array' && jobOf(r.job).level < 3,
+            !preemptedAttempts.includes(r) &&
+            jobOf(r.job).shape === 'array' &&
+            jobOf(r.job).level < 3,
         )
         .sort((a, b) => a.elapsedMs - b.elapsedMs);
       const lastVictim = lower.findIndex((_, i) =>
@@ -401,10 +407,10 @@
     }
     options.sort((a, b) => a.loss - b.loss);
     for (const { victims } of options.slice(0, Math.max(0, missingReplicas))) {
-      for (const run of victims) {
-        preemptedRuns.push(run);
-        run.end = world.now + 500;
-        preempted.push(`${run.job}@${run.machine}`);
+      for (const attempt of victims) {
+        preemptedAttempts.push(attempt);
+        attempt.end = world.now + 500;
+        preempted.push(`${attempt.job}@${attempt.machine}`);
       }
     }
   }
@@ -413,19 +419,19 @@
   if (queueHead) placeJob(queueHead);
   let missingTasks = queueHead ? Math.min(pendingTasks(queueHead), tasksWithinQuota(queueHead)) : 0;
   if (queueHead && missingTasks > 0) {
-    const ends = runs
+    const ends = attempts
       .map((r, at) => ({ r, at }))
       .filter(({ r }) => r.end < Infinity)
       .sort((a, b) => a.r.end - b.r.end || a.at - b.at);
     for (const { r } of ends) {
       if (missingTasks <= 0) break;
-      endedRuns = [...endedRuns, r];
+      endedAttempts = [...endedAttempts, r];
       const machine = world.machines.find((other) => other.id === r.machine)!;
       if (!isFeasible(queueHead, machine)) continue;
       for (;;) {
         const remaining = [
-          ...runs.filter((x) => x.machine === machine.id && !endedRuns.includes(x)),
-          ...headReservation.filter((run) => run.machine === machine.id),
+          ...attempts.filter((x) => x.machine === machine.id && !endedAttempts.includes(x)),
+          ...headReservation.filter((attempt) => attempt.machine === machine.id),
         ];
         const taken = {
           cpus: sum(remaining, 'cpus'),
@@ -444,14 +450,13 @@
   }
   placeOverdueFirstTasks(world.firstTaskAfterS);
   for (const job of waiting) if (job !== queueHead && !hasQueuePrecedence(job)) placeJob(job);
-  // After 75 s without anything on a machine a job is starving: nothing is reserved against its
-  // next task.
+  // A job without an attempt for 75 s is starving: its next task may use reserved capacity.
   shadowTime = 0;
   for (const job of waiting) {
     if (pendingTasks(job) < job.tasks || world.now - job.idleSince < 75_000) continue;
-    starving = job;
+    starvingJob = job;
     placeJob(job, 1);
-    starving = null;
+    starvingJob = null;
   }
   return {
     placed,
