--- a/test/model/plain-backfill.ts
+++ b/test/model/plain-backfill.ts
@@ -342,7 +342,7 @@
         );
       }
       const equallyPowerful = feasible.filter((other) => hasEqualPower(other, feasible[0]!));
-      // Among equally powerful machines, one that has the image from an attempt of the job is first.
+      // Among equally powerful machines, one with an attempt of the job, and so its image, wins.
       const cached = equallyPowerful.find((other) =>
         attempts.some((r) => r.job === job.id && r.machine === other.id),
       );
--- a/test/stand-ins/cloud.ts
+++ b/test/stand-ins/cloud.ts
@@ -1,11 +1,11 @@
-/** A stand-in for the cloud, written to the protocol; tasks on its machines run for `taskMs`. */
+/** A stand-in for the cloud that implements its protocol. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { readJson, sendJson } from './http.js';
 import { type TaskEvent, Worker, type WorkerEnvironment } from './worker.js';
 
-/** A provision request, in the protocol's words. */
-interface Hire {
+/** A provision request, in protocol format. */
+interface ProvisionRequest {
   readonly Hire: string;
   readonly Hull: string;
   readonly Yard: string;
@@ -13,7 +13,7 @@
   readonly HowMany: number;
 }
 
-/** The only machine type, in the protocol's words. */
+/** The only machine type, in protocol format. */
 const MACHINE_TYPE = {
   Label: 'c8',
   Cpus: 8,
@@ -27,37 +27,36 @@
   Yards: ['a', 'b'],
 };
 
-/** An HTTP server that provisions workers in this process. */
+/** An HTTP server that provisions machines, whose workers run in this process. */
 export class Cloud implements WorkerEnvironment {
   /** Addresses of the controllers, and their names in the same order. */
   controllerAddresses: string[] = [];
   controllerNames: string[] = [];
-  /** How long tasks run. */
+  /** Default run time of a task. */
   taskMs = 20;
-  /** Takes requests and never answers them. */
+  /** Accepts requests and never answers them. */
   isUnresponsive = false;
-  /** How many requests got no answer, and how many of them the client gave up. */
+  /** Unanswered requests, and those of them whose client closed the connection. */
   unansweredRequests = 0;
   abandonedRequests = 0;
-  /** Answers what is none of the protocol's. */
+  /** Answers with bodies that violate the protocol. */
   sendsMalformedAnswers = false;
   readonly starts: string[] = [];
-  /** All that happened to tasks, in order. */
   readonly taskEvents: TaskEvent[] = [];
-  /** Machines that were returned, in order. */
+  /** Machines that a controller deleted, in order. */
   readonly returnedMachines: string[] = [];
-  /** How far tasks that write checkpoints have come, by their last one. */
+  /** Progress of each task at its last checkpoint. */
   private readonly checkpointedMs = new Map<string, number>();
-  /** The run time of other tasks that was lost. */
+  /** Run time of interrupted tasks that no checkpoint saved. */
   lostRunMs = 0;
   /** Whether a task writes a checkpoint when it is stopped. */
   writesCheckpoints: (task: string) => boolean = () => false;
-  /** Pause between the heartbeats of a worker. */
+  /** Interval between the heartbeats of a worker. */
   heartbeatMs = 60;
-  /** How long a task runs; null: never ends. */
+  /** Run time of a task; null if it never ends. */
   runMsOf: (task: string) => number | null = () => this.taskMs;
   readonly workers = new Map<string, Worker>();
-  /** Machines by provision request; a repeated request provisions nothing new. */
+  /** Machines by provision request; a repeated request returns the same ones. */
   readonly machinesByRequest = new Map<string, string[]>();
   private nextMachine = 0;
   private readonly server: Server;
@@ -68,37 +67,37 @@
     });
   }
 
-  /** What is left to run of a task. */
+  /** Remaining run time of a task; null if it never ends. */
   remainingMsOf(task: string): number | null {
     const runMs = this.runMsOf(task);
     return runMs === null ? null : Math.max(0, runMs - (this.checkpointedMs.get(task) ?? 0));
   }
 
-  /** A task was stopped, or lost with its machine. */
+  /** Counts the run time of a stopped or lost task as saved by a checkpoint or lost. */
   recordInterruption(task: string, ranMs: number, stopped: boolean): void {
-    // A replica has no end that it could be short of.
+    // A replica never ends, so it has no progress to lose.
     if (this.runMsOf(task) === null) return;
     if (stopped && this.writesCheckpoints(task))
       this.checkpointedMs.set(task, (this.checkpointedMs.get(task) ?? 0) + ranMs);
     else this.lostRunMs += ranMs;
   }
 
-  /** Starts to serve; returns the address. */
+  /** Starts the server; returns its address. */
   async listen(): Promise<string> {
     await new Promise<void>((resolve) => this.server.listen(0, '127.0.0.1', resolve));
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** How many connections are open. */
+  /** Counts open connections. */
   countConnections(): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.getConnections((error, count) => (error ? reject(error) : resolve(count)));
     });
   }
 
-  /** Ends the server and all workers. */
+  /** Stops the server and all workers. */
   close(): void {
-    for (const w of this.workers.values()) w.stop();
+    for (const worker of this.workers.values()) worker.stop();
     this.server.closeAllConnections();
     this.server.close();
   }
@@ -117,7 +116,7 @@
       this.deleteMachines((body as { Berths: string[] }).Berths);
       return sendJson(res, 200, {});
     }
-    if (req.method === 'POST') return this.provision(body as Hire, res);
+    if (req.method === 'POST') return this.provision(body as ProvisionRequest, res);
     return sendJson(res, 200, { Berths: this.listMachines(), More: false });
   }
 
@@ -128,19 +127,19 @@
     }
   }
 
-  private provision(hire: Hire, res: ServerResponse): void {
-    const before = this.machinesByRequest.get(hire.Hire);
-    if (before) return sendJson(res, 200, { Berths: before });
-    const free = Math.min(hire.HowMany, this.capacity - this.workers.size);
+  private provision(request: ProvisionRequest, res: ServerResponse): void {
+    const provisioned = this.machinesByRequest.get(request.Hire);
+    if (provisioned) return sendJson(res, 200, { Berths: provisioned });
+    const free = Math.min(request.HowMany, this.capacity - this.workers.size);
     if (free <= 0) return sendJson(res, 503, { error: 'no capacity' });
     const ids: string[] = [];
     for (let i = 0; i < free; i += 1) {
       const id = `n-${String(this.nextMachine++).padStart(6, '0')}`;
-      const machine = { id, type: hire.Hull, zone: hire.Yard, spot: hire.Loaners };
+      const machine = { id, type: request.Hull, zone: request.Yard, spot: request.Loaners };
       this.workers.set(id, new Worker(machine, this));
       ids.push(id);
     }
-    this.machinesByRequest.set(hire.Hire, ids);
+    this.machinesByRequest.set(request.Hire, ids);
     sendJson(res, 200, { Berths: ids });
   }
 
--- a/test/stand-ins/cluster.ts
+++ b/test/stand-ins/cluster.ts
@@ -1,4 +1,4 @@
-/** Controllers in this process, beside stand-ins of cloud and key-value store on loopback. */
+/** Controllers in this process, with stand-ins for cloud and key-value store on loopback. */
 import { createServer, type Server } from 'node:net';
 import pino from 'pino';
 import { DEFAULT_POLICY } from '../../src/adapters/configuration/policy.js';
@@ -13,17 +13,17 @@
 import { KeyValueStoreServer } from './key-value-store.js';
 import { settingsText } from './settings.js';
 
-/** A log that is not kept. */
+/** A log that discards everything. */
 export const log = pino({ level: 'silent' });
-/** What is to end when the test has. */
+/** What `cleanUp` runs after a test. */
 export const cleanups: (() => void)[] = [];
 
-/** Ends what a test has started, the last first. */
+/** Stops what a test has started, in reverse order. */
 export const cleanUp = (): void => {
   for (const clean of cleanups.splice(0).reverse()) clean();
 };
 
-/** Below the ports that the system gives to outgoing connections and to servers on port 0. */
+/** Below the ephemeral ports, which the system assigns to connections and servers on port 0. */
 const PORTS = { first: 10_000, last: 29_999, perProcess: 100 };
 let lastPort = PORTS.first + (process.pid % 200) * PORTS.perProcess;
 
@@ -38,8 +38,8 @@
 };
 
 /**
- * A port on which nothing listens. Processes begin in ranges of their own, and none gives a port
- * twice, so that no other test takes it before it is used.
+ * Returns a port on which nothing listens. Each process starts in a range of its own and returns no
+ * port twice, so that no other test takes it before it is used.
  */
 export const freePort = async (): Promise<number> => {
   do {
@@ -48,38 +48,38 @@
   return lastPort;
 };
 
-/** Waits for something to become true; the test's own time-out is the only clock. */
+/** Polls until the result is truthy; only the test's own time-out limits the wait. */
 export const until = async <T>(
-  what: () => Promise<T | null | false | undefined> | T | null | false | undefined,
+  poll: () => Promise<T | null | false | undefined> | T | null | false | undefined,
 ): Promise<T> => {
   for (;;) {
-    const value = await what();
+    const value = await poll();
     if (value) return value;
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
 };
 
-/** A controller, its API's address, and how to end it. */
+/** A controller, the address of its API, and a function that stops it. */
 export interface ClusterNode {
   address: string;
   controller: Controller;
   stop: () => void;
 }
 
-/** What a test may set about a cluster. */
+/** Options of a cluster. */
 export interface ClusterOptions {
-  /** How many machines the cloud has. */
+  /** Number of machines that the cloud can provision. */
   readonly capacity?: number;
   readonly leaderLeaseMs?: number;
   readonly heartbeatIntervalS?: number;
-  /** A controller, by position, that no peer reaches and that reaches none. */
+  /** Position of a controller that is cut off from its peers. */
   readonly isolatedNode?: number;
-  /** Limits of the key-value store, as the settings name them. */
+  /** Limits of the key-value store, under their names in the settings. */
   readonly storeLimits?: object;
   readonly log?: Log;
 }
 
-/** Addresses of one controller and of what it reaches. */
+/** Addresses of one controller, its peers, the cloud and the key-value store. */
 interface NodeAddresses {
   readonly api: string;
   readonly back: string;
@@ -120,7 +120,7 @@
   return { address: api_addr, controller, stop };
 };
 
-/** Starts controllers beside stand-ins, and waits until all are ready and one leads. */
+/** Starts stand-ins and controllers; waits until all are ready and one leads. */
 export const startCluster = async (count: number, options: ClusterOptions = {}) => {
   const { capacity = 3, isolatedNode = -1 } = options;
   const state = new KeyValueStoreServer();
@@ -128,7 +128,7 @@
   const storeEndpoints = await Promise.all(
     Array.from({ length: count }, () => state.openEndpoint()),
   );
-  const cloudAt = await cloud.listen();
+  const cloudAddress = await cloud.listen();
   cleanups.push(
     () => state.close(),
     () => cloud.close(),
@@ -137,9 +137,9 @@
   for (let i = 0; i < count; i += 1) ports.push({ api: await freePort(), back: await freePort() });
   cloud.controllerAddresses = ports.map((p) => `127.0.0.1:${p.api}`);
   cloud.controllerNames = ports.map((_, i) => `node-${i}`);
-  const nowhere = await freePort();
+  const unusedPort = await freePort();
   const endpointOf = (i: number, j: number) =>
-    `127.0.0.1:${i === isolatedNode || j === isolatedNode ? nowhere : ports[j]!.back}`;
+    `127.0.0.1:${i === isolatedNode || j === isolatedNode ? unusedPort : ports[j]!.back}`;
   const start = (i: number): ClusterNode => {
     const seeds = ports.flatMap((_, j) =>
       j === i ? [] : [{ node: `node-${j}`, zone: 'a', endpoint: endpointOf(i, j) }],
@@ -149,7 +149,7 @@
       api: `127.0.0.1:${api}`,
       back: `127.0.0.1:${back}`,
       seeds,
-      outside: { cloud: cloudAt, state: storeEndpoints[i]!.address },
+      outside: { cloud: cloudAddress, state: storeEndpoints[i]!.address },
     };
     return startNode(i, addresses, options);
   };
@@ -162,8 +162,8 @@
   return { state, cloud, nodes, storeEndpoints, start };
 };
 
-/** A job to submit, in the protocol's words. */
-export const jobBody = (id: string, change: object = {}) => ({
+/** The body of a job submission, in protocol format. */
+export const jobBody = (id: string, overrides: object = {}) => ({
   Ref: id,
   Lane: 'any',
   Crew: 'blue',
@@ -184,12 +184,12 @@
   BookmarkS: 0,
   StowS: 0,
   DueS: null,
-  ...change,
+  ...overrides,
 });
 
-/** What a controller tells of a job. */
-export const getJob = async (at: string, id: string) =>
-  (await requestJson(at, `/api/jobs/${id}`, undefined, 'GET')) as {
+/** Requests a job from a controller; null if there was no response. */
+export const getJob = async (address: string, id: string) =>
+  (await requestJson(address, `/api/jobs/${id}`, undefined, 'GET')) as {
     status: number;
     body: Record<string, unknown>;
   } | null;
--- a/test/stand-ins/http.ts
+++ b/test/stand-ins/http.ts
@@ -1,14 +1,14 @@
-/** Requests and answers in JSON, for the stand-ins and for tests that ask controllers. */
+/** Requests and responses in JSON, for the stand-ins and for tests that call controllers. */
 import { type IncomingMessage, request, type ServerResponse } from 'node:http';
 
-/** The body of a request; null where it is empty. */
+/** Reads the body of a request; returns null if it is empty. */
 export const readJson = async (req: IncomingMessage): Promise<unknown> => {
   let text = '';
   for await (const part of req) text += part;
   return text === '' ? null : JSON.parse(text);
 };
 
-/** Answers a request. */
+/** Sends a response. */
 export const sendJson = (res: ServerResponse, status: number, body: unknown): void => {
   const text = JSON.stringify(body);
   res
@@ -19,15 +19,15 @@
     .end(text);
 };
 
-/** Sends a request; null when no answer came. A body that is text goes as it is. */
+/** Sends a request; resolves to null on a connection error. A string body is sent unchanged. */
 export const requestJson = (
-  at: string,
+  address: string,
   path: string,
   body: unknown,
   method = 'POST',
 ): Promise<{ status: number; body: unknown; headers: IncomingMessage['headers'] } | null> =>
   new Promise((resolve) => {
-    const [host, port] = at.split(':');
+    const [host, port] = address.split(':');
     const text = typeof body === 'string' ? body : body === undefined ? '' : JSON.stringify(body);
     const headers = {
       'content-type': 'application/json',
@@ -36,13 +36,13 @@
     const req = request(
       { host, port: Number(port), path, method, headers, agent: false },
       async (res) => {
-        let answer = '';
-        for await (const part of res) answer += part;
+        let responseText = '';
+        for await (const part of res) responseText += part;
         let json: unknown = null;
         try {
-          json = JSON.parse(answer);
+          json = JSON.parse(responseText);
         } catch {
-          json = answer;
+          json = responseText;
         }
         resolve({ status: res.statusCode ?? 0, body: json, headers: res.headers });
       },
--- a/test/stand-ins/key-value-store.ts
+++ b/test/stand-ins/key-value-store.ts
@@ -1,12 +1,12 @@
 /**
- * A stand-in for the key-value store, written to the protocol: keys, guarded transactions, leases
- * and watches, with outages, limits, lost answers and late transactions on request.
+ * A stand-in for the key-value store that implements its protocol: keys, guarded transactions,
+ * leases and watches. Tests inject outages, limits, lost answers and delayed transactions.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { readJson, sendJson } from './http.js';
 
-/** What is stored under a key. */
+/** The entry of a key. */
 interface Entry {
   readonly value: unknown;
   readonly revision: number;
@@ -21,8 +21,8 @@
   readonly deleted: boolean;
 }
 
-/** A transaction, in the protocol's words. */
-interface Multi {
+/** A transaction, in protocol format. */
+interface Transaction {
   readonly Guards?: readonly { readonly Path: string; readonly Stamp: number }[];
   readonly Apply?: readonly {
     readonly Write?: string;
@@ -37,45 +37,42 @@
   readonly body: unknown;
 }
 
-/** How soon the connection is cut of a transaction that is carried out late. */
-const CUT_AFTER_MS = 20;
-/** The largest page of a list. */
+/** How long after a request that is executed late its connection is closed. */
+const DISCONNECT_AFTER_MS = 20;
+/** Maximum number of items on a page of a list. */
 const PAGE_SIZE = 1000;
 
-/** An HTTP server with one store, at several addresses. */
+/** One store behind one or more HTTP servers. */
 export class KeyValueStoreServer {
   revision = 0;
   readonly keys = new Map<string, Entry>();
   private readonly leases = new Map<number, { lifeMs: number; timer: NodeJS.Timeout }>();
   private nextLease = 1;
   private readonly changes: Change[] = [];
-  private waiting: (() => void)[] = [];
-  /** Answers 503 to everything, as in an outage. */
+  private pendingWatches: (() => void)[] = [];
+  /** Answers 503 to every request, as in an outage. */
   isDown = false;
-  /** Answers 429 to reads and transactions, as at its request limit; leases are renewed. */
+  /** Answers 429 to reads and transactions, as at its request limit; still serves leases. */
   isRateLimited = false;
-  /** Carries the next transactions out but never answers them. */
+  /** Number of next transactions that are executed but not answered. */
   answersToLose = 0;
-  /** Drops the next transactions without carrying them out. */
+  /** Number of next transactions that are dropped unexecuted. */
   requestsToDrop = 0;
-  /** Of every so many transactions one is carried out at once and its answer is lost; 0: none. */
+  /** Every n-th transaction is executed at once, and its answer is lost; 0: none. */
   loseAnswerEvery = 0;
-  /**
-   * Of every so many transactions one gets no answer and is carried out `lateMs` later, after newer
-   * ones; 0: none.
-   */
+  /** Every n-th transaction is executed `delayMs` later, after newer ones, unanswered; 0: none. */
   delayEvery = 0;
   delayMs = 400;
-  /** How many such transactions there were, and how many of the late ones were still carried out. */
+  /** Numbers of transactions with a lost answer, of delayed ones, and of those then committed. */
   lostAnswers = 0;
   delayedTransactions = 0;
   delayedCommits = 0;
   transactionCount = 0;
-  /** Enforced at each transaction; may be lowered at any time. */
+  /** Checked at each transaction; may be lowered at any time. */
   limits = { valueBytes: 65_536, txnOps: 1000, writeRps: Number.POSITIVE_INFINITY };
-  /** Transactions that were refused with 400, as they came. */
+  /** Transactions that were rejected with 400 for their size, as JSON. */
   readonly rejectedTransactions: string[] = [];
-  /** Transactions that were refused with 429. */
+  /** Number of transactions that were rejected with 429. */
   rateLimitedCount = 0;
   private tokens = { left: Number.POSITIVE_INFINITY, at: Date.now() };
   private readonly endpointServers: Server[] = [];
@@ -87,13 +84,13 @@
     });
   }
 
-  /** Starts to serve; returns the address. */
+  /** Starts the server; returns its address. */
   async listen(): Promise<string> {
     await new Promise<void>((resolve) => this.server.listen(0, '127.0.0.1', resolve));
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Another address of the same service, which can be made to answer 503 by itself. */
+  /** Opens another address of the store; with `isDown` it alone answers 503. */
   async openEndpoint(): Promise<{ address: string; isDown: boolean }> {
     const endpoint = { address: '', isDown: false };
     const server = createServer((req, res) => {
@@ -106,7 +103,7 @@
     return endpoint;
   }
 
-  /** Ends the server and all leases. */
+  /** Stops all servers and lease timers. */
   close(): void {
     for (const server of this.endpointServers) {
       server.closeAllConnections();
@@ -122,9 +119,9 @@
   }
 
   private wakeWatches(): void {
-    const waiting = this.waiting;
-    this.waiting = [];
-    for (const resolve of waiting) resolve();
+    const pending = this.pendingWatches;
+    this.pendingWatches = [];
+    for (const resolve of pending) resolve();
   }
 
   private endLease(lease: number): void {
@@ -142,13 +139,13 @@
   }
 
   private renewLease(lease: number, lifeMs: number): void {
-    const old = this.leases.get(lease);
-    if (old) clearTimeout(old.timer);
+    const renewed = this.leases.get(lease);
+    if (renewed) clearTimeout(renewed.timer);
     this.leases.set(lease, { lifeMs, timer: setTimeout(() => this.endLease(lease), lifeMs) });
   }
 
-  /** The fault of a transaction that is larger than the limits, or null. */
-  private sizeFault(body: Multi): string | null {
+  /** Returns why a transaction exceeds the size limits, or null. */
+  private findSizeFault(body: Transaction): string | null {
     const { valueBytes, txnOps } = this.limits;
     const apply = body.Apply ?? [];
     if (apply.length > txnOps) return `${apply.length} changes`;
@@ -157,7 +154,7 @@
     return large ? `value of ${large.Write} too large` : null;
   }
 
-  /** Takes tokens for mutations, from a bucket of one second's worth; false: too few are left. */
+  /** Takes a token per mutation from a bucket that holds one second's worth; false if too few. */
   private takeTokens(changes: number): boolean {
     const { writeRps } = this.limits;
     const now = Date.now();
@@ -171,8 +168,8 @@
     return true;
   }
 
-  /** Carries out a transaction, unless a guard fails or a lease of it has ended. */
-  commit(body: Multi): Answer {
+  /** Executes a transaction, unless a guard fails or a lease that it names has ended. */
+  commit(body: Transaction): Answer {
     const failed = (body.Guards ?? []).filter(
       (g) => (this.keys.get(g.Path)?.revision ?? 0) !== g.Stamp,
     );
@@ -202,7 +199,7 @@
     if (this.isRateLimited && (pathname.startsWith('/kv') || pathname === '/multi'))
       return sendJson(res, 429, { error: 'too many' });
     const [, resource, ...rest] = pathname.split('/');
-    if (pathname === '/multi') return this.serveTransaction(req, res, body as Multi);
+    if (pathname === '/multi') return this.serveTransaction(req, res, body as Transaction);
     if (pathname === '/kv') return this.serveList(url, res);
     if (resource === 'kv') return this.serveKey(rest.join('/'), res);
     if (resource === 'holds') return this.serveLease(req, res, rest[0], body);
@@ -210,14 +207,14 @@
     return sendJson(res, 404, {});
   }
 
-  private serveTransaction(req: IncomingMessage, res: ServerResponse, body: Multi): void {
+  private serveTransaction(req: IncomingMessage, res: ServerResponse, body: Transaction): void {
     this.transactionCount += 1;
     if (this.requestsToDrop > 0) {
       this.requestsToDrop -= 1;
       req.socket.destroy();
       return;
     }
-    const fault = this.sizeFault(body);
+    const fault = this.findSizeFault(body);
     if (fault) {
       this.rejectedTransactions.push(JSON.stringify(body));
       return sendJson(res, 400, { error: fault });
@@ -231,7 +228,7 @@
       setTimeout(() => {
         if (this.commit(body).status === 200) this.delayedCommits += 1;
       }, this.delayMs);
-      setTimeout(() => req.socket.destroy(), CUT_AFTER_MS);
+      setTimeout(() => req.socket.destroy(), DISCONNECT_AFTER_MS);
       return;
     }
     const answer = this.commit(body);
@@ -286,7 +283,7 @@
     sendJson(res, 200, { Hold: lease });
   }
 
-  /** Answers once there are changes, or when the time that the client gave is over. */
+  /** Answers once there are changes, or after `HoldMs`. */
   private async serveWatch(url: URL, res: ServerResponse): Promise<void> {
     const under = url.searchParams.get('Under') ?? '';
     const since = Number(url.searchParams.get('Since') ?? 0);
@@ -300,7 +297,7 @@
         return sendJson(res, 200, { Epoch: this.revision, News });
       }
       await new Promise<void>((resolve) => {
-        this.waiting.push(resolve);
+        this.pendingWatches.push(resolve);
         setTimeout(resolve, Math.max(1, until - Date.now()));
       });
       if (res.destroyed) return;
--- a/test/stand-ins/processes.ts
+++ b/test/stand-ins/processes.ts
@@ -1,6 +1,6 @@
 /**
- * Controllers as processes of their own, from the bundle that is deployed, beside stand-ins of cloud
- * and key-value store.
+ * Controllers as child processes that run the deployed bundle, with stand-ins for the cloud and
+ * key-value store.
  */
 import { type ChildProcess, execFile, spawn } from 'node:child_process';
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
@@ -15,7 +15,7 @@
 
 const execute = promisify(execFile);
 
-/** Writes the bundle to a directory of its own; the caller removes it. */
+/** Writes the bundle to a new directory, which the caller removes. */
 export const buildProgram = async (): Promise<{
   directory: string;
   remove: () => Promise<void>;
@@ -26,14 +26,14 @@
   return { directory, remove: () => rm(directory, { recursive: true, force: true }) };
 };
 
-/** What a command has written, and its exit code. */
+/** The output and exit code of a command. */
 export interface CommandResult {
   readonly code: number;
   readonly out: string;
   readonly error: string;
 }
 
-/** Runs a command of the program to its end. */
+/** Runs a command of the bundled program and waits for its exit. */
 export const runCommand = async (
   directory: string,
   args: readonly string[],
@@ -53,14 +53,14 @@
   return { code, out, error };
 };
 
-/** A controller's process, which a restart replaces. */
+/** A controller; a restart replaces its `child`. */
 export interface ControllerProcess {
   readonly node: string;
   readonly api: string;
   child: ChildProcess;
 }
 
-/** Several controllers as processes; `args` are added to each `serve`. */
+/** Starts controllers with `serve` and `args`; waits until all are ready and one leads. */
 export const startProcesses = async (
   directory: string,
   count: number,
@@ -120,7 +120,7 @@
     return processes.find(({ node }) => node === data?.node) ?? null;
   };
   await until(leader);
-  /** Ends a process with no signal that it could see, and starts it again. */
+  /** Kills a process with SIGKILL, which it cannot handle, and starts it again. */
   const killAndRestart = async (which: ControllerProcess): Promise<void> => {
     which.child.kill('SIGKILL');
     which.child = await spawnNode(processes.indexOf(which));
--- a/test/stand-ins/recorder.ts
+++ b/test/stand-ins/recorder.ts
@@ -1,6 +1,6 @@
 /**
- * Users that ask at all nodes and compare what they are told: no answer may be older than one that
- * was there before the question.
+ * Users that query all nodes and check that reads are monotonic: no answer may be older than one
+ * that was received before the request was sent.
  */
 
 import { jobBody } from './cluster.js';
@@ -8,98 +8,99 @@
 
 const RANK: Record<string, number> = { absent: 0, queued: 1, running: 1, done: 2, withdrawn: 2 };
 
-/** Asks about jobs, and keeps the newest answer of each. */
+/** Queries jobs and keeps the newest status of each. */
 export class Recorder {
   readonly problems: string[] = [];
   answerCount = 0;
-  /** Answers by what was said. */
+  /** Number of answers by status. */
   readonly answersByStatus: Record<string, number> = {};
-  /** The newest that was told of each job. */
-  private readonly newest = new Map<string, string>();
+  /** The newest known status of each job. */
+  private readonly newestStatus = new Map<string, string>();
 
   constructor(private readonly nodes: () => readonly string[]) {}
 
-  private note(
+  private recordStatus(
     id: string,
-    at: string,
+    address: string,
     before: string | undefined,
-    told: string,
-    asked: string,
+    status: string,
+    operation: string,
   ): void {
     this.answerCount += 1;
-    this.answersByStatus[told] = (this.answersByStatus[told] ?? 0) + 1;
-    const rank = RANK[told] ?? 0;
+    this.answersByStatus[status] = (this.answersByStatus[status] ?? 0) + 1;
+    const rank = RANK[status] ?? 0;
     if (before !== undefined) {
-      const older = rank < (RANK[before] ?? 0);
-      const other = RANK[before] === 2 && told !== before;
-      if (older || other)
-        this.problems.push(`${id} at ${at}: ${asked} got ${told} after ${before}`);
+      const isOlder = rank < (RANK[before] ?? 0);
+      const hasOtherOutcome = RANK[before] === 2 && status !== before;
+      if (isOlder || hasOtherOutcome)
+        this.problems.push(`${id} at ${address}: ${operation} got ${status} after ${before}`);
     }
-    const known = this.newest.get(id);
-    if (known === undefined || rank > (RANK[known] ?? 0)) this.newest.set(id, told);
+    const known = this.newestStatus.get(id);
+    if (known === undefined || rank > (RANK[known] ?? 0)) this.newestStatus.set(id, status);
   }
 
-  private async ask(
+  private async send(
     id: string,
-    at: string,
+    address: string,
     path: string,
-    sent: unknown,
+    requestBody: unknown,
     method = 'POST',
   ): Promise<string | null> {
-    const before = this.newest.get(id);
-    const reply = await requestJson(at, path, sent, method);
+    const before = this.newestStatus.get(id);
+    const reply = await requestJson(address, path, requestBody, method);
     if (!reply || ![200, 201, 404].includes(reply.status)) {
-      // Whoever has been told that the job is accepted is never told that it can't be.
+      // Once a user knows that a job was accepted, no node may reject it as invalid.
       if (
         reply &&
         (reply.status === 400 || reply.status === 422) &&
         before !== undefined &&
         before !== 'absent'
       )
-        this.problems.push(`${id} at ${at}: ${reply.status} after ${before}`);
+        this.problems.push(`${id} at ${address}: ${reply.status} after ${before}`);
       return null;
     }
-    const told =
+    const status =
       reply.status === 404 ? 'absent' : String((reply.body as { Status?: unknown }).Status);
-    this.note(id, at, before, told, path.endsWith('abort') ? 'cancel' : method);
-    return told;
+    this.recordStatus(id, address, before, status, path.endsWith('abort') ? 'cancel' : method);
+    return status;
   }
 
-  /** Asks for a job's state. */
-  lookUp(id: string, at: string) {
-    return this.ask(id, at, `/api/jobs/${id}`, undefined, 'GET');
+  /** Requests a job's status. */
+  lookUp(id: string, address: string) {
+    return this.send(id, address, `/api/jobs/${id}`, undefined, 'GET');
   }
 
-  /** Submits a job, or repeats it. */
-  submit(id: string, at: string, change: object = {}) {
-    return this.ask(id, at, '/api/jobs', jobBody(id, change));
+  /** Submits a job, or repeats its submission. */
+  submit(id: string, address: string, overrides: object = {}) {
+    return this.send(id, address, '/api/jobs', jobBody(id, overrides));
   }
 
   /** Cancels a job. */
-  cancel(id: string, at: string) {
-    return this.ask(id, at, `/api/jobs/${id}/abort`, {});
+  cancel(id: string, address: string) {
+    return this.send(id, address, `/api/jobs/${id}/abort`, {});
   }
 
-  /** Until a node takes it, as users do. */
-  async retryUntilAnswered(what: (at: string) => Promise<string | null>): Promise<string> {
+  /** Tries one node after the other until one answers, as users do. */
+  async retryUntilAnswered(attempt: (address: string) => Promise<string | null>): Promise<string> {
     for (let i = 0; ; i += 1) {
       const nodes = this.nodes();
-      const told = await what(nodes[i % nodes.length]!);
-      if (told !== null) return told;
+      const status = await attempt(nodes[i % nodes.length]!);
+      if (status !== null) return status;
       await new Promise((resolve) => setTimeout(resolve, 30));
     }
   }
 
-  /** At all nodes at once, a few times within milliseconds, with repeats of the submission. */
+  /** Queries all nodes at once, `times` times within milliseconds, and repeats the submission. */
   async queryAllNodes(id: string, times = 3): Promise<void> {
-    const asked: Promise<unknown>[] = [];
+    const requests: Promise<unknown>[] = [];
     for (let i = 0; i < times; i += 1) {
-      for (const at of this.nodes()) {
-        asked.push(this.lookUp(id, at));
-        if (i === 1 && this.newest.get(id) !== undefined) asked.push(this.submit(id, at));
+      for (const address of this.nodes()) {
+        requests.push(this.lookUp(id, address));
+        if (i === 1 && this.newestStatus.get(id) !== undefined)
+          requests.push(this.submit(id, address));
       }
       await new Promise((resolve) => setTimeout(resolve, 3));
     }
-    await Promise.all(asked);
+    await Promise.all(requests);
   }
 }
--- a/test/stand-ins/recording-server.ts
+++ b/test/stand-ins/recording-server.ts
@@ -1,9 +1,9 @@
-/** An HTTP server that keeps what it is sent, the body byte for byte, and answers as it is told. */
+/** An HTTP server that records requests, bodies byte for byte, and sends the given answers. */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { cleanups } from './cluster.js';
 
-/** A request as it came. */
+/** A request as it was received. */
 export interface RecordedRequest {
   readonly method: string;
   readonly path: string;
@@ -11,23 +11,23 @@
   readonly body: string;
 }
 
-/** Starts the server; it ends with the test. */
+/** Starts the server, which `cleanUp` stops; `answer` returns status and body. */
 export const startRecordingServer = async (
-  answer: (sent: RecordedRequest) => readonly [number, unknown],
+  answer: (received: RecordedRequest) => readonly [number, unknown],
 ) => {
   const sent: RecordedRequest[] = [];
   const server = createServer(async (req, res) => {
     let body = '';
     for await (const part of req) body += part;
-    const one = {
+    const received = {
       method: req.method ?? '',
       path: req.url ?? '',
       contentType: req.headers['content-type'] ?? null,
       body,
     };
-    sent.push(one);
-    const [status, told] = answer(one);
-    res.writeHead(status, { 'content-type': 'application/json' }).end(JSON.stringify(told));
+    sent.push(received);
+    const [status, responseBody] = answer(received);
+    res.writeHead(status, { 'content-type': 'application/json' }).end(JSON.stringify(responseBody));
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   cleanups.push(
--- a/test/stand-ins/settings.ts
+++ b/test/stand-ins/settings.ts
@@ -1,5 +1,5 @@
-/** Settings as the platform writes them, for three nodes on loopback. */
-export const settingsText = (change: Record<string, unknown> = {}): string =>
+/** The text of a settings file as the platform writes it, for three nodes on loopback. */
+export const settingsText = (overrides: Record<string, unknown> = {}): string =>
   JSON.stringify({
     node: 'node-0',
     zone: 'a',
@@ -22,5 +22,5 @@
       quota: { cores: 0.5, mem_mb: 178, max_connections: 500 },
       clock_off_ms: 25,
     },
-    ...change,
+    ...overrides,
   });
--- a/test/stand-ins/worker.ts
+++ b/test/stand-ins/worker.ts
@@ -1,29 +1,29 @@
-/** A stand-in for a machine's worker, written to the protocol: reports, obeys, and runs tasks. */
+/** A stand-in for a machine's worker: sends heartbeats, executes commands and runs tasks. */
 import { requestJson } from './http.js';
 
-/** The pause before the first heartbeat, and before the next after one without an answer. */
+/** Delay of the first heartbeat, and of a heartbeat after one without a reply. */
 const FIRST_HEARTBEAT_MS = 10;
 const RETRY_MS = 30;
 
-/** A task as the worker reports it, in the protocol's words. */
-interface Piece {
+/** A task in a heartbeat, in protocol format. */
+interface TaskReport {
   readonly Piece: string;
   readonly Try: number;
   Status: 'running' | 'ended';
   Cause?: string;
 }
 
-/** What has happened to a task on a machine, by the machine's own word. */
+/** An event of a task, as its machine observed it; `at` is in milliseconds. */
 export interface TaskEvent {
   readonly at: number;
-  /** `lost`: its machine was returned with it; `crashed`: its machine died. */
+  /** `lost`: its machine was returned while it ran; `crashed`: its machine crashed. */
   readonly kind: 'start' | 'stop' | 'done' | 'lost' | 'crashed';
   readonly task: string;
   readonly machine: string;
 }
 
-/** The answer to a heartbeat, in the protocol's words. */
-interface Reply {
+/** The reply to a heartbeat, in protocol format. */
+interface HeartbeatReply {
   readonly Baton: number;
   readonly Orders: readonly {
     readonly Verb: string;
@@ -32,23 +32,23 @@
   }[];
 }
 
-/** Where a worker finds controllers, and where it tells what happened to its tasks. */
+/** The controllers that a worker reports to, and the record of its tasks. */
 export interface WorkerEnvironment {
   /** Addresses of the controllers, and their names in the same order. */
   readonly controllerAddresses: readonly string[];
   readonly controllerNames: readonly string[];
   readonly heartbeatMs: number;
-  /** Starts, as `task#attempt`. */
+  /** Started attempts, as `task#attempt`. */
   readonly starts: string[];
   readonly taskEvents: TaskEvent[];
-  /** What is left to run of a task, in milliseconds; null: it never ends. */
+  /** Remaining run time of a task, in milliseconds; null if it never ends. */
   remainingMsOf(task: string): number | null;
-  /** A task was stopped, or lost with its machine. */
+  /** Called when a task was `stopped`, or else lost with its machine. */
   recordInterruption(task: string, ranMs: number, stopped: boolean): void;
 }
 
-/** What a worker is told to do, in the protocol's words. */
-type Order = Reply['Orders'][number];
+/** A command to a worker, in protocol format. */
+type Command = HeartbeatReply['Orders'][number];
 
 /** The machine that a worker runs on. */
 export interface WorkerMachine {
@@ -58,26 +58,26 @@
   readonly spot: boolean;
 }
 
-/** Reports from its creation on, until its machine dies or is returned. */
+/** Sends heartbeats from its creation until its machine crashes or is returned. */
 export class Worker {
   private sequence = 0;
   private fencingToken = 0;
-  /** Which of the controllers it reports to. */
-  private at = 0;
-  private readonly tasks = new Map<string, Piece>();
+  /** Position of the controller that gets the heartbeats. */
+  private controllerIndex = 0;
+  private readonly tasks = new Map<string, TaskReport>();
   private timer: NodeJS.Timeout | null = null;
-  private isGone = false;
+  private isEnded = false;
   private readonly startedAt = new Map<string, number>();
 
   constructor(
     readonly machine: WorkerMachine,
-    private readonly surroundings: WorkerEnvironment,
+    private readonly environment: WorkerEnvironment,
   ) {
     this.schedule(FIRST_HEARTBEAT_MS);
   }
 
   private recordEvent(kind: TaskEvent['kind'], task: string): void {
-    const { taskEvents: history } = this.surroundings;
+    const { taskEvents: history } = this.environment;
     history.push({ at: Date.now(), kind, task, machine: this.machine.id });
   }
 
@@ -85,28 +85,28 @@
     return Date.now() - (this.startedAt.get(task) ?? Date.now());
   }
 
-  /** The machine dies, with all that runs on it; the cloud lists it until it is deleted. */
+  /** Crashes the machine with its tasks; the cloud lists it until it is deleted. */
   crash(): void {
     this.end('crashed');
   }
 
-  /** The machine is returned. */
+  /** Ends the worker of a returned machine. */
   stop(): void {
     this.end('lost');
   }
 
   private end(kind: 'lost' | 'crashed'): void {
-    if (this.isGone) return;
+    if (this.isEnded) return;
     for (const task of this.running()) {
       this.recordEvent(kind, task);
-      this.surroundings.recordInterruption(task, this.ranMs(task), false);
+      this.environment.recordInterruption(task, this.ranMs(task), false);
     }
-    this.isGone = true;
+    this.isEnded = true;
     if (this.timer) clearTimeout(this.timer);
   }
 
   private schedule(ms: number): void {
-    if (this.isGone) return;
+    if (this.isEnded) return;
     if (this.timer) clearTimeout(this.timer);
     this.timer = setTimeout(() => void this.sendHeartbeat(), ms);
   }
@@ -129,59 +129,63 @@
   }
 
   private async sendHeartbeat(): Promise<void> {
-    const { controllerAddresses: nodes, controllerNames: names, heartbeatMs } = this.surroundings;
-    const reply = await requestJson(nodes[this.at % nodes.length]!, '/checkin', this.heartbeat());
+    const { controllerAddresses, controllerNames, heartbeatMs } = this.environment;
+    const reply = await requestJson(
+      controllerAddresses[this.controllerIndex % controllerAddresses.length]!,
+      '/checkin',
+      this.heartbeat(),
+    );
     if (reply?.status === 200) {
-      this.obey(reply.body as Reply);
+      this.execute(reply.body as HeartbeatReply);
       this.schedule(heartbeatMs);
       return;
     }
     const leader = (reply?.body as { Foreman?: string } | null)?.Foreman;
-    const named = names.indexOf(leader ?? '');
-    this.at = named >= 0 ? named : this.at + 1;
+    const leaderIndex = controllerNames.indexOf(leader ?? '');
+    this.controllerIndex = leaderIndex >= 0 ? leaderIndex : this.controllerIndex + 1;
     this.schedule(RETRY_MS);
   }
 
-  private obey(reply: Reply): void {
+  private execute(reply: HeartbeatReply): void {
     if (reply.Baton < this.fencingToken) return;
     this.fencingToken = reply.Baton;
-    for (const order of reply.Orders) {
-      const held = this.tasks.get(order.Piece);
-      const isHeld = held?.Try === order.Try;
-      if (order.Verb === 'start') {
-        if (!isHeld) this.start(order);
-      } else if (order.Verb === 'kill') {
+    for (const command of reply.Orders) {
+      const held = this.tasks.get(command.Piece);
+      const isHeld = held?.Try === command.Try;
+      if (command.Verb === 'start') {
+        if (!isHeld) this.start(command);
+      } else if (command.Verb === 'kill') {
         if (held && isHeld && held.Status !== 'ended') this.kill(held);
-      } else if (order.Verb === 'reap' && isHeld && held?.Status === 'ended')
-        this.tasks.delete(order.Piece);
+      } else if (command.Verb === 'reap' && isHeld && held?.Status === 'ended')
+        this.tasks.delete(command.Piece);
     }
   }
 
-  private start({ Piece: name, Try: attempt }: Order): void {
-    const { starts } = this.surroundings;
-    const task: Piece = { Piece: name, Try: attempt, Status: 'running' };
+  private start({ Piece: name, Try: attempt }: Command): void {
+    const { starts } = this.environment;
+    const task: TaskReport = { Piece: name, Try: attempt, Status: 'running' };
     this.tasks.set(name, task);
     starts.push(`${name}#${attempt}`);
     this.recordEvent('start', name);
-    const runMs = this.surroundings.remainingMsOf(name);
+    const runMs = this.environment.remainingMsOf(name);
     this.startedAt.set(name, Date.now());
     if (runMs === null) return;
     setTimeout(() => {
-      if (task.Status === 'ended' || this.isGone) return;
+      if (task.Status === 'ended' || this.isEnded) return;
       this.recordEvent('done', name);
       task.Status = 'ended';
       task.Cause = 'done';
     }, runMs);
   }
 
-  private kill(task: Piece): void {
+  private kill(task: TaskReport): void {
     this.recordEvent('stop', task.Piece);
-    this.surroundings.recordInterruption(task.Piece, this.ranMs(task.Piece), true);
+    this.environment.recordInterruption(task.Piece, this.ranMs(task.Piece), true);
     task.Status = 'ended';
     task.Cause = 'halted';
   }
 
-  /** Tasks that run. */
+  /** Names of the running tasks. */
   running(): string[] {
     return [...this.tasks.values()].filter((t) => t.Status === 'running').map((t) => t.Piece);
   }
