--- a/test/stand-ins/recorder.ts
+++ b/test/stand-ins/recorder.ts
@@ -65,7 +65,6 @@
     return status;
   }
 
-  /** Requests a job's status. */
   lookUp(id: string, address: string) {
     return this.send(id, address, `/api/jobs/${id}`, undefined, 'GET');
   }
@@ -75,7 +74,6 @@
     return this.send(id, address, '/api/jobs', jobBody(id, overrides));
   }
 
-  /** Cancels a job. */
   cancel(id: string, address: string) {
     return this.send(id, address, `/api/jobs/${id}/abort`, {});
   }
--- a/test/support/builders.ts
+++ b/test/support/builders.ts
@@ -1,4 +1,4 @@
-/** Small builders of core records for the tests; a name that a record does not have is refused. */
+/** Builders of core records with default fields; they throw on a field that a record lacks. */
 import { DEFAULT_POLICY } from '../../src/adapters/configuration/policy.js';
 import { type CoreConfig, type CoreState, createCore } from '../../src/core/core-state.js';
 import type { Heartbeat, TaskStatus } from '../../src/core/model/heartbeat.js';
@@ -21,31 +21,31 @@
 import type { Team } from '../../src/core/model/team.js';
 import type { Instant, Millis } from '../../src/core/model/time.js';
 
-/** As a test writes a value: plain strings and numbers stand for branded ones. */
-type Plain<V> =
+/** A value as a test writes it: plain strings and numbers instead of branded ones. */
+type Unbranded<V> =
   V extends Branded<string, string>
     ? string
     : V extends Branded<number, string>
       ? number
       : V extends readonly (infer E)[]
-        ? readonly Plain<E>[]
+        ? readonly Unbranded<E>[]
         : V;
 
-type Change<T> = { readonly [K in keyof T]?: Plain<T[K]> };
+type Overrides<T> = { readonly [K in keyof T]?: Unbranded<T[K]> };
 
 /** Fields of a job that a test sets. */
-export type JobOverrides = Change<JobSpec>;
+export type JobOverrides = Overrides<JobSpec>;
 
-/** The default with some fields replaced; a name that it does not have is a mistake in the test. */
-const override = <T extends object>(base: T, change: Partial<Record<keyof T, unknown>>): T => {
-  for (const name of Object.keys(change)) {
+/** Returns `base` with some fields replaced; throws if `base` has no field of a name. */
+const override = <T extends object>(base: T, overrides: Partial<Record<keyof T, unknown>>): T => {
+  for (const name of Object.keys(overrides)) {
     if (!Object.hasOwn(base, name)) throw new Error(`no field named ${name}`);
   }
-  return { ...base, ...change };
+  return { ...base, ...overrides };
 };
 
-/** An array of one task, with the fields that a test sets. */
-export const job = (id: string, change: JobOverrides = {}): JobSpec =>
+/** An array job of one task. */
+export const job = (id: string, overrides: JobOverrides = {}): JobSpec =>
   override<JobSpec>(
     {
       id: id as JobId,
@@ -69,11 +69,11 @@
       checkpointWriteS: 0,
       deadlineS: null,
     },
-    change,
+    overrides,
   );
 
-/** A machine type with 8 processors in two zones. */
-export const machineType = (name: string, change: Change<MachineType> = {}): MachineType =>
+/** A machine type with 8 CPUs in two zones. */
+export const machineType = (name: string, overrides: Overrides<MachineType> = {}): MachineType =>
   override<MachineType>(
     {
       name: name as MachineTypeName,
@@ -86,10 +86,10 @@
       bootS: 20,
       zones: ['a', 'b'] as ZoneName[],
     },
-    change,
+    overrides,
   );
 
-/** A team whose guaranteed share is half its quota. */
+/** A team whose guaranteed share is half of its quota. */
 export const team = (name: string, cpusMax = 64, gpusMax = 0): Team => ({
   name: name as TeamName,
   cpus: cpusMax / 2,
@@ -98,8 +98,11 @@
   gpusMax,
 });
 
-/** The state of a leader that has recovered nothing yet. */
-export const core = (change: Partial<CoreConfig> = {}, policy: Partial<Policy> = {}): CoreState =>
+/** The state of a leader that has not recovered any state. */
+export const core = (
+  overrides: Partial<CoreConfig> = {},
+  policy: Partial<Policy> = {},
+): CoreState =>
   createCore(
     override<CoreConfig>(
       {
@@ -117,11 +120,11 @@
         maxAttemptsPerMachine: 64,
         wallClockOffsetMs: 0,
       },
-      change,
+      overrides,
     ),
   );
 
-/** What a worker reports of a task. */
+/** The status of a task in a heartbeat. */
 export const taskStatus = (
   jobId: string,
   index: number,
@@ -137,13 +140,13 @@
   checkpointSaved: false,
 });
 
-/** A heartbeat of a machine, with the fencing token that it knows. */
+/** A heartbeat, with the newest fencing token that the machine knows. */
 export const heartbeatOf = (
   id: string,
   sequence: number,
   fencingToken: number,
   tasks: TaskStatus[] = [],
-  change: Partial<Heartbeat> = {},
+  overrides: Partial<Heartbeat> = {},
 ): Heartbeat =>
   override<Heartbeat>(
     {
@@ -158,10 +161,10 @@
       reclaimNoticeS: null,
       tasks,
     },
-    change,
+    overrides,
   );
 
-/** A row of a ledger record. */
+/** An entry of a ledger segment. */
 export const ledgerEntry = (index: number, attempt: number, id = 'job-1'): LedgerEntry => ({
   job: id as JobId,
   index: index as TaskIndex,
@@ -171,7 +174,7 @@
   gpus: 0,
   memoryGb: 1,
 });
-/** What a ledger record says of a machine. */
+/** Attributes of a machine in a ledger segment. */
 export const recordedAttributes: MachineAttributes = {
   type: 'c8' as MachineTypeName,
   zone: 'a' as ZoneName,
--- a/test/support/counting-map.ts
+++ b/test/support/counting-map.ts
@@ -1,4 +1,4 @@
-/** A map that counts how many values walks over it look at: work is counted in tests, never timed. */
+/** A map that counts the values that iterations visit, so that tests need not time work. */
 export class CountingMap<K, V> extends Map<K, V> {
   visited = 0;
 
--- a/test/support/simulated-world/counters.ts
+++ b/test/support/simulated-world/counters.ts
@@ -1,36 +1,36 @@
-/** Counts of what the drawn histories reached: checks of what never happened would mean nothing. */
+/** Counts of events in drawn histories, so that tests can assert that no check was vacuous. */
 
-/** All counters at 0. */
+/** Returns all counters at 0. */
 export const createCounters = () => ({
   /** Tasks started by workers. */
   starts: 0,
   /** Leaders elected. */
   failovers: 0,
-  /** Replies to heartbeats that were lost. */
+  /** Lost replies to heartbeats. */
   lostReplies: 0,
   /** Heartbeats that the network delivered again, late. */
   delayedCopies: 0,
-  /** Spells in which a machine is heard but nothing reaches it. */
+  /** One-way partitions in which a machine's heartbeats arrive but nothing reaches it. */
   inboundBlocks: 0,
-  /** Leaders that crashed and were back within a second. */
+  /** Leaders that crashed and restarted within a second. */
   quickRestarts: 0,
-  /** Faults of many machines at once, by kind. */
+  /** Simultaneous faults of many machines, by kind. */
   massFaults: { removed: 0, restarted: 0, hung: 0, held: 0, reclaimNotice: 0 },
-  /** Leaders whose process stood still. */
+  /** Leaders whose process paused. */
   freezes: 0,
-  /** All controllers down at once. */
+  /** Crashes of all controllers at once. */
   blackouts: 0,
   /** Outages of the key-value store. */
   outages: 0,
-  /** Spells in which the key-value store is slow. */
+  /** Periods in which the key-value store is slow. */
   slowPeriods: 0,
-  /** Replicas started, ended by themselves, moved off machines about to go; services cancelled. */
+  /** Replicas started, ended by themselves, moved off reclaimed machines; services cancelled. */
   services: { starts: 0, ends: 0, moves: 0, cancelled: 0 },
-  /** Leaders that follow one of the other version. */
+  /** Leaders whose version differs from their predecessor's. */
   versionChanges: 0,
-  /** Batches that took several transactions. */
+  /** Batches that were split into several transactions. */
   splitBatches: 0,
-  /** Two faults that meet, by kind, as `docs/compound-failures.md` names them. */
+  /** Coinciding faults, as named in `docs/compound-failures.md`. */
   compoundFaults: {
     refusedThenDown: 0,
     cancelledInGap: 0,
@@ -47,10 +47,10 @@
   },
 });
 
-/** See `createCounters`. */
+/** The counters of one history, or totals. */
 export type Counters = ReturnType<typeof createCounters>;
 
-/** Adds the counts of one history to a total. */
+/** Adds the counters of one history to a total. */
 export const addCounters = (total: Counters, counters: Counters): void => {
   addGroup(total, counters);
   addGroup(total.services, counters.services);
@@ -58,7 +58,7 @@
   addGroup(total.compoundFaults, counters.compoundFaults);
 };
 
-/** Adds the numbers of one group, and leaves groups within it alone. */
+/** Adds the numbers of one group, without nested groups. */
 const addGroup = <T extends object>(total: T, counters: T): void => {
   for (const [name, n] of Object.entries(counters)) {
     const sum: unknown = total[name as keyof T];
--- a/test/support/simulated-world/faults.ts
+++ b/test/support/simulated-world/faults.ts
@@ -8,15 +8,15 @@
 import type { Simulation } from './simulation.js';
 import type { Users } from './users.js';
 
-/** All kinds of faults, each as likely as it stands here. */
+/** Kinds of faults; each entry is drawn with equal probability. */
 const FAULTS = [
   'lease-lost',
   'lease-lost',
   'hung',
-  'noticed',
-  'gone',
+  'reclaim',
+  'removed',
   'unknown-machine',
-  'deaf',
+  'no-inbound',
   'restarted',
   'many-machines',
   'leader-frozen',
@@ -24,16 +24,16 @@
   'store',
   'refused-then-down',
   'late-writes',
-  'mute',
+  'no-outbound',
   'cancelled-with-hang',
   'handed-over-and-back',
   'late-list',
 ] as const;
 
 /** Faults of one machine. */
-type MachineFault = 'hung' | 'noticed' | 'gone' | 'deaf' | 'restarted' | 'mute';
+type MachineFault = 'hung' | 'reclaim' | 'removed' | 'no-inbound' | 'restarted' | 'no-outbound';
 
-/** The parts of the world that faults befall. */
+/** The parts of the world that faults affect. */
 export interface FaultDependencies {
   readonly sim: Simulation;
   readonly fleet: Fleet;
@@ -43,11 +43,10 @@
   readonly users: Users;
 }
 
-/** Draws faults; each method is one kind. */
 export class Faults {
   constructor(private readonly world: FaultDependencies) {}
 
-  /** Something goes wrong. */
+  /** Draws a fault and applies it. */
   draw(): void {
     const { sim, fleet } = this.world;
     const all = fleet.all();
@@ -55,19 +54,19 @@
     const kind = FAULTS[sim.int(1, FAULTS.length) - 1]!;
     switch (kind) {
       case 'lease-lost':
-        return this.endLease(all);
+        return this.endLeaderLease(all);
       case 'unknown-machine':
         return this.addUnknownMachine();
       case 'many-machines':
-        return this.befallManyMachines();
+        return this.applyMassFault();
       case 'leader-frozen':
         return this.freezeLeader();
       case 'blackout':
-        return this.blackOut();
+        return this.crashAllControllers();
       case 'store':
-        return this.disturbStore();
+        return this.applyStoreFault();
       case 'refused-then-down':
-        return this.refuseThenGoDown(all);
+        return this.rejectLeaderThenFailStore(all);
       case 'late-writes':
         sim.faultTimes.lateWritesUntil = sim.now + sim.int(5000, 40_000);
         return;
@@ -76,71 +75,73 @@
       case 'handed-over-and-back':
         return this.handOverAndBack();
       case 'late-list':
-        return this.listMachines();
+        return this.deliverLateList();
       default:
-        if (machine) this.befallMachine(kind, machine);
+        if (machine) this.applyMachineFault(kind, machine);
     }
   }
 
-  private befallMachine(kind: MachineFault, machine: Machine): void {
+  private applyMachineFault(kind: MachineFault, machine: Machine): void {
     const { sim, cloud, workers } = this.world;
     switch (kind) {
       case 'hung':
         machine.hungUntil = sim.now + sim.int(2000, 25_000);
         return;
-      case 'noticed':
+      case 'reclaim':
         if (machine.spot) machine.reclaimAt = sim.now + sim.int(0, 10_000);
         return;
-      case 'gone':
+      case 'removed':
         if (machine.spot) cloud.removeMachine(machine.id);
         return;
-      case 'deaf':
+      case 'no-inbound':
         sim.counters.inboundBlocks += 1;
         machine.inboundBlockedUntil = sim.now + sim.int(3000, 60_000);
         return;
       case 'restarted':
         workers.restart(machine);
         return;
-      case 'mute':
+      case 'no-outbound':
         sim.counters.compoundFaults.mute += 1;
         machine.outboundBlockedUntil = sim.now + sim.int(3000, 60_000);
     }
   }
 
-  /** The leader loses its lease, by a crash or unnoticed; the next comes when it has run out. */
-  private endLease(all: readonly Machine[]): void {
+  /** The leader crashes, or loses its lease unnoticed; a successor is elected afterwards. */
+  private endLeaderLease(all: readonly Machine[]): void {
     const { sim, leaders } = this.world;
-    const old = leaders.current();
-    if (!old) return;
-    old.isCurrent = false;
-    old.leaseValidUntil = Math.min(old.leaseValidUntil, sim.now + sim.int(0, 2000));
+    const leader = leaders.current();
+    if (!leader) return;
+    leader.isCurrent = false;
+    leader.leaseValidUntil = Math.min(leader.leaseValidUntil, sim.now + sim.int(0, 2000));
     const hasCrashed = sim.chance(50);
-    if (hasCrashed) leaders.list = leaders.list.filter((l) => l !== old);
+    if (hasCrashed) leaders.list = leaders.list.filter((l) => l !== leader);
     else if (sim.chance(50)) {
-      // It sits with some workers behind a cut, and the cloud cannot be reached either.
+      // The leader is cut off with some workers, and the cloud is unreachable.
       for (const machine of all) {
         if (!sim.chance(40)) continue;
-        machine.cutOffWith = old;
+        machine.cutOffWith = leader;
         machine.cutOffUntil = sim.now + sim.int(5000, 40_000);
       }
       sim.faultTimes.cloudDownUntil = sim.now + sim.int(0, 45_000);
     }
-    // A crashed process may be back within a fraction of a second, and takes its own key at once.
+    // A crashed process may restart within a second and take over its own leader key at once.
     const isQuick = hasCrashed && sim.chance(40);
     if (isQuick) sim.counters.quickRestarts += 1;
     leaders.electAfter(
-      isQuick ? sim.int(10, 900) : Math.max(0, old.leaseValidUntil - sim.now) + sim.int(10, 4000),
+      isQuick
+        ? sim.int(10, 900)
+        : Math.max(0, leader.leaseValidUntil - sim.now) + sim.int(10, 4000),
     );
   }
 
-  /** A machine nobody asked for in this term. */
+  /** Adds a machine that no current leader requested. */
   private addUnknownMachine(): void {
     const { fleet } = this.world;
     if (fleet.machines.size < 8) fleet.add(false, 500);
   }
 
-  /** A good third of the machines at once. */
-  private befallManyMachines(): void {
+  /** Applies one kind of fault to many machines at once. */
+  private applyMassFault(): void {
     const { sim, fleet, cloud, workers } = this.world;
     const { massFaults } = sim.counters;
     const kinds = Object.keys(massFaults) as (keyof typeof massFaults)[];
@@ -157,10 +158,7 @@
     }
   }
 
-  /**
-   * The leader stands still, for seconds or well over its right to lead; then it goes on with what
-   * had come in.
-   */
+  /** The leader's process pauses, at times well past its lease, and then handles its queue. */
   private freezeLeader(): void {
     const { sim, leaders } = this.world;
     const leader = leaders.current();
@@ -171,11 +169,8 @@
     leaders.electAfter(Math.max(0, leader.leaseValidUntil - sim.now) + sim.int(10, 4000));
   }
 
-  /**
-   * Every controller ends, and all that was on its way to them is lost with them; now and then for
-   * longer than the workers' leases.
-   */
-  private blackOut(): void {
+  /** All controllers crash and lose their queues, at times for longer than workers' leases. */
+  private crashAllControllers(): void {
     const { sim, leaders } = this.world;
     sim.counters.blackouts += 1;
     leaders.list = [];
@@ -186,8 +181,8 @@
     );
   }
 
-  /** The key-value store is away, or slow. */
-  private disturbStore(): void {
+  /** The key-value store is down, or slow. */
+  private applyStoreFault(): void {
     const { sim } = this.world;
     if (sim.chance(50)) {
       sim.counters.outages += 1;
@@ -199,23 +194,22 @@
   }
 
   /**
-   * The key-value store refuses the leader alone; some workers go on reporting to it. The next
-   * leader confirms cancellations, and then the store is down for all, for longer than a
-   * cancellation may take.
+   * The key-value store rejects the leader alone, and some workers still report to it. The next
+   * leader confirms cancellations; then the store is down for longer than one may take.
    */
-  private refuseThenGoDown(all: readonly Machine[]): void {
+  private rejectLeaderThenFailStore(all: readonly Machine[]): void {
     const { sim, leaders, users } = this.world;
-    const old = leaders.current();
-    if (!old || sim.now < sim.faultTimes.storeDownUntil) return;
+    const leader = leaders.current();
+    if (!leader || sim.now < sim.faultTimes.storeDownUntil) return;
     sim.counters.compoundFaults.refusedThenDown += 1;
-    old.isCurrent = false;
-    const lapseMs = Math.max(0, old.leaseValidUntil - sim.now);
+    leader.isCurrent = false;
+    const leaseRemainingMs = Math.max(0, leader.leaseValidUntil - sim.now);
     for (const machine of all) {
       if (!sim.chance(50)) continue;
-      machine.cutOffWith = old;
-      machine.cutOffUntil = old.leaseValidUntil + GRACE_MS;
+      machine.cutOffWith = leader;
+      machine.cutOffUntil = leader.leaseValidUntil + GRACE_MS;
     }
-    const electedMs = lapseMs + sim.int(10, 600);
+    const electedMs = leaseRemainingMs + sim.int(10, 600);
     leaders.electAfter(electedMs);
     const downMs = electedMs + sim.int(100, 5000);
     sim.faultTimes.refusalGapUntil = sim.now + downMs;
@@ -227,7 +221,7 @@
     });
   }
 
-  /** Users cancel what runs, and its machines hang at that moment. */
+  /** Users cancel running jobs, whose machines hang at that moment. */
   private cancelAndHang(all: readonly Machine[]): void {
     const { sim, users } = this.world;
     const busy = all.filter((machine) => machine.isBusy());
@@ -238,7 +232,7 @@
     }
   }
 
-  /** Hand over and back, within a second or two; jobs are cancelled in between. */
+  /** Leadership changes repeatedly within a second or two, amid cancellations. */
   private handOverAndBack(): void {
     const { sim, leaders, users } = this.world;
     sim.counters.compoundFaults.handedOverAndBack += 1;
@@ -251,8 +245,8 @@
     }
   }
 
-  /** The leader reads the cloud's list, which is late. */
-  private listMachines(): void {
+  /** The leader gets a delayed list of machines. */
+  private deliverLateList(): void {
     const { sim, fleet, leaders } = this.world;
     const leader = leaders.current();
     if (!leader) return;
@@ -263,7 +257,7 @@
     );
   }
 
-  /** Ends all faults; a leader is elected if there is none. */
+  /** Ends all faults, and elects a leader if there is none. */
   heal(): void {
     const { sim, fleet, leaders } = this.world;
     for (const machine of fleet.machines.values()) {
--- a/test/support/simulated-world/fleet.ts
+++ b/test/support/simulated-world/fleet.ts
@@ -1,4 +1,4 @@
-/** The machines as they really are, and what runs on them. */
+/** The actual state of the machines and their tasks. */
 import type {
   MachineId,
   MachineTypeName,
@@ -17,7 +17,7 @@
   readonly attempt: number;
   state: 'running' | 'ended';
   cause: 'done' | 'stopped' | 'error' | null;
-  /** How long it still runs, in milliseconds. */
+  /** Remaining run time, in milliseconds. */
   remainingMs: number;
 }
 
@@ -27,27 +27,27 @@
   heartbeatSequence = 0;
   fencingToken = 0;
   tasks: MachineTask[] = [];
-  /** Its lease counts from here. */
+  /** Start of the current worker lease. */
   leaseStartedAt: number;
   nextHeartbeatAt: number;
   lastHeartbeatAt = 0;
-  /** The heartbeat whose answer it waits for. */
+  /** The heartbeat whose reply is pending. */
   pendingHeartbeat: { readonly sentAt: number; readonly agentEpoch: number } | null = null;
-  /** When the cloud takes it away, by its own notice. */
+  /** When the cloud reclaims the machine, after a notice. */
   reclaimAt: number | null = null;
-  /** Whatever runs on it ends in error. */
+  /** Whether every task on the machine ends in error. */
   isFaulty = false;
   isRemoved = false;
   upAt: number;
   hungUntil = 0;
-  /** While cut off, it reaches only this leader, and nothing else reaches it. */
+  /** Until `cutOffUntil`, the machine communicates with this leader only. */
   cutOffWith: Leader | null = null;
   cutOffUntil = 0;
-  /** While deaf, its heartbeats arrive, but no reply and no command reaches it. */
+  /** Until then, heartbeats arrive, but no reply or command reaches the machine. */
   inboundBlockedUntil = 0;
-  /** While mute, it reaches no controller, but commands sent to it arrive. */
+  /** Until then, heartbeats reach no controller, but commands arrive. */
   outboundBlockedUntil = 0;
-  /** What it sends and what is sent to it is held back until then, and arrives all at once. */
+  /** Until then, messages in both directions are held back; then all arrive at once. */
   heldUntil = 0;
 
   constructor(
@@ -72,20 +72,20 @@
     return this.tasks.some((t) => t.state !== 'ended');
   }
 
-  /** Processors that its tasks take. */
+  /** CPUs of its active tasks. */
   usedCpus(specs: ReadonlyMap<string, JobSpec>): number {
     return this.activeTasks().reduce((sum, t) => sum + specs.get(t.job)!.cpus, 0);
   }
 }
 
-/** All machines that there are. */
+/** All machines. */
 export class Fleet {
   readonly machines = new Map<string, Machine>();
   private nextMachine = 0;
 
   constructor(private readonly sim: Simulation) {}
 
-  /** Adds a machine, in a drawn zone unless a test keeps zones; now and then a faulty one. */
+  /** Adds a machine, sometimes a faulty one; draws its zone unless the options keep zones. */
   add(isOnDemand: boolean, bootMs: number, zone?: string): Machine {
     const { sim } = this;
     const id = `n-${String(this.nextMachine).padStart(4, '0')}`;
@@ -98,12 +98,12 @@
     return machine;
   }
 
-  /** The machines at this moment, safe from changes while it is walked. */
+  /** A copy of the machines, safe to iterate during changes. */
   all(): Machine[] {
     return [...this.machines.values()];
   }
 
-  /** Draws how long a message to or from a machine takes; held packets come all at once. */
+  /** Draws the delay of a message to or from a machine. */
   linkDelay(machine: Machine): number {
     return Math.max(0, machine.heldUntil - this.sim.now) + this.sim.delay();
   }
@@ -118,7 +118,7 @@
     return zones;
   }
 
-  /** Processors that a team's tasks really use. */
+  /** CPUs that a team's tasks actually use. */
   cpusOf(team: TeamName): number {
     let cpus = 0;
     for (const machine of this.machines.values()) {
@@ -130,7 +130,7 @@
     return cpus;
   }
 
-  /** The cloud's list of machines. */
+  /** The machines as the cloud lists them. */
   list(): ListedMachine[] {
     return this.all().map((machine) => ({
       id: machine.id as MachineId,
--- a/test/support/simulated-world/interruptions.ts
+++ b/test/support/simulated-world/interruptions.ts
@@ -1,21 +1,21 @@
-/** Tasks that were stopped or lost, until they run again, as the machines know it. */
+/** Tasks that were stopped or lost and do not run again yet. */
 import type { Machine, MachineTask } from './fleet.js';
 import type { StoredData } from './key-value-store.js';
 import type { Simulation } from './simulation.js';
 
-/** A task that was stopped or lost, until it runs again. */
+/** A task that was stopped or lost and does not run again yet. */
 export interface Interruption {
   readonly team: string;
   readonly jobClass: string;
-  /** By the leader's own decision. */
+  /** Stopped by the leader's own decision. */
   readonly voluntary: boolean;
 }
 
-/** Keeps count of interrupted tasks, for checks of budgets. */
+/** Records interruptions, for checks of disruption budgets. */
 export class Interruptions {
   /** By task, as `job/index`. */
   readonly byTask = new Map<string, Interruption>();
-  /** Told of each task that is stopped by decision. */
+  /** Called at each voluntary stop. */
   onVoluntaryStop: (name: string) => void = () => {};
   /** Tasks that are done, as `job/index`. */
   readonly doneTasks = new Set<string>();
@@ -27,7 +27,7 @@
     private readonly stored: StoredData,
   ) {}
 
-  /** Whether users have asked for a job's cancellation. */
+  /** Whether a user has requested a job's cancellation. */
   isCancelRequested(job: string): boolean {
     return [...this.cancelRequests.values()].includes(job);
   }
@@ -36,17 +36,17 @@
     return this.stored.jobs.has(job) && !this.isCancelRequested(job);
   }
 
-  /** Tasks that were interrupted by decision, do not run again yet, and are still wanted. */
+  /** Voluntary interruptions of tasks that still have to run again. */
   openVoluntaryInterruptions(): Interruption[] {
     const open: Interruption[] = [];
-    for (const [name, interrupted] of this.byTask) {
-      const isWanted = this.isWanted(name.split('/')[0]!) && !this.doneTasks.has(name);
-      if (isWanted && interrupted.voluntary) open.push(interrupted);
+    for (const [name, interruption] of this.byTask) {
+      const isUnfinished = this.isWanted(name.split('/')[0]!) && !this.doneTasks.has(name);
+      if (isUnfinished && interruption.voluntary) open.push(interruption);
     }
     return open;
   }
 
-  /** A task does not run on, by its machine's loss or a stop. */
+  /** Records the interruption of a task by a stop or the loss of its machine. */
   interrupt(t: MachineTask, voluntary: boolean): void {
     const name = `${t.job}/${t.index}`;
     if (t.state === 'ended' || !this.isWanted(t.job) || this.doneTasks.has(name)) return;
@@ -55,8 +55,8 @@
     if (voluntary) this.onVoluntaryStop(name);
   }
 
-  /** A stop by decision, unless a reclaim notice is behind it or a leader of the other version. */
-  recordStop(machine: Machine, t: MachineTask, byOldVersion: boolean): void {
-    this.interrupt(t, machine.reclaimAt === null && !byOldVersion);
+  /** Records a stop; voluntary unless after a reclaim notice or by the previous version. */
+  recordStop(machine: Machine, t: MachineTask, byPreviousVersion: boolean): void {
+    this.interrupt(t, machine.reclaimAt === null && !byPreviousVersion);
   }
 }
--- a/test/support/simulated-world/key-value-store.ts
+++ b/test/support/simulated-world/key-value-store.ts
@@ -1,4 +1,4 @@
-/** The key-value store: what survives every leader, with late, lost and split transactions. */
+/** The key-value store: data that outlives leaders, with late, lost and split transactions. */
 import type { SegmentKey } from '../../../src/core/model/ids.js';
 import type { JobSpec } from '../../../src/core/model/job.js';
 import type { StoreOperation } from '../../../src/core/model/ledger-record.js';
@@ -8,21 +8,21 @@
 import { INITIAL_LIMITS, REDUCED_LIMITS } from './settings.js';
 import type { Simulation } from './simulation.js';
 
-/** What is stored. */
+/** The stored data. */
 export interface StoredData {
   /** Unfinished jobs. */
   readonly jobs: Map<string, { readonly spec: JobSpec; readonly at: number }>;
-  /** How jobs ended. */
+  /** Outcomes of ended jobs. */
   readonly completions: Map<string, string>;
-  /** Ledger segments, as the text that the store would hold. */
+  /** Ledger segments, as JSON texts. */
   readonly ledger: Map<SegmentKey, string>;
-  /** Records of extensions, likewise. */
+  /** Records of extensions, as JSON texts. */
   readonly records: Map<string, string>;
   /** The fencing token of the leader that may write. */
   fencingToken: number;
 }
 
-/** A store that holds nothing yet. */
+/** Returns an empty store. */
 export const createStoredData = (): StoredData => ({
   jobs: new Map(),
   completions: new Map(),
@@ -31,7 +31,7 @@
   fencingToken: 10,
 });
 
-/** Carries out what leaders store. */
+/** Executes the transactions of leaders. */
 export class ModelKeyValueStore {
   constructor(
     private readonly sim: Simulation,
@@ -39,7 +39,7 @@
     private readonly checks: RuleChecks,
   ) {}
 
-  /** Draws how long a request takes: now and then 15 to 40 times as long; none passes in an outage. */
+  /** Draws a request's delay: 15 to 40 times as long in slow periods; past the end of an outage. */
   delay(): number {
     const { sim } = this;
     const { storeDownUntil, storeSlowUntil } = sim.faultTimes;
@@ -47,18 +47,18 @@
     return outage + (sim.now < storeSlowUntil ? sim.int(300, 4000) : sim.delay());
   }
 
-  /** Now and then a transaction, or its answer, is late by seconds. */
-  private drawLateness(): number {
+  /** Draws an extra delay of a transaction or its answer: mostly 0, sometimes seconds. */
+  private drawExtraDelayMs(): number {
     const { sim } = this;
     const isLate = sim.now < sim.faultTimes.lateWritesUntil && sim.chance(20);
     return isLate ? sim.int(2000, 12_000) : 0;
   }
 
-  /** In as many transactions as it takes, one by one; any may be the last that is carried out. */
+  /** Writes a batch in sequential transactions; any may be the last that is executed. */
   persist(leader: Leader, ops: readonly StoreOperation[], onStored: () => void): void {
     const { sim } = this;
     const { compoundFaults } = sim.counters;
-    const lateMs = this.drawLateness();
+    const lateMs = this.drawExtraDelayMs();
     if (ops.length === 0) {
       if (lateMs > 0) compoundFaults.answeredLate += 1;
       sim.after(lateMs, onStored);
@@ -66,10 +66,10 @@
     }
     if (lateMs > 0) compoundFaults.writtenLate += 1;
     sim.after(lateMs + this.delay(), () => {
-      // Every leader transaction is guarded by the leader key: a late one fails.
+      // Leader transactions are guarded by the leader key: those of a former leader fail.
       if (leader.fencingToken !== this.data.fencingToken) return;
-      // An old leader is refused what is too large, and tries for ever; until the next takes over
-      // nothing starts.
+      // A leader of the previous version retries rejected transactions for ever; nothing starts
+      // until the next leader takes over.
       if (leader.isPreviousVersion && sim.now >= sim.limitsReducedAt) return;
       const written = this.writeTransaction(leader, ops);
       if (written < ops.length) sim.counters.splitBatches += 1;
@@ -77,7 +77,7 @@
     });
   }
 
-  /** Writes as many operations as one transaction takes, and returns how many those are. */
+  /** Writes as many operations as fit into a transaction; returns their number. */
   private writeTransaction(leader: Leader, ops: readonly StoreOperation[]): number {
     const { maxTransactionOperations } = leader.isPreviousVersion ? INITIAL_LIMITS : REDUCED_LIMITS;
     let changes = 0;
--- a/test/support/simulated-world/leader-runner.ts
+++ b/test/support/simulated-world/leader-runner.ts
@@ -1,4 +1,4 @@
-/** Runs the core of each leader, and carries out its effects. */
+/** Runs the core of each leader and applies its effects to the world. */
 import { applyCommands } from '../../../src/core/apply-commands.js';
 import type { Command } from '../../../src/core/model/command.js';
 import type { Effect } from '../../../src/core/model/effect.js';
@@ -11,7 +11,7 @@
 import type { Simulation } from './simulation.js';
 import type { Users } from './users.js';
 
-/** The parts of the world on which effects act. */
+/** The parts of the world that effects change. */
 export interface RunnerDependencies {
   readonly sim: Simulation;
   readonly leaders: Leaders;
@@ -22,11 +22,11 @@
   readonly checks: RuleChecks;
 }
 
-/** Runs leaders, one round of commands after the other. */
+/** Runs leaders, one batch of commands at a time. */
 export class LeaderRunner {
   constructor(private readonly world: RunnerDependencies) {}
 
-  /** Applies what is queued for a leader, unless its process stands still. */
+  /** Applies the commands queued for a leader, unless its process is paused. */
   run(leader: Leader): void {
     const { sim, leaders } = this.world;
     if (sim.now < leader.frozenUntil) return;
@@ -34,10 +34,10 @@
     leader.queue = [];
     const authority = leaders.authority(leader);
     const effects = applyCommands(leader.state, commands, sim.now as Instant, authority);
-    for (const effect of effects) this.carryOut(leader, effect);
+    for (const effect of effects) this.apply(leader, effect);
   }
 
-  private carryOut(leader: Leader, effect: Effect): void {
+  private apply(leader: Leader, effect: Effect): void {
     const { sim, store, cloud, workers, users, checks } = this.world;
     const reply = (command: Command) => sim.after(sim.delay(), () => leader.queue.push(command));
     switch (effect.kind) {
--- a/test/support/simulated-world/leaders.ts
+++ b/test/support/simulated-world/leaders.ts
@@ -1,4 +1,4 @@
-/** Controllers that lead, or have led and do not know better: election, recovery and authority. */
+/** Current and former leaders that still run: election, recovery and authority. */
 import type { CoreState } from '../../../src/core/core-state.js';
 import { ExtensionHost } from '../../../src/core/extensions/extension-host.js';
 import type { Command } from '../../../src/core/model/command.js';
@@ -12,37 +12,33 @@
 import { GRACE_MS, INITIAL_LIMITS, MACHINE_TYPE, REDUCED_LIMITS, TEAMS } from './settings.js';
 import type { Simulation } from './simulation.js';
 
-/** A leader's lease when it was just renewed. */
+/** Duration of a leader's lease after a renewal. */
 const LEADER_LEASE_MS = 3000;
-/** How much later a renewal comes while the key-value store is slow. */
+/** Extra delay of a renewal while the key-value store is slow. */
 const SLOW_RENEWAL_MS = 1500;
-/** A leader renews its lease when less than this is left of it. */
+/** A leader renews its lease when less than this remains. */
 const RENEW_BELOW_MS = 2000;
-/** A machine that is not heard for longer than this has not been asked when a leader begins. */
-const UNASKED_MS = 2000;
+/** A machine out of reach for longer than this counts as unreached by a new leader. */
+const UNREACHED_MS = 2000;
 
-/** A controller that leads, or has led and does not know better. */
+/** A current leader, or a former one that may not know that it was replaced. */
 export interface Leader {
   readonly fencingToken: number;
-  /**
-   * It writes by the layout and limits of the version before this one, and cannot read what stands
-   * for a service.
-   */
+  /** Uses the record layout and limits of the previous version, and cannot read services. */
   readonly isPreviousVersion: boolean;
   readonly state: CoreState;
-  /** false once another may lead: what it still does is fenced by the store. */
+  /** False once another may lead; the store then fences its writes. */
   isCurrent: boolean;
   leaseValidUntil: number;
-  /** Until then the process stands still, while its clock runs on. */
+  /** Until then the process is paused, while its clock continues. */
   frozenUntil: number;
   queue: Command[];
 }
 
-/** Elects leaders, one after the other. */
 export class Leaders {
-  /** The current one and former ones that still run, in the order of their election. */
+  /** The current leader and former ones that still run, in the order of election. */
   list: Leader[] = [];
-  /** Heartbeats that the network holds back until the next leader begins. */
+  /** Heartbeats that the network holds back until the next election. */
   readonly heldHeartbeats: (() => void)[] = [];
 
   constructor(
@@ -51,7 +47,6 @@
     private readonly store: ModelKeyValueStore,
   ) {}
 
-  /** The one that leads, if any. */
   current(): Leader | null {
     return this.list.find((l) => l.isCurrent) ?? null;
   }
@@ -63,7 +58,7 @@
     });
   }
 
-  /** A new leader takes over and recovers the state, once the key-value store is there. */
+  /** Elects a leader, which recovers the state; waits while the key-value store is down. */
   elect(): void {
     const { sim } = this;
     if (sim.now < sim.faultTimes.storeDownUntil) {
@@ -78,7 +73,7 @@
     this.list.push(leader);
     sim.counters.failovers += 1;
     this.countUnreachedMachinesAtQuota();
-    // Old heartbeats reach the new leader just as it begins.
+    // Held heartbeats reach the new leader at the start of its term.
     for (const deliver of this.heldHeartbeats.splice(0)) sim.after(sim.int(0, 500), deliver);
     this.recover(leader);
   }
@@ -105,10 +100,10 @@
     };
   }
 
-  /** Counts leaders that begin with a team at its quota and busy machines out of reach. */
+  /** Counts elections with a team at its quota and a busy machine out of reach. */
   private countUnreachedMachinesAtQuota(): void {
     const { sim } = this;
-    const isUnasked = this.fleet
+    const hasUnreached = this.fleet
       .all()
       .some(
         (m) =>
@@ -120,13 +115,13 @@
             m.inboundBlockedUntil,
             m.outboundBlockedUntil,
           ) >
-            sim.now + UNASKED_MS,
+            sim.now + UNREACHED_MS,
       );
-    if (isUnasked && TEAMS.some((t) => this.fleet.cpusOf(t.name) >= t.cpusMax - 1))
+    if (hasUnreached && TEAMS.some((t) => this.fleet.cpusOf(t.name) >= t.cpusMax - 1))
       sim.counters.compoundFaults.atLimitUnasked += 1;
   }
 
-  /** Queues what the key-value store and the cloud hold, as the service reads it at a failover. */
+  /** Queues the stored data and the list of machines, as the service does at a failover. */
   private recover(leader: Leader): void {
     const { queue } = leader;
     queue.push({ kind: 'machine-types', types: [MACHINE_TYPE] });
@@ -137,7 +132,7 @@
     const attempts: Command[] = [];
     for (const [segment, text] of this.store.data.ledger) {
       const record = decodeSegment(JSON.parse(text));
-      if (!record) throw new Error(`unreadable record ${segment}`);
+      if (!record) throw new Error(`cannot decode ledger segment ${segment}`);
       for (const row of record.progress)
         queue.push({ kind: 'recovered-progress', segment, ...row });
       for (const row of record.machines)
@@ -166,28 +161,25 @@
     leader.queue.push({ kind: 'extension-records', extension: name, records });
   }
 
-  /** What a leader may still do by its own clock. */
+  /** The authority that a leader has by its own clock. */
   authority(leader: Leader): Authority {
     const { now } = this.sim;
     if (leader.isCurrent && now < leader.leaseValidUntil) return 'lead';
     return now < leader.leaseValidUntil + GRACE_MS ? 'keep-alive' : 'none';
   }
 
-  /** The last process of the old version is killed once all controllers have this one. */
+  /** Kills the last controller of the previous version at `upgradedAt`. */
   stopPreviousVersionWhenUpgraded(): void {
     const { sim } = this;
     if (sim.now < sim.upgradedAt || !this.list.some((l) => l.isPreviousVersion)) return;
-    const wasOldLeading = this.current()?.isPreviousVersion;
+    const wasPreviousLeading = this.current()?.isPreviousVersion;
     this.list = this.list.filter((l) => !l.isPreviousVersion);
-    if (!wasOldLeading) return;
+    if (!wasPreviousLeading) return;
     sim.counters.versionChanges += 1;
     this.electAfter(sim.int(10, 6000));
   }
 
-  /**
-   * Renews the leader's lease, which counts from before its renewal was sent; in an outage none is
-   * renewed, and after it all are.
-   */
+  /** Renews the leader's lease when due, except in an outage; it counts from before the request. */
   renewLease(): void {
     const { now, faultTimes } = this.sim;
     const leader = this.current();
@@ -197,7 +189,7 @@
       leader.leaseValidUntil = now + LEADER_LEASE_MS - slowMs;
   }
 
-  /** Ends a former leader that may not even keep workers alive any more. */
+  /** Removes a former leader once it may no longer keep workers alive. */
   endIfExpired(leader: Leader): void {
     if (!leader.isCurrent && this.sim.now > leader.leaseValidUntil + GRACE_MS)
       this.list = this.list.filter((l) => l !== leader);
--- a/test/support/simulated-world/model-cloud.ts
+++ b/test/support/simulated-world/model-cloud.ts
@@ -8,12 +8,12 @@
 import type { RuleChecks } from './rule-checks.js';
 import type { Simulation } from './simulation.js';
 
-const MOST_MACHINES = 7;
+const DEFAULT_MAX_MACHINES = 7;
 
 type ProvisionEffect = Extract<Effect, { kind: 'provision' }>;
 type Reply = (command: Command) => void;
 
-/** The parts of the world that the cloud knows. */
+/** The parts of the world that the cloud uses. */
 export interface CloudDependencies {
   readonly sim: Simulation;
   readonly fleet: Fleet;
@@ -22,14 +22,14 @@
   readonly interruptions: Interruptions;
 }
 
-/** Answers leaders' requests for machines. */
+/** Executes leaders' requests for machines. */
 export class ModelCloud {
   /** The machine that each request provisioned. */
   private readonly provisioned = new Map<string, string>();
 
   constructor(private readonly world: CloudDependencies) {}
 
-  /** Provisions one machine; a repeated request provisions nothing new. */
+  /** Provisions one machine; a repeated request returns the same one. */
   provision(effect: ProvisionEffect, reply: Reply): void {
     const { sim, fleet } = this.world;
     const answer = (result: 'ok' | 'refused' | 'unknown', machines: readonly string[]) =>
@@ -45,7 +45,7 @@
         answer('ok', [known]);
         return;
       }
-      const isFull = fleet.machines.size >= (sim.options.maxMachines ?? MOST_MACHINES);
+      const isFull = fleet.machines.size >= (sim.options.maxMachines ?? DEFAULT_MAX_MACHINES);
       if (isFull || sim.now < sim.faultTimes.noCapacityUntil) {
         answer('refused', []);
         return;
@@ -58,7 +58,7 @@
     });
   }
 
-  /** Now and then a machine is up at once, and during boot faults it never is. */
+  /** Draws a boot time: short for some machines, infinite during boot faults. */
   private drawBootMs(): number {
     const { sim } = this.world;
     const isUpAtOnce = sim.chance(25);
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Sent only while the authority is sure: a process that stood still asks again at that moment.
-   * Now and then the answer is lost, with the machines deleted or not.
+   * Deletes machines if the leader still has authority, which a paused process checks again before
+   * it sends. Some answers are lost, with the machines deleted or not.
    */
   deleteMachines(leader: Leader, machines: readonly MachineId[], reply: Reply): void {
     const { sim, leaders, checks } = this.world;
@@ -86,7 +86,7 @@
     });
   }
 
-  /** A machine goes, with all that runs on it. */
+  /** Removes a machine with its tasks. */
   removeMachine(id: string): void {
     const { fleet, interruptions } = this.world;
     const machine = fleet.machines.get(id);
--- a/test/support/simulated-world/model-workers.ts
+++ b/test/support/simulated-world/model-workers.ts
@@ -1,4 +1,4 @@
-/** The workers: leases, heartbeats and what they hear, over links that delay, repeat and lose. */
+/** Workers: leases, heartbeats and commands, over links that delay, repeat and lose messages. */
 import type { Effect } from '../../../src/core/model/effect.js';
 import type { Heartbeat } from '../../../src/core/model/heartbeat.js';
 import type { MachineTypeName, ZoneName } from '../../../src/core/model/ids.js';
@@ -11,13 +11,13 @@
 import type { Simulation } from './simulation.js';
 import type { TaskExecution } from './task-execution.js';
 
-/** A worker whose task has ended reports that early, but not sooner than this after a heartbeat. */
+/** Minimum interval before the early heartbeat that reports the end of a task. */
 const EARLY_HEARTBEAT_MS = 500;
 const RETRY_MS = 1000;
 
 type SendCommandsEffect = Extract<Effect, { kind: 'send-commands' }>;
 
-/** The parts of the world that workers know. */
+/** The parts of the world that workers use. */
 export interface WorkerDependencies {
   readonly sim: Simulation;
   readonly fleet: Fleet;
@@ -26,9 +26,8 @@
   readonly tasks: TaskExecution;
 }
 
-/** Lets workers run, report and obey. */
 export class ModelWorkers {
-  /** Takes the reply to a heartbeat, by ticket. */
+  /** Handlers of replies to heartbeats, by ticket. */
   private readonly replyHandlers = new Map<
     number,
     (commands: readonly WorkerCommand[] | null) => void
@@ -36,7 +35,7 @@
 
   constructor(private readonly world: WorkerDependencies) {}
 
-  /** Plays some time on one machine. */
+  /** Advances one machine by `passedMs`. */
   advance(machine: Machine, passedMs: number): void {
     const { sim, cloud, tasks } = this.world;
     if (sim.now < machine.upAt || machine.isRemoved) return;
@@ -58,7 +57,7 @@
       this.sendHeartbeat(machine);
   }
 
-  /** The worker stops all its tasks; a hanging machine may resume them within its lease only. */
+  /** Stops all tasks: a hung machine may resume them only within its lease. */
   private expireLease(machine: Machine): void {
     const { now } = this.world.sim;
     machine.agentEpoch += 1;
@@ -68,7 +67,7 @@
     machine.nextHeartbeatAt = now;
   }
 
-  /** A machine back within a fraction of a second: its worker starts anew, with a later epoch. */
+  /** Restarts a machine within a second; its worker starts without tasks in a new epoch. */
   restart(machine: Machine): void {
     const { sim } = this.world;
     if (sim.now < machine.upAt) return;
@@ -104,8 +103,8 @@
     machine.nextHeartbeatAt = sim.now + HEARTBEAT_MS + sim.int(-500, 500);
     const cutOffWith =
       machine.cutOffWith && sim.now < machine.cutOffUntil ? machine.cutOffWith : null;
-    const stale = this.drawStaleLeader();
-    const first = cutOffWith ?? stale ?? leaders.current();
+    const formerLeader = this.drawFormerLeader();
+    const receiver = cutOffWith ?? formerLeader ?? leaders.current();
     const deliver = (to: Leader | null) => {
       if (!to || leaders.authority(to) === 'none' || heartbeat.fencingToken > to.fencingToken)
         return;
@@ -116,21 +115,20 @@
       to.queue.push({ kind: 'heartbeat', heartbeat, ticket });
     };
     if (sim.now < machine.outboundBlockedUntil) return;
-    sim.after(fleet.linkDelay(machine), () => deliver(first));
+    sim.after(fleet.linkDelay(machine), () => deliver(receiver));
     this.drawCopies(deliver, cutOffWith !== null);
   }
 
-  /** Mostly none; now and then a leader that has been replaced and does not know it yet. */
-  private drawStaleLeader(): Leader | null {
+  /** Draws a former leader that still runs; mostly null. */
+  private drawFormerLeader(): Leader | null {
     const { sim, leaders } = this.world;
-    const stale = leaders.list.filter((l) => !l.isCurrent);
-    return stale.length > 0 && sim.chance(15) ? stale[sim.int(0, stale.length - 1)]! : null;
+    const former = leaders.list.filter((l) => !l.isCurrent);
+    return former.length > 0 && sim.chance(15) ? former[sim.int(0, former.length - 1)]! : null;
   }
 
   /**
-   * Copies that the network held back reach whoever leads by then, also of machines that are long
-   * gone, of earlier epochs, and well over a lease late; a new leader may see a machine first by
-   * such a copy.
+   * Draws late copies of a heartbeat, which reach the leader of that time, well over a lease late
+   * and even if the machine is gone or in a later epoch. A leader may first see a machine by one.
    */
   private drawCopies(deliver: (to: Leader | null) => void, isCutOff: boolean): void {
     const { sim, leaders } = this.world;
@@ -140,7 +138,7 @@
     };
     if (sim.chance(1) && !isCutOff) {
       sim.counters.compoundFaults.keptForNext += 1;
-      // To every controller that takes heartbeats, those that have been replaced too.
+      // Every leader gets the copy, also former ones.
       leaders.heldHeartbeats.push(() => {
         for (const l of leaders.list) deliver(l);
       });
@@ -149,14 +147,14 @@
     if (sim.chance(2)) sim.after(sim.int(WORKER_LEASE_MS, 4 * WORKER_LEASE_MS), deliverCopy);
   }
 
-  /** A leader answers a heartbeat. */
+  /** Handles a leader's reply to a heartbeat. */
   receiveReply(ticket: number, commands: readonly WorkerCommand[] | null): void {
     const handle = this.replyHandlers.get(ticket);
     this.replyHandlers.delete(ticket);
     handle?.(commands);
   }
 
-  /** The worker gives an answer up after a while, and drops one that is fenced or of an old epoch. */
+  /** Delivers a reply; the worker drops late and fenced ones and those of an earlier epoch. */
   private sendReply(
     machine: Machine,
     pending: { readonly sentAt: number; readonly agentEpoch: number },
@@ -170,11 +168,12 @@
       return;
     }
     sim.after(fleet.linkDelay(machine), () => {
-      const isGivenUp =
+      const isAbandoned =
         machine.isRemoved ||
         machine.pendingHeartbeat !== pending ||
         sim.now - pending.sentAt > ANSWER_TIMEOUT_MS;
-      if (isGivenUp || sim.now < machine.hungUntil || sim.now < machine.inboundBlockedUntil) return;
+      if (isAbandoned || sim.now < machine.hungUntil || sim.now < machine.inboundBlockedUntil)
+        return;
       machine.pendingHeartbeat = null;
       if (fencingToken < machine.fencingToken || machine.agentEpoch !== pending.agentEpoch) return;
       if (fencingToken > machine.fencingToken)
@@ -185,7 +184,7 @@
     });
   }
 
-  /** A leader sends commands outside of replies; the worker answers with a heartbeat. */
+  /** Delivers commands sent outside of replies; the worker answers with a heartbeat. */
   receiveCommands(leader: Leader, effect: SendCommandsEffect): void {
     const { sim, fleet, tasks } = this.world;
     const target = fleet.machines.get(effect.machine);
@@ -197,9 +196,9 @@
       machine.fencingToken = leader.fencingToken;
       tasks.execute(machine, effect.commands, leader.isPreviousVersion);
       const heartbeat = this.heartbeatOf(machine);
-      // Held up for seconds: the command was carried out, and its answer comes late.
-      const heldUpMs = sim.chance(3) ? sim.int(2000, 12_000) : 0;
-      sim.after(heldUpMs + fleet.linkDelay(machine), () =>
+      // The commands were executed, but some answers are late by seconds.
+      const extraDelayMs = sim.chance(3) ? sim.int(2000, 12_000) : 0;
+      sim.after(extraDelayMs + fleet.linkDelay(machine), () =>
         leader.queue.push({ kind: 'heartbeat', heartbeat, ticket: null }),
       );
     });
--- a/test/support/simulated-world/rule-checks.ts
+++ b/test/support/simulated-world/rule-checks.ts
@@ -1,4 +1,4 @@
-/** The users' rules, checked against what really runs: each broken one is a problem of the world. */
+/** Checks the users' rules against what actually runs; each violation becomes a problem. */
 import type { Effect } from '../../../src/core/model/effect.js';
 import type { MachineId } from '../../../src/core/model/ids.js';
 import type { JobSpec } from '../../../src/core/model/job.js';
@@ -9,10 +9,10 @@
 import { CANCEL_MS, TEAMS } from './settings.js';
 import type { Simulation } from './simulation.js';
 
-/** `ran_twice`, `quota`, `wrong_place`, `ran_cancelled`, `not_done` and what else must not be. */
+/** Checks for `ran_twice`, `quota`, `wrong_place`, `ran_cancelled`, `not_done` and others. */
 export class RuleChecks {
   private readonly attempts = new Set<string>();
-  /** When the end of a cancelled job was stored: from then on any controller may tell it. */
+  /** When a cancellation was stored: from then on any controller may report it. */
   private readonly cancelledAt = new Map<string, number>();
 
   constructor(
@@ -22,7 +22,7 @@
     private readonly interruptions: Interruptions,
   ) {}
 
-  /** A worker starts a task. */
+  /** Checks the start of a task by a worker. */
   checkStart(machine: Machine, id: string, index: number, attempt: number): void {
     const { sim } = this;
     const name = `${id}/${index}`;
@@ -56,12 +56,12 @@
     const zones = this.fleet.zonesOf(spec.id);
     if (spec.singleZone && zones.some((zone) => zone !== machine.zone))
       problems.push(`wrong_place one zone ${name}`);
-    const most = Math.ceil(spec.tasks / 2);
-    if (spec.spreadZones && zones.filter((zone) => zone === machine.zone).length >= most)
+    const maxPerZone = Math.ceil(spec.tasks / 2);
+    if (spec.spreadZones && zones.filter((zone) => zone === machine.zone).length >= maxPerZone)
       problems.push(`wrong_place scatter ${name}`);
   }
 
-  /** What must hold at every moment. */
+  /** Checks the rules that hold at any time. */
   checkInvariants(): void {
     const { sim } = this;
     for (const { name, cpusMax } of TEAMS) {
@@ -74,7 +74,7 @@
     }
   }
 
-  /** The leader ends a job. */
+  /** Checks that all tasks of a job that ends as done are done. */
   checkJobEnded({ job, outcome }: Extract<Effect, { kind: 'job-ended' }>): void {
     const { problems, counters: reached } = this.sim;
     const { shape, tasks } = this.sim.specOf(job);
@@ -86,7 +86,7 @@
     }
   }
 
-  /** A user is told how a cancellation ended. */
+  /** Checks that a cancellation's outcome was stored before a user gets it. */
   checkCancellationSettled({
     ticket,
     outcome,
@@ -96,7 +96,7 @@
       this.sim.problems.push(`told before it was stored ${id}`);
   }
 
-  /** The end of a cancelled job is stored, though the leader has not learnt of it yet. */
+  /** Records a stored cancellation, which the leader may not know of yet. */
   recordCancellation(job: string): void {
     const { sim } = this;
     this.cancelledAt.set(job, sim.now);
@@ -104,13 +104,13 @@
     if (!this.interruptions.isCancelRequested(job)) sim.problems.push(`cancelled by nobody ${job}`);
   }
 
-  /** Machines that are not lost go back empty. */
+  /** Checks that machines are returned without tasks unless they are lost. */
   checkReturns(leader: Leader, ids: readonly MachineId[]): void {
     for (const id of ids) {
       const known = leader.state.machines.get(id);
-      const isGivenUp =
+      const isLostOrUnknown =
         !known || known.lostAt !== null || known.isUnreachable || !known.hasReported;
-      if (!isGivenUp && this.fleet.machines.get(id)?.isBusy())
+      if (!isLostOrUnknown && this.fleet.machines.get(id)?.isBusy())
         this.sim.problems.push(`returned with work ${id}`);
     }
   }
--- a/test/support/simulated-world/simulation.ts
+++ b/test/support/simulated-world/simulation.ts
@@ -1,4 +1,4 @@
-/** What all parts of the world share: the clock, drawn numbers, messages under way, findings. */
+/** State that all parts of the world share: clock, random numbers, messages and problems. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { ReplyTicket } from '../../../src/core/model/ids.js';
@@ -6,40 +6,40 @@
 import { createCounters } from './counters.js';
 import type { WorldOptions } from './settings.js';
 
-/** What is under way, and when it arrives. */
+/** A scheduled action, such as the delivery of a message. */
 interface Message {
   readonly at: number;
   readonly act: () => void;
 }
 
-/** Clock, random numbers and messages; the order of draws makes a history, so it must not change. */
+/** Clock, random numbers and messages; the order of draws determines a history: keep it. */
 export class Simulation {
-  /** The steady clock, in milliseconds. */
+  /** The monotonic clock, in milliseconds. */
   now = 0;
-  /** Broken rules: the world stops at the first. */
+  /** Violated rules: the world stops at the first. */
   readonly problems: string[] = [];
   readonly counters = createCounters();
-  /** Every job that was ever submitted. */
+  /** All jobs that were ever submitted. */
   readonly specs = new Map<string, JobSpec>();
-  /** Jobs whose tasks end in error wherever they run. */
+  /** Jobs whose tasks end in error on every machine. */
   readonly failingJobs = new Set<string>();
-  /** Until when each fault of the cloud and the key-value store lasts. */
+  /** When each fault of the cloud and the key-value store ends. */
   readonly faultTimes = {
     cloudDownUntil: 0,
-    /** The cloud refuses to provision. */
+    /** The cloud rejects provision requests. */
     noCapacityUntil: 0,
-    /** Machines that are provisioned never come up. */
+    /** Provisioned machines never boot. */
     bootFaultsUntil: 0,
     storeDownUntil: 0,
     storeSlowUntil: 0,
-    /** Some transactions are carried out late, or at once with their answer late. */
+    /** Some transactions, or just their answers, are late. */
     lateWritesUntil: 0,
-    /** Between the store's refusal of one leader and its outage for all. */
+    /** From the store's rejection of one leader to its outage for all. */
     refusalGapUntil: 0,
   };
-  /** When all controllers have this version; both versions take turns before. */
+  /** When all controllers run the current version; until then either version may lead. */
   readonly upgradedAt: number;
-  /** When the limits of the key-value store fall. */
+  /** When the limits of the key-value store are reduced. */
   readonly limitsReducedAt: number;
   private readonly rng;
   private messages: Message[] = [];
@@ -54,47 +54,46 @@
     this.limitsReducedAt = this.upgradedAt + this.int(0, 40_000);
   }
 
-  /** Draws a whole number between two, both included. */
+  /** Draws an integer from `low` to `high`, both included. */
   int(low: number, high: number): number {
     return uniformInt(this.rng, low, high);
   }
 
-  /** True in so many of a hundred draws. */
+  /** Draws true with a probability of `percent`. */
   chance(percent: number): boolean {
     return this.int(1, 100) <= percent;
   }
 
-  /** Draws a network delay: mostly short, now and then held up for a while. */
+  /** Draws a network delay: mostly short, sometimes seconds. */
   delay(): number {
     return this.chance(4) ? this.int(500, 9000) : this.int(1, 40);
   }
 
-  /** Does something after a delay. */
+  /** Schedules an action after a delay. */
   after(delay: number, act: () => void): void {
     this.messages.push({ at: this.now + delay, act });
   }
 
-  /** Does what is due, in the order of its times. */
+  /** Runs the due actions in the order of their times. */
   deliverDue(): void {
     const due = this.messages.filter((m) => m.at <= this.now).sort((a, b) => a.at - b.at);
     this.messages = this.messages.filter((m) => m.at > this.now);
     for (const { act } of due) act();
   }
 
-  /** A ticket that was not given before. */
+  /** Returns an unused ticket. */
   nextTicket(): ReplyTicket {
     this.lastTicket += 1;
     return this.lastTicket as ReplyTicket;
   }
 
-  /** The spec of a job that was submitted. */
+  /** The spec of a submitted job; throws if the job is unknown. */
   specOf(id: string): JobSpec {
     const spec = this.specs.get(id);
-    if (!spec) throw new Error(`no job ${id}`);
+    if (!spec) throw new Error(`job ${id} was never submitted`);
     return spec;
   }
 
-  /** Whether a job is a service. */
   isService(id: string): boolean {
     return this.specOf(id).shape === 'service';
   }
--- a/test/support/simulated-world/task-execution.ts
+++ b/test/support/simulated-world/task-execution.ts
@@ -1,4 +1,4 @@
-/** What workers do with tasks: they start, run, end and stop them, and drop ended ones. */
+/** Execution of tasks by workers: start, progress, end, stop and removal. */
 import type { WorkerCommand } from '../../../src/core/model/worker-command.js';
 import type { Machine, MachineTask } from './fleet.js';
 import type { Interruptions } from './interruptions.js';
@@ -10,7 +10,7 @@
 
 type StartCommand = Extract<WorkerCommand, { op: 'start' }>;
 
-/** The parts of the world that tasks touch. */
+/** The parts of the world that tasks use. */
 export interface TaskDependencies {
   readonly sim: Simulation;
   readonly stored: StoredData;
@@ -23,15 +23,16 @@
 export class TaskExecution {
   constructor(private readonly world: TaskDependencies) {}
 
-  /** Carries out commands of a leader. */
-  execute(machine: Machine, commands: readonly WorkerCommand[], byOldVersion: boolean): void {
+  /** Executes a leader's commands on a machine. */
+  execute(machine: Machine, commands: readonly WorkerCommand[], byPreviousVersion: boolean): void {
     for (const command of commands) {
       const { job, index, attempt } = command;
-      const isMeant = (t: MachineTask) =>
+      const isTarget = (t: MachineTask) =>
         t.job === job && t.index === index && t.attempt === attempt;
       if (command.op === 'start') this.start(machine, command);
-      else if (command.op === 'kill') this.stop(machine, machine.tasks.find(isMeant), byOldVersion);
-      else machine.tasks = machine.tasks.filter((t) => !(t.state === 'ended' && isMeant(t)));
+      else if (command.op === 'kill')
+        this.stop(machine, machine.tasks.find(isTarget), byPreviousVersion);
+      else machine.tasks = machine.tasks.filter((t) => !(t.state === 'ended' && isTarget(t)));
     }
   }
 
@@ -46,23 +47,23 @@
     }
     checks.checkStart(machine, job, index, attempt);
     const isEndless = spec.shape === 'service' && sim.chance(70);
-    // Some run for longer than a cancellation may take.
+    // Some tasks run for longer than a cancellation may take.
     const runMs = sim.chance(6) ? sim.int(20_000, 120_000) : sim.int(500, 20_000);
     const leftMs = isEndless ? Number.POSITIVE_INFINITY : runMs;
     machine.tasks.push({ job, index, attempt, state: 'running', cause: null, remainingMs: leftMs });
   }
 
-  private stop(machine: Machine, t: MachineTask | undefined, byOldVersion: boolean): void {
+  private stop(machine: Machine, t: MachineTask | undefined, byPreviousVersion: boolean): void {
     const { sim, stored, interruptions } = this.world;
     if (!t || t.state === 'ended') return;
     if (machine.reclaimAt !== null && stored.jobs.has(t.job) && sim.isService(t.job))
       sim.counters.services.moves += 1;
-    interruptions.recordStop(machine, t, byOldVersion);
+    interruptions.recordStop(machine, t, byPreviousVersion);
     t.state = 'ended';
     t.cause = 'stopped';
   }
 
-  /** Plays some time on a machine's tasks; returns whether one has ended. */
+  /** Advances a machine's tasks by `passedMs`; returns whether one has ended. */
   advance(machine: Machine, passedMs: number): boolean {
     let hasEnded = false;
     for (const t of machine.tasks) {
@@ -84,7 +85,7 @@
       if (sim.chance(50)) t.cause = 'error';
     } else if (t.cause === 'done') {
       interruptions.doneTasks.add(`${t.job}/${t.index}`);
-      // A cancellation meets the end of a task, of the last one too.
+      // Some cancellations coincide with the end of a task, even of the job's last one.
       if (sim.chance(2)) {
         sim.counters.compoundFaults.cancelledAtEnd += 1;
         sim.after(sim.int(0, 1500), () => users.cancel(t.job));
--- a/test/support/simulated-world/users.ts
+++ b/test/support/simulated-world/users.ts
@@ -10,7 +10,7 @@
 import { TEAMS } from './settings.js';
 import type { Simulation } from './simulation.js';
 
-/** Draws what users do. */
+/** Draws requests of users, and sends those of operators. */
 export class Users {
   private readonly answerHandlers = new Map<number, (answer: OperatorAnswer) => void>();
 
@@ -48,7 +48,7 @@
       leader.queue.push({ kind: 'job', spec, submittedAt: sim.now as Instant });
   }
 
-  /** Services take no more than a third of a team's quota, so that its arrays get done beside them. */
+  /** Limits services to a third of a team's quota, so that its arrays can finish; else null. */
   private drawService(owner: TeamName): Partial<JobSpec> | null {
     const { sim } = this;
     const tasks = sim.int(1, 4);
@@ -58,7 +58,7 @@
     }
     if (cpus * 3 > TEAMS.find((t) => t.name === owner)!.cpusMax) return null;
     const isCritical = sim.chance(70) && sim.options.preemption !== false;
-    // One that must be in one zone and spread over several could never run in full.
+    // A service bound to one zone but spread over several could never run all replicas.
     const spread = sim.chance(30) ? { spreadZones: true, zone: null } : { spreadZones: false };
     return {
       shape: 'service',
@@ -72,7 +72,7 @@
     };
   }
 
-  /** Requests the cancellation of a job, a drawn one unless it is named. */
+  /** Requests the cancellation of a job, a drawn one unless `which` names it. */
   cancel(which?: string): void {
     const { sim, leaders } = this;
     const all = [...this.stored.jobs.keys()];
@@ -86,7 +86,7 @@
     leader.queue.push({ kind: 'cancel-job', job: id as JobId, ticket });
   }
 
-  /** An operator's call to the leader; null when there is none, or it is of the other version. */
+  /** Sends an operator's call to the leader; null if there is none or it has no extensions. */
   operate(call: OperatorCall): { answer: OperatorAnswer | null } | null {
     const { sim, leaders } = this;
     const leader = leaders.current();
@@ -101,7 +101,7 @@
     return pending;
   }
 
-  /** The leader answers an operator's call. */
+  /** Delivers the leader's answer to an operator's call. */
   receiveAnswer(ticket: number, answer: OperatorAnswer): void {
     this.answerHandlers.get(ticket)?.(answer);
   }
--- a/test/support/simulated-world/world.ts
+++ b/test/support/simulated-world/world.ts
@@ -1,8 +1,8 @@
 /**
- * A world for the core to run against: workers, a key-value store and a cloud that follow the
- * protocol, with drawn delays, repeats, lost answers, silent machines, crashes and failovers. It
- * knows what really runs where, which the core only hears of, and checks the users' rules at every
- * step. This module owns its parts and the course of time.
+ * A simulated environment of the core: workers, a key-value store and a cloud that follow the
+ * protocol, with drawn delays, repeats, lost answers, unreachable machines, crashes and failovers.
+ * It knows the actual state, which the core only learns from messages, and checks the users' rules
+ * at every step. This module creates the parts and advances the clock.
  */
 import type { OperatorAnswer, OperatorCall } from '../../../src/core/extensions/extension.js';
 import { Faults } from './faults.js';
@@ -19,14 +19,14 @@
 import { TaskExecution } from './task-execution.js';
 import { Users } from './users.js';
 
-/** How far the clock goes on at a time. */
+/** Step of the clock. */
 const STEP_MS = 50;
-/** How often leaders get a tick. */
+/** Interval of the leaders' ticks. */
 const TICK_MS = 250;
 
-/** One drawn history; the same seed and options give the same one. */
+/** One drawn history, which the seed and options determine. */
 export class SimulatedWorld {
-  /** Kinds of interruption, for checks of budgets. */
+  /** Interrupted tasks, for checks of disruption budgets. */
   readonly interruptions: Interruptions;
   private readonly sim: Simulation;
   private readonly stored: StoredData = createStoredData();
@@ -63,27 +63,26 @@
     leaders.elect();
   }
 
-  /** The steady clock, in milliseconds. */
+  /** The monotonic clock, in milliseconds. */
   get now(): number {
     return this.sim.now;
   }
 
-  /** Broken rules. */
   get problems(): readonly string[] {
     return this.sim.problems;
   }
 
-  /** What the history has reached. */
+  /** Counts of what happened in the history. */
   get counters(): Simulation['counters'] {
     return this.sim.counters;
   }
 
-  /** Until when faults of the cloud and the key-value store last; tests may set them. */
+  /** When faults of cloud and key-value store end; tests may set these times. */
   get faultTimes(): Simulation['faultTimes'] {
     return this.sim.faultTimes;
   }
 
-  /** Plays some milliseconds; with `calm`, no new jobs and no new faults. */
+  /** Advances the clock; with `calm`, without new jobs, cancellations and faults. */
   advance(ms: number, calm: boolean): void {
     const { sim } = this;
     const end = sim.now + ms;
@@ -118,17 +117,17 @@
     this.faults.heal();
   }
 
-  /** An operator's call; null when no leader of this version can take it. */
+  /** Sends an operator's call; null if no leader of the current version can receive it. */
   operate(call: OperatorCall): { answer: OperatorAnswer | null } | null {
     return this.users.operate(call);
   }
 
-  /** Tasks that were stopped by decision and do not run again yet. */
+  /** Tasks that a leader stopped by its own decision and that do not run again yet. */
   voluntaryInterruptions(): Interruption[] {
     return this.interruptions.openVoluntaryInterruptions();
   }
 
-  /** Arrays that are still open though they could have been done. */
+  /** Unfinished arrays, without those that can only fail. */
   unfinishedArrays(): string[] {
     const { sim } = this;
     return [...this.stored.jobs.keys()].filter(
@@ -136,7 +135,7 @@
     );
   }
 
-  /** Jobs with a waiting task that a machine has room for, whose team is under its quota. */
+  /** Jobs with a waiting task that fits on a machine and within the team's quota. */
   jobsWaitingDespiteCapacity(): string[] {
     return [...this.stored.jobs.keys()].filter((id) => this.waitsDespiteCapacity(id));
   }
@@ -160,7 +159,7 @@
       );
   }
 
-  /** A job's tasks on machines, with those done but not dropped yet, and those done. */
+  /** Counts a job's active and done tasks; those done but still reported by a machine twice. */
   private countPlacedOrDone(id: string): number {
     let count = 0;
     for (const machine of this.fleet.machines.values()) {
@@ -172,12 +171,11 @@
     return count;
   }
 
-  /** How many services there are. */
   serviceCount(): number {
     return [...this.stored.jobs.keys()].filter((id) => this.sim.isService(id)).length;
   }
 
-  /** Services of which not all replicas run, though they could. */
+  /** Services with missing replicas, without those that can only fail. */
   servicesShortOfReplicas(): string[] {
     const { sim, fleet } = this;
     return [...this.stored.jobs.keys()].filter(
