--- a/test/model/plain-backfill.ts
+++ b/test/model/plain-backfill.ts
@@ -201,7 +201,7 @@
   const hasReplica = (machine: PlainMachine) =>
     attemptsOn(machine).some((r) => jobOf(r.job).shape === 'service');
   const reserveMachines = () => {
-    const before = reservedForServices;
+    const alreadyReserved = reservedForServices;
     reservedForServices = new Set();
     // Nothing is reserved while an array's first task is overdue.
     const hasOverdueFirstTask = arrays.some(
@@ -212,12 +212,13 @@
     if (hasOverdueFirstTask) return;
     let cpusToReserve =
       1.5 * cpusByService.reduce((a, b) => a + b, 0) + 2 * Math.max(0, ...cpusByService);
-    const rank = (machine: PlainMachine) => (hasReplica(machine) ? 2 : before.has(machine) ? 1 : 0);
-    for (let turn = 0; turn < onDemand.length; turn += 1) {
+    const rank = (machine: PlainMachine) =>
+      hasReplica(machine) ? 2 : alreadyReserved.has(machine) ? 1 : 0;
+    for (let position = 0; position < onDemand.length; position += 1) {
       for (const z of [...new Set(onDemand.map((machine) => machine.zone))]) {
         const list = onDemand.filter((machine) => machine.zone === z);
         list.sort((a, b) => rank(b) - rank(a) || (a.id < b.id ? -1 : 1));
-        const machine = list[turn];
+        const machine = list[position];
         if (!machine || cpusToReserve <= 0) continue;
         reservedForServices.add(machine);
         cpusToReserve -= machine.cpus;
@@ -265,10 +266,10 @@
       .filter((attempt) => attempt.machine === machine.id)
       .map((attempt) => attempt.job);
     if (formerJobs.includes(job.id)) return 0;
-    const names = new Set(
+    const fetchingJobs = new Set(
       [...newAttempts.map((r) => r.job), job.id].filter((id) => !formerJobs.includes(id)),
     );
-    return [...names].reduce((total, id) => total + jobOf(id).imageGb, 0);
+    return [...fetchingJobs].reduce((total, id) => total + jobOf(id).imageGb, 0);
   };
   const placeJob = (job: PlainJob, maxTasks = Infinity) => {
     let placedTasks = 0;
@@ -285,7 +286,7 @@
     const hasMaxShare = (machine: PlainMachine) => (count(machine) >= maxShare ? 1 : 0);
     const delayStep = (machine: PlainMachine) => Math.floor(startDelayMs.get(machine.id)! / 3000);
     const delayS = (machine: PlainMachine) => Math.floor(startDelayMs.get(machine.id)! / 1000);
-    const before = new Map(world.machines.map((machine) => [machine.id, count(machine)]));
+    const initialCount = new Map(world.machines.map((machine) => [machine.id, count(machine)]));
     let zone: string | null = null;
     if (job.singleZone && zonesOf(job).length === 0) {
       const slots = new Map<string, number>();
@@ -307,11 +308,11 @@
         )
           return false;
         if (shadowTime === 0 || end <= shadowTime) return true;
-        const before = attempts
+        const attemptsBefore = attempts
           .slice(0, world.attempts.length)
           .filter((r) => r.machine === other.id && !endedAttempts.includes(r));
         const atShadowTime = [
-          ...before,
+          ...attemptsBefore,
           ...attempts
             .slice(world.attempts.length)
             .filter(
@@ -338,7 +339,7 @@
             delayStep(a) - delayStep(b) ||
             count(a) - count(b) ||
             delayS(a) - delayS(b) ||
-            before.get(a.id)! - before.get(b.id)!,
+            initialCount.get(a.id)! - initialCount.get(b.id)!,
         );
       }
       const equallyPowerful = feasible.filter((other) => hasEqualPower(other, feasible[0]!));
@@ -420,9 +421,9 @@
   let missingTasks = queueHead ? Math.min(pendingTasks(queueHead), tasksWithinQuota(queueHead)) : 0;
   if (queueHead && missingTasks > 0) {
     const ends = attempts
-      .map((r, at) => ({ r, at }))
+      .map((r, position) => ({ r, position }))
       .filter(({ r }) => r.end < Infinity)
-      .sort((a, b) => a.r.end - b.r.end || a.at - b.at);
+      .sort((a, b) => a.r.end - b.r.end || a.position - b.position);
     for (const { r } of ends) {
       if (missingTasks <= 0) break;
       endedAttempts = [...endedAttempts, r];
--- a/test/stand-ins/worker.ts
+++ b/test/stand-ins/worker.ts
@@ -150,13 +150,13 @@
     if (reply.Baton < this.fencingToken) return;
     this.fencingToken = reply.Baton;
     for (const command of reply.Orders) {
-      const held = this.tasks.get(command.Piece);
-      const isHeld = held?.Try === command.Try;
+      const known = this.tasks.get(command.Piece);
+      const isSameAttempt = known?.Try === command.Try;
       if (command.Verb === 'start') {
-        if (!isHeld) this.start(command);
+        if (!isSameAttempt) this.start(command);
       } else if (command.Verb === 'kill') {
-        if (held && isHeld && held.Status !== 'ended') this.kill(held);
-      } else if (command.Verb === 'reap' && isHeld && held?.Status === 'ended')
+        if (known && isSameAttempt && known.Status !== 'ended') this.kill(known);
+      } else if (command.Verb === 'reap' && isSameAttempt && known?.Status === 'ended')
         this.tasks.delete(command.Piece);
     }
   }
--- a/test/support/core-driver.ts
+++ b/test/support/core-driver.ts
@@ -14,7 +14,7 @@
 const MAX_STEPS_FOR_REPLY = 12;
 const MAX_STEPS_FOR_REPLIES = 16;
 
-/** Drives a core; batches are stored at once. */
+/** Drives a core; batches are stored at once, so that tests need not do so. */
 export class CoreDriver {
   now = 0;
   readonly state: CoreState;
--- a/test/support/simulated-world/faults.ts
+++ b/test/support/simulated-world/faults.ts
@@ -106,7 +106,7 @@
     }
   }
 
-  /** The leader crashes, or loses its lease unnoticed; a successor is elected afterwards. */
+  /** The leader crashes, or loses its lease unnoticed; the next follows once the lease expires. */
   private endLeaderLease(all: readonly Machine[]): void {
     const { sim, leaders } = this.world;
     const leader = leaders.current();
@@ -134,7 +134,7 @@
     );
   }
 
-  /** Adds a machine that no current leader requested. */
+  /** Adds a machine that the current leader did not request. */
   private addUnknownMachine(): void {
     const { fleet } = this.world;
     if (fleet.machines.size < 8) fleet.add(false, 500);
--- a/test/support/simulated-world/key-value-store.ts
+++ b/test/support/simulated-world/key-value-store.ts
@@ -11,7 +11,7 @@
 /** The stored data. */
 export interface StoredData {
   /** Unfinished jobs. */
-  readonly jobs: Map<string, { readonly spec: JobSpec; readonly at: number }>;
+  readonly jobs: Map<string, { readonly spec: JobSpec; readonly submittedAt: number }>;
   /** Outcomes of ended jobs. */
   readonly completions: Map<string, string>;
   /** Ledger segments, as JSON texts. */
@@ -94,15 +94,15 @@
     const { problems } = this.sim;
     switch (op.kind) {
       case 'write-segment': {
-        if (data.ledger.has(op.key)) problems.push(`record written twice ${op.key}`);
+        if (data.ledger.has(op.key)) problems.push(`ledger segment written twice: ${op.key}`);
         const text = JSON.stringify(encodeSegment(op));
         if (text.length > (isOldVersion ? INITIAL_LIMITS : REDUCED_LIMITS).maxValueBytes)
-          problems.push(`record of ${text.length} bytes`);
+          problems.push(`ledger segment over the size limit: ${text.length} bytes`);
         data.ledger.set(op.key, text);
         return;
       }
       case 'delete-segment':
-        if (!data.ledger.delete(op.key)) problems.push(`record dropped twice ${op.key}`);
+        if (!data.ledger.delete(op.key)) problems.push(`ledger segment deleted twice: ${op.key}`);
         return;
       case 'write-extension-records':
         for (const { key, value } of op.writes) this.writeRecord(`${op.extension}/${key}`, value);
@@ -124,7 +124,7 @@
     }
     const text = JSON.stringify(value);
     if (text.length > REDUCED_LIMITS.maxValueBytes)
-      this.sim.problems.push(`record ${key} of ${text.length} bytes`);
+      this.sim.problems.push(`extension record ${key} over the size limit: ${text.length} bytes`);
     this.data.records.set(key, text);
   }
 }
--- a/test/support/simulated-world/leaders.ts
+++ b/test/support/simulated-world/leaders.ts
@@ -125,9 +125,9 @@
   private recover(leader: Leader): void {
     const { queue } = leader;
     queue.push({ kind: 'machine-types', types: [MACHINE_TYPE] });
-    for (const [, { spec, at }] of this.store.data.jobs) {
+    for (const [, { spec, submittedAt }] of this.store.data.jobs) {
       if (leader.isPreviousVersion && spec.shape === 'service') continue;
-      queue.push({ kind: 'job', spec, submittedAt: at as Instant });
+      queue.push({ kind: 'job', spec, submittedAt: submittedAt as Instant });
     }
     const attempts: Command[] = [];
     for (const [segment, text] of this.store.data.ledger) {
--- a/test/support/simulated-world/rule-checks.ts
+++ b/test/support/simulated-world/rule-checks.ts
@@ -32,7 +32,7 @@
     if (spec.shape === 'service') sim.counters.services.starts += 1;
     this.checkRunsOnce(machine, id, index);
     if (this.attempts.has(`${name}#${attempt}`))
-      sim.problems.push(`attempt given twice ${name}#${attempt}`);
+      sim.problems.push(`attempt ID used twice: ${name}#${attempt}`);
     this.attempts.add(`${name}#${attempt}`);
     this.checkPlace(machine, name, spec);
   }
@@ -55,10 +55,10 @@
     if (machine.spot && !spec.allowsSpot) problems.push(`wrong_place spot ${name}`);
     const zones = this.fleet.zonesOf(spec.id);
     if (spec.singleZone && zones.some((zone) => zone !== machine.zone))
-      problems.push(`wrong_place one zone ${name}`);
+      problems.push(`wrong_place single zone ${name}`);
     const maxPerZone = Math.ceil(spec.tasks / 2);
     if (spec.spreadZones && zones.filter((zone) => zone === machine.zone).length >= maxPerZone)
-      problems.push(`wrong_place scatter ${name}`);
+      problems.push(`wrong_place spread zones ${name}`);
   }
 
   /** Checks the rules that hold at any time. */
@@ -93,7 +93,7 @@
   }: Extract<Effect, { kind: 'cancellation-settled' }>): void {
     const id = this.interruptions.cancelRequests.get(ticket)!;
     if (outcome !== null && this.stored.completions.get(id) !== outcome)
-      this.sim.problems.push(`told before it was stored ${id}`);
+      this.sim.problems.push(`outcome reported before it was stored: ${id}`);
   }
 
   /** Records a stored cancellation, which the leader may not know of yet. */
@@ -101,7 +101,8 @@
     const { sim } = this;
     this.cancelledAt.set(job, sim.now);
     if (sim.now < sim.faultTimes.refusalGapUntil) sim.counters.compoundFaults.cancelledInGap += 1;
-    if (!this.interruptions.isCancelRequested(job)) sim.problems.push(`cancelled by nobody ${job}`);
+    if (!this.interruptions.isCancelRequested(job))
+      sim.problems.push(`cancelled without a request: ${job}`);
   }
 
   /** Checks that machines are returned without tasks unless they are lost. */
@@ -111,7 +112,7 @@
       const isLostOrUnknown =
         !known || known.lostAt !== null || known.isUnreachable || !known.hasReported;
       if (!isLostOrUnknown && this.fleet.machines.get(id)?.isBusy())
-        this.sim.problems.push(`returned with work ${id}`);
+        this.sim.problems.push(`machine returned while it ran tasks: ${id}`);
     }
   }
 }
--- a/test/support/simulated-world/task-execution.ts
+++ b/test/support/simulated-world/task-execution.ts
@@ -38,10 +38,10 @@
 
   private start(machine: Machine, { job, index, attempt }: StartCommand): void {
     const { sim, checks } = this.world;
-    const held = machine.tasks.find((t) => t.job === job && t.index === index);
-    if (held?.attempt === attempt) return;
+    const existing = machine.tasks.find((t) => t.job === job && t.index === index);
+    if (existing?.attempt === attempt) return;
     const spec = sim.specOf(job);
-    if (held || machine.usedCpus(sim.specs) + spec.cpus > MACHINE_TYPE.cpus) {
+    if (existing || machine.usedCpus(sim.specs) + spec.cpus > MACHINE_TYPE.cpus) {
       machine.tasks.push({ job, index, attempt, state: 'ended', cause: 'error', remainingMs: 0 });
       return;
     }
--- a/test/support/simulated-world/users.ts
+++ b/test/support/simulated-world/users.ts
@@ -42,7 +42,7 @@
     });
     sim.specs.set(id, spec);
     if (sim.chance(4)) sim.failingJobs.add(id);
-    this.stored.jobs.set(id, { spec, at: sim.now });
+    this.stored.jobs.set(id, { spec, submittedAt: sim.now });
     const leader = this.leaders.current();
     if (leader && !(leader.isPreviousVersion && service))
       leader.queue.push({ kind: 'job', spec, submittedAt: sim.now as Instant });
--- a/test/support/simulated-world/world.ts
+++ b/test/support/simulated-world/world.ts
@@ -82,17 +82,17 @@
     return this.sim.faultTimes;
   }
 
-  /** Advances the clock; with `calm`, without new jobs, cancellations and faults. */
-  advance(ms: number, calm: boolean): void {
+  /** Advances the clock by `ms`, optionally without new jobs, cancellations and faults. */
+  advance(ms: number, withoutNewEvents: boolean): void {
     const { sim } = this;
     const end = sim.now + ms;
-    while (sim.now < end && sim.problems.length === 0) this.step(calm);
+    while (sim.now < end && sim.problems.length === 0) this.step(withoutNewEvents);
   }
 
-  private step(calm: boolean): void {
+  private step(withoutNewEvents: boolean): void {
     const { sim, leaders } = this;
     sim.now += STEP_MS;
-    if (!calm) this.drawEvents();
+    if (!withoutNewEvents) this.drawEvents();
     sim.deliverDue();
     leaders.stopPreviousVersionWhenUpgraded();
     leaders.renewLease();
