--- a/test/model/plain-backfill.ts
+++ b/test/model/plain-backfill.ts
@@ -53,7 +53,7 @@
   end: number;
 }
 
-/** The input of one scheduling round. */
+/** The input of one scheduling round; `now` is in milliseconds. */
 export interface PlainWorld {
   now: number;
   deadlineEstimateFactor: number;
--- a/test/stand-ins/cluster.ts
+++ b/test/stand-ins/cluster.ts
@@ -187,7 +187,7 @@
   ...overrides,
 });
 
-/** Requests a job from a controller; null if there was no response. */
+/** Requests a job from a controller; null without a response. */
 export const getJob = async (address: string, id: string) =>
   (await requestJson(address, `/api/jobs/${id}`, undefined, 'GET')) as {
     status: number;
--- a/test/stand-ins/worker.ts
+++ b/test/stand-ins/worker.ts
@@ -77,8 +77,8 @@
   }
 
   private recordEvent(kind: TaskEvent['kind'], task: string): void {
-    const { taskEvents: history } = this.environment;
-    history.push({ at: Date.now(), kind, task, machine: this.machine.id });
+    const { taskEvents } = this.environment;
+    taskEvents.push({ at: Date.now(), kind, task, machine: this.machine.id });
   }
 
   private ranMs(task: string): number {
--- a/test/support/simulated-world/key-value-store.ts
+++ b/test/support/simulated-world/key-value-store.ts
@@ -89,14 +89,14 @@
     return ops.length;
   }
 
-  private write(op: StoreOperation, { isPreviousVersion: isOldVersion }: Leader): void {
+  private write(op: StoreOperation, { isPreviousVersion }: Leader): void {
     const { data } = this;
     const { problems } = this.sim;
     switch (op.kind) {
       case 'write-segment': {
         if (data.ledger.has(op.key)) problems.push(`ledger segment written twice: ${op.key}`);
         const text = JSON.stringify(encodeSegment(op));
-        if (text.length > (isOldVersion ? INITIAL_LIMITS : REDUCED_LIMITS).maxValueBytes)
+        if (text.length > (isPreviousVersion ? INITIAL_LIMITS : REDUCED_LIMITS).maxValueBytes)
           problems.push(`ledger segment over the size limit: ${text.length} bytes`);
         data.ledger.set(op.key, text);
         return;
--- a/test/support/simulated-world/leaders.ts
+++ b/test/support/simulated-world/leaders.ts
@@ -66,10 +66,10 @@
       return;
     }
     this.store.data.fencingToken += sim.int(1, 5);
-    const isOldVersion = sim.now < sim.upgradedAt && sim.chance(50);
-    const leader = this.createLeader(this.store.data.fencingToken, isOldVersion);
+    const isPreviousVersion = sim.now < sim.upgradedAt && sim.chance(50);
+    const leader = this.createLeader(this.store.data.fencingToken, isPreviousVersion);
     const before = this.list.at(-1);
-    if (before && before.isPreviousVersion !== isOldVersion) sim.counters.versionChanges += 1;
+    if (before && before.isPreviousVersion !== isPreviousVersion) sim.counters.versionChanges += 1;
     this.list.push(leader);
     sim.counters.failovers += 1;
     this.countUnreachedMachinesAtQuota();
@@ -78,7 +78,7 @@
     this.recover(leader);
   }
 
-  private createLeader(fencingToken: number, isOldVersion: boolean): Leader {
+  private createLeader(fencingToken: number, isPreviousVersion: boolean): Leader {
     const { sim } = this;
     const { module } = sim.options;
     const state = core({
@@ -86,12 +86,13 @@
       acquiredAt: sim.now as Instant,
       teams: new Map(TEAMS.map((t) => [t.name, t])),
       graceAfterLeaseLossMs: GRACE_MS,
-      ...(isOldVersion ? INITIAL_LIMITS : REDUCED_LIMITS),
+      ...(isPreviousVersion ? INITIAL_LIMITS : REDUCED_LIMITS),
     });
-    if (!isOldVersion && module) state.extensions = new ExtensionHost(state, [module.create()]);
+    if (!isPreviousVersion && module)
+      state.extensions = new ExtensionHost(state, [module.create()]);
     return {
       fencingToken,
-      isPreviousVersion: isOldVersion,
+      isPreviousVersion,
       state,
       isCurrent: true,
       leaseValidUntil: sim.now + LEADER_LEASE_MS,
--- a/test/support/simulated-world/rule-checks.ts
+++ b/test/support/simulated-world/rule-checks.ts
@@ -76,10 +76,10 @@
 
   /** Checks that all tasks of a job that ends as done are done. */
   checkJobEnded({ job, outcome }: Extract<Effect, { kind: 'job-ended' }>): void {
-    const { problems, counters: reached } = this.sim;
+    const { problems, counters } = this.sim;
     const { shape, tasks } = this.sim.specOf(job);
     if (outcome === 'done' && shape === 'service') problems.push(`not_done ${job}`);
-    if (outcome === 'cancelled' && shape === 'service') reached.services.cancelled += 1;
+    if (outcome === 'cancelled' && shape === 'service') counters.services.cancelled += 1;
     if (outcome !== 'done') return;
     for (let i = 0; i < tasks; i += 1) {
       if (!this.interruptions.doneTasks.has(`${job}/${i}`)) problems.push(`not_done ${job}/${i}`);
--- a/test/support/simulated-world/task-execution.ts
+++ b/test/support/simulated-world/task-execution.ts
@@ -49,8 +49,8 @@
     const isEndless = spec.shape === 'service' && sim.chance(70);
     // Some tasks run for longer than a cancellation may take.
     const runMs = sim.chance(6) ? sim.int(20_000, 120_000) : sim.int(500, 20_000);
-    const leftMs = isEndless ? Number.POSITIVE_INFINITY : runMs;
-    machine.tasks.push({ job, index, attempt, state: 'running', cause: null, remainingMs: leftMs });
+    const remainingMs = isEndless ? Number.POSITIVE_INFINITY : runMs;
+    machine.tasks.push({ job, index, attempt, state: 'running', cause: null, remainingMs });
   }
 
   private stop(machine: Machine, t: MachineTask | undefined, byPreviousVersion: boolean): void {
