--- a/test/isolated-leader.test.ts
+++ b/test/isolated-leader.test.ts
@@ -124,7 +124,7 @@
 describe('a leader that was paused after a decision', () => {
   it('sends no start decided before, as each reply checks the authority again', async () => {
     const { nodes, cloud } = await startCluster(1);
-    const { address: at, controller } = nodes[0]!;
+    const { address, controller } = nodes[0]!;
     const { leaderTerm, effectRunner } = internalsOf(controller);
     let isPaused = false;
     let decidedStarts = 0;
@@ -140,12 +140,12 @@
       decidedStarts = effect.commands.length;
       isPaused = true;
     });
-    expect((await requestJson(at, '/api/jobs', jobBody('job-1')))?.status).toBe(201);
+    expect((await requestJson(address, '/api/jobs', jobBody('job-1')))?.status).toBe(201);
     await until(() => decidedStarts > 0);
     await new Promise((resolve) => setTimeout(resolve, 300));
     expect(cloud.starts).toEqual([]);
     isPaused = false;
-    await until(async () => (await getJob(at, 'job-1'))?.body.Status === 'done');
+    await until(async () => (await getJob(address, 'job-1'))?.body.Status === 'done');
     expect(new Set(cloud.starts.map((s) => s.split('#')[0])).size).toBe(3);
     expect(cloud.starts).toHaveLength(3);
   });
--- a/test/service-jobs.test.ts
+++ b/test/service-jobs.test.ts
@@ -62,22 +62,22 @@
 
   it('is refused with 422 if its replicas exceed the team limit; an array is not', async () => {
     const { nodes, state } = await startCluster(1);
-    const { address: at } = nodes[0]!;
-    expect((await requestJson(at, '/api/jobs', serviceBody('job-1', { Pieces: 65 })))?.status).toBe(
-      422,
-    );
-    expect((await requestJson(at, '/api/jobs', jobBody('job-2', { Pieces: 65 })))?.status).toBe(
-      201,
-    );
-    expect((await requestJson(at, '/api/jobs', serviceBody('job-3', { Pieces: 64 })))?.status).toBe(
-      201,
-    );
+    const { address } = nodes[0]!;
+    expect(
+      (await requestJson(address, '/api/jobs', serviceBody('job-1', { Pieces: 65 })))?.status,
+    ).toBe(422);
+    expect(
+      (await requestJson(address, '/api/jobs', jobBody('job-2', { Pieces: 65 })))?.status,
+    ).toBe(201);
     expect(
-      (await requestJson(at, '/api/jobs', serviceBody('job-4', { Shape: 'gang' })))?.body,
+      (await requestJson(address, '/api/jobs', serviceBody('job-3', { Pieces: 64 })))?.status,
+    ).toBe(201);
+    expect(
+      (await requestJson(address, '/api/jobs', serviceBody('job-4', { Shape: 'gang' })))?.body,
     ).toMatchObject({
       error: expect.stringMatching(/^Shape/),
     });
-    expect((await getJob(at, 'job-1'))?.status).toBe(404);
+    expect((await getJob(address, 'job-1'))?.status).toBe(404);
     expect(state.keys.has('j/job-3')).toBe(true);
   });
 });
@@ -85,29 +85,36 @@
 describe('a service that must be spread over zones', () => {
   it('is refused with 422 if it may use one zone only; an array is not', async () => {
     const { nodes } = await startCluster(1);
-    const { address: at } = nodes[0]!;
+    const { address } = nodes[0]!;
     const spread = { Scatter: true, Pieces: 2 };
     for (const [id, change] of [
       ['job-1', { Yard: 'a' }],
       ['job-2', { OneZone: true }],
     ] as const) {
-      const answer = await requestJson(at, '/api/jobs', serviceBody(id, { ...spread, ...change }));
+      const answer = await requestJson(
+        address,
+        '/api/jobs',
+        serviceBody(id, { ...spread, ...change }),
+      );
       expect(answer?.status).toBe(422);
       expect(answer?.body).toMatchObject({ error: expect.stringMatching(/spread/) });
       expect(
-        (await requestJson(at, '/api/jobs', jobBody(`${id}1`, { ...spread, ...change })))?.status,
+        (await requestJson(address, '/api/jobs', jobBody(`${id}1`, { ...spread, ...change })))
+          ?.status,
       ).toBe(201);
       expect(
         (
           await requestJson(
-            at,
+            address,
             '/api/jobs',
             serviceBody(`${id}2`, { ...change, Scatter: true, Pieces: 1 }),
           )
         )?.status,
       ).toBe(201);
     }
-    expect((await requestJson(at, '/api/jobs', serviceBody('job-3', spread)))?.status).toBe(201);
+    expect((await requestJson(address, '/api/jobs', serviceBody('job-3', spread)))?.status).toBe(
+      201,
+    );
   });
 });
 
@@ -116,40 +123,40 @@
     const next = { value_kb: 1, txn_ops: 3, write_rps: 200 };
     const { nodes, state, cloud } = await startCluster(2, { capacity: 6, storeLimits: { next } });
     state.limits = { valueBytes: 8192, txnOps: 16, writeRps: 1000 };
-    const { address: at } = nodes[0]!;
+    const { address } = nodes[0]!;
     cloud.taskMs = 10_000_000;
-    await requestJson(at, '/api/jobs', serviceBody('job-1', { Pieces: 4 }));
-    await until(async () => (await getJob(at, 'job-1'))?.body.running === 4);
+    await requestJson(address, '/api/jobs', serviceBody('job-1', { Pieces: 4 }));
+    await until(async () => (await getJob(address, 'job-1'))?.body.running === 4);
     cloud.taskMs = 20;
-    await requestJson(at, '/api/jobs', jobBody('job-2', { Pieces: 40 }));
-    await until(async () => (await getJob(at, 'job-2'))?.body.Status === 'done');
+    await requestJson(address, '/api/jobs', jobBody('job-2', { Pieces: 40 }));
+    await until(async () => (await getJob(address, 'job-2'))?.body.Status === 'done');
     state.limits = { valueBytes: 1024, txnOps: 3, writeRps: 200 };
     for (let i = 0; i < 10; i += 1)
       await until(
         async () =>
-          (await requestJson(at, '/api/jobs', jobBody(`job-3${i}`, { Pieces: 12 })))?.status ===
-          201,
+          (await requestJson(address, '/api/jobs', jobBody(`job-3${i}`, { Pieces: 12 })))
+            ?.status === 201,
       );
     for (let i = 0; i < 10; i += 1)
-      await until(async () => (await getJob(at, `job-3${i}`))?.body.Status === 'done');
+      await until(async () => (await getJob(address, `job-3${i}`))?.body.Status === 'done');
     // No request within the announced limits is refused for its size.
     expect(state.rejectedTransactions).toEqual([]);
     state.limits = { valueBytes: 500, txnOps: 2, writeRps: 200 };
-    await requestJson(at, '/api/jobs', jobBody('job-4', { Pieces: 40 }));
-    await until(async () => (await getJob(at, 'job-4'))?.body.Status === 'done');
+    await requestJson(address, '/api/jobs', jobBody('job-4', { Pieces: 40 }));
+    await until(async () => (await getJob(address, 'job-4'))?.body.Status === 'done');
     expect(new Set(state.rejectedTransactions).size).toBe(state.rejectedTransactions.length);
-    expect((await getJob(at, 'job-1'))?.body.running).toBe(4);
+    expect((await getJob(address, 'job-1'))?.body.running).toBe(4);
     expect(new Set(cloud.starts).size).toBe(cloud.starts.length);
   });
 
   it('cause 422 for a new job that no longer fits, and 200 for one accepted before', async () => {
     const { nodes, state } = await startCluster(2);
-    const { address: at } = nodes[0]!;
+    const { address } = nodes[0]!;
     const largeJob = (id: string) =>
       jobBody(id, { Hulls: ['c8', ...Array(40).fill('x'.repeat(30))], Pieces: 500 });
-    expect((await requestJson(at, '/api/jobs', largeJob('job-1')))?.status).toBe(201);
+    expect((await requestJson(address, '/api/jobs', largeJob('job-1')))?.status).toBe(201);
     state.limits.valueBytes = 600;
-    expect((await requestJson(at, '/api/jobs', largeJob('job-1')))?.status).toBe(200);
+    expect((await requestJson(address, '/api/jobs', largeJob('job-1')))?.status).toBe(200);
     expect((await requestJson(nodes[1]!.address, '/api/jobs', largeJob('job-1')))?.status).toBe(
       200,
     );
@@ -158,7 +165,7 @@
     expect(refused?.body).toMatchObject({
       error: expect.stringMatching(/larger than what the state service/),
     });
-    expect((await getJob(at, 'job-2'))?.status).toBe(404);
+    expect((await getJob(address, 'job-2'))?.status).toBe(404);
   });
 
   it('lower the client’s write rate until the store has refused nothing for a while', async () => {
@@ -206,7 +213,7 @@
     const lines: string[] = [];
     const log = pino({ level: 'info' }, { write: (line: string) => lines.push(line) });
     const { nodes, cloud, state } = await startCluster(1, { log });
-    const { address: at } = nodes[0]!;
+    const { address } = nodes[0]!;
     // By then the machines have been listed; nothing is provisioned before that.
     await until(() => cloud.workers.size > 0);
     cloud.sendsMalformedAnswers = true;
@@ -214,12 +221,14 @@
     const malformedLogs = () => lines.filter((l) => l.includes('malformed answer'));
     // More tasks than the machines provisioned before the fault can run in that time.
     cloud.taskMs = 500;
-    await requestJson(at, '/api/jobs', jobBody('job-1', { Pieces: 300, Cpus: 8 }));
+    await requestJson(address, '/api/jobs', jobBody('job-1', { Pieces: 300, Cpus: 8 }));
     await until(() => malformedLogs().some((l) => l.includes('provision')));
     cloud.sendsMalformedAnswers = false;
-    await until(async () => (await requestJson(at, '/api/jobs/job-1/abort', {}))?.status === 200);
-    await requestJson(at, '/api/jobs', jobBody('job-2', { Pieces: 1 }));
-    await until(async () => (await getJob(at, 'job-2'))?.body.Status === 'done');
+    await until(
+      async () => (await requestJson(address, '/api/jobs/job-1/abort', {}))?.status === 200,
+    );
+    await requestJson(address, '/api/jobs', jobBody('job-2', { Pieces: 1 }));
+    await until(async () => (await getJob(address, 'job-2'))?.body.Status === 'done');
     const provisions = malformedLogs().filter((l) => l.includes('provision'));
     expect(provisions).toHaveLength(1);
   });
