--- a/src/core/fleet/provision-requests.ts
+++ b/src/core/fleet/provision-requests.ts
@@ -20,7 +20,7 @@
 /** Time after which a response counts as lost and its request no longer counts as supply. */
 const RESPONSE_TIMEOUT_MS = 15_000 as Millis;
 /** Backoff of a pool per consecutive refusal, up to `MAX_COUNTED_REFUSALS`. */
-const REFUSAL_PAUSE_S = 4;
+const REFUSAL_BACKOFF_S = 4;
 const MAX_COUNTED_REFUSALS = 4;
 
 /** Drops requests whose response counts as lost, so that they no longer count as supply. */
@@ -62,7 +62,7 @@
     if (result === 'ok' && machines.length >= count) pool.refusals = 0;
     else {
       pool.refusals = Math.min(pool.refusals + 1, MAX_COUNTED_REFUSALS);
-      pool.retryAt = addMillis(now, seconds(REFUSAL_PAUSE_S * pool.refusals));
+      pool.retryAt = addMillis(now, seconds(REFUSAL_BACKOFF_S * pool.refusals));
     }
   }
 };
--- a/src/core/fleet/scale-in.ts
+++ b/src/core/fleet/scale-in.ts
@@ -46,11 +46,7 @@
  * Does nothing and returns false if it is not faulty or drains already, or if over a fifth of the
  * fleet drains: failures on that many machines are unlikely to be their fault.
  */
-export const quarantineFaultyMachine = (
-  state: CoreState,
-  machine: Machine,
-  now: Instant,
-): boolean => {
+export const drainFaultyMachine = (state: CoreState, machine: Machine, now: Instant): boolean => {
   if (machine.isDraining || machine.failedJobs.size < FAULTY_AFTER_FAILED_JOBS) return false;
   let draining = 0;
   for (const other of state.machines.values()) if (other.isDraining) draining += 1;
--- a/src/core/lifecycle/task-failures.ts
+++ b/src/core/lifecycle/task-failures.ts
@@ -1,7 +1,7 @@
 /** Task failures: whether the job or a machine is at fault, and how long the job backs off. */
 
 import type { CoreState } from '../core-state.js';
-import { quarantineFaultyMachine } from '../fleet/scale-in.js';
+import { drainFaultyMachine } from '../fleet/scale-in.js';
 import { logEvent } from '../log-event.js';
 import type { Effect } from '../model/effect.js';
 import type { Job, Machine, Placement } from '../model/entities.js';
@@ -50,7 +50,7 @@
   job.failedMachines.add(machine.id);
   machine.failedJobs.add(job.spec.id);
   if (failsEverywhere(job)) backOffJob(state, job, now, effects);
-  else if (quarantineFaultyMachine(state, machine, now))
+  else if (drainFaultyMachine(state, machine, now))
     logEvent(effects, 'info', 'tasks of several jobs failed on machine; replacing it', {
       machineId: machine.id,
     });
--- a/src/core/lifecycle/worker-leases.ts
+++ b/src/core/lifecycle/worker-leases.ts
@@ -20,9 +20,9 @@
  * lost its tasks this long plus one worker lease after the leader's lease expired. A job cancelled
  * without this leader's knowledge was cancelled under a later leader, so after that expiry.
  */
-export const graceAfterLeaseLoss = (cancelMs: Millis, leaseMs: Millis): Millis => {
+export const graceAfterLeaseLoss = (cancelMs: Millis, workerLeaseMs: Millis): Millis => {
   const availableMs =
-    (cancelMs - leaseMs * (1 + MAX_CLOCK_DRIFT)) / (1 + MAX_CLOCK_DRIFT) - CANCEL_MARGIN_MS;
+    (cancelMs - workerLeaseMs * (1 + MAX_CLOCK_DRIFT)) / (1 + MAX_CLOCK_DRIFT) - CANCEL_MARGIN_MS;
   return Math.max(0, Math.min(MAX_GRACE_MS, availableMs)) as Millis;
 };
 
