--- a/src/core/fleet/deletions.ts
+++ b/src/core/fleet/deletions.ts
@@ -10,7 +10,6 @@
 const MAX_MACHINES_PER_DELETION = 100;
 /** Boot time assumed for a machine whose type is unknown. */
 const DEFAULT_BOOT_S = 60;
-/** Added to the boot timeout. */
 const BOOT_TIMEOUT_MARGIN_MS = 15_000;
 
 /**
--- a/src/core/fleet/demand.ts
+++ b/src/core/fleet/demand.ts
@@ -52,8 +52,8 @@
 };
 
 /**
- * Measures demand (unfinished tasks within each team's limit) and supply. Until there has been no
- * demand for the policy's idle time, at least a share of the teams' guarantees is required.
+ * Measures demand (unfinished tasks within each team's quota) and supply. For the policy's idle
+ * time after the last demand, at least a share of the teams' guarantees is required.
  */
 export const measureDemand = (state: CoreState, now: Instant): CapacityDemand => {
   const { policy, teams } = state.config;
--- a/src/core/fleet/inventory.ts
+++ b/src/core/fleet/inventory.ts
@@ -12,7 +12,7 @@
 import { addMillis, type Instant, type Millis } from '../model/time.js';
 import { createMachine, hasMissedHeartbeats } from './machine-health.js';
 
-/** Added to the list's maximum age before a machine's absence from the list counts. */
+/** Added to the list's maximum age before absence from the list counts. */
 const LIST_LAG_MARGIN_MS = 2000;
 /** Maximum age of a list, in list lags: one list may be older than the list read before it. */
 const LIST_LAG_FACTOR = 3;
@@ -38,7 +38,7 @@
   });
 };
 
-/** Replaces the machine types; instance pools keep their refusals and open requests. */
+/** Replaces the machine types; instance pools keep their refusals and outstanding requests. */
 export const updateMachineTypes = (state: CoreState, types: readonly MachineType[]): void => {
   state.types.clear();
   for (const type of types) {
@@ -89,7 +89,6 @@
     if (!state.deletedMachines.has(listed.id))
       reconcileListedMachine(state, listed, requestedAt, now);
   }
-  // A list may be older than the previous one, so absence counts only for old enough machines.
   const graceMs = LIST_LAG_FACTOR * state.config.listLagMs + LIST_LAG_MARGIN_MS;
   for (const machine of state.machines.values()) {
     if (listedIds.has(machine.id) || requestedAt - machine.provisionedAt < graceMs) continue;
--- a/src/core/fleet/loss-detection.ts
+++ b/src/core/fleet/loss-detection.ts
@@ -1,7 +1,4 @@
-/**
- * Loss detection: marks machines that miss heartbeats as lost, and releases placements whose worker
- * lease has expired. A lost machine is replaced, but its tasks stay held until the lease expires.
- */
+/** Loss detection. A lost machine is replaced; its tasks stay held until the worker lease ends. */
 
 import type { CoreState } from '../core-state.js';
 import { releasePlacement } from '../lifecycle/attempts.js';
@@ -12,7 +9,7 @@
 
 /** Up to this many overdue machines are never a mass outage, however small the fleet is. */
 const MASS_OUTAGE_MIN_MACHINES = 2;
-/** Overdue machines above this share of the fleet, its usual headroom, count as a mass outage. */
+/** Above this share of overdue machines, the usual capacity headroom, there is a mass outage. */
 const MASS_OUTAGE_SHARE = 0.2;
 /** Above this share of overdue machines, this leader is more likely isolated than they are. */
 const LEADER_ISOLATION_SHARE = 0.6;
@@ -22,7 +19,7 @@
  */
 const REPLICA_TIMEOUT_INTERVALS = 2.5;
 const REPLICA_TIMEOUT_MIN_MS = 10_000;
-/** Heartbeat timeout during a mass outage, in worker leases, so that machines can recover. */
+/** Heartbeat timeout during a mass outage, in worker leases. */
 const MASS_OUTAGE_TIMEOUT_LEASES = 2;
 
 /** Time without a heartbeat, in milliseconds, after which a machine counts as lost. */
@@ -106,7 +103,7 @@
   machine.isReady = false;
 };
 
-/** Marks silent machines as lost and releases placements whose worker lease has expired. */
+/** Marks machines that miss heartbeats as lost, and releases placements whose lease expired. */
 export const detectLostMachines = (state: CoreState, now: Instant): void => {
   const timeouts = computeHeartbeatTimeouts(state, now);
   for (const machine of state.machines.values()) {
--- a/src/core/fleet/provision-requests.ts
+++ b/src/core/fleet/provision-requests.ts
@@ -13,11 +13,11 @@
 
 /** Maximum outstanding requests; list calls and deletions share the cloud's rate limit. */
 export const MAX_CONCURRENT_REQUESTS = 4;
-/** Lower bound on processors where prices and shares divide by them. */
+/** Least processors counted per machine or task: divisors and requests must not be 0. */
 export const MIN_COUNTED_CPUS = 0.1;
 
 const MAX_MACHINES_PER_REQUEST = 50;
-/** Time after which a response counts as lost and its request no longer counts as supply. */
+/** Time after which a response counts as lost. */
 const RESPONSE_TIMEOUT_MS = 15_000 as Millis;
 /** Backoff of a pool per consecutive refusal, up to `MAX_COUNTED_REFUSALS`. */
 const REFUSAL_BACKOFF_S = 4;
@@ -95,9 +95,9 @@
 }
 
 /**
- * Requests about `cpus` processors from the first pools that are not backing off. A pool's capacity
- * is known only from the response, so several pools each get an equal share in parallel; a share
- * that exceeds one request is split into several, the first (cheapest) pools first.
+ * Requests about `cpus` processors from the first (cheapest) pools that are not backing off. A
+ * pool's capacity is known only from the response, so several pools get equal shares in parallel; a
+ * share that exceeds one request is split into several.
  */
 export const requestCapacity = (
   context: ProvisionContext,
@@ -105,7 +105,7 @@
   cpus: number,
 ): void => {
   const { state, now, effects } = context;
-  // This tick's requests are in both counts, so later calls in a tick may issue fewer requests.
+  // Counts this tick's requests twice, so later calls in a tick may issue fewer requests.
   let outstandingCount = effects.length;
   for (const pool of state.instancePools.values())
     outstandingCount += pool.outstandingRequests.size;
--- a/src/core/fleet/scale-in.ts
+++ b/src/core/fleet/scale-in.ts
@@ -10,7 +10,7 @@
 
 /** A machine on which tasks of this many jobs have failed counts as faulty. */
 const FAULTY_AFTER_FAILED_JOBS = 2;
-/** Above this share of draining machines in the fleet, no further machine is quarantined. */
+/** Above this share of draining machines in the fleet, no further faulty one is drained. */
 const MAX_DRAINING_SHARE = 0.2;
 /** A checkpoint must be complete this long before the machine is reclaimed. */
 const RECLAIM_MARGIN_S = 0.5;
@@ -56,7 +56,7 @@
   return true;
 };
 
-/** Replicas are not evicted: they move once there is capacity elsewhere. */
+/** Excludes replicas, which `evictReplicas` moves once there is capacity elsewhere. */
 const isEvictable = (placement: Placement): boolean =>
   occupiesMachine(placement.phase) &&
   !placement.stopRequest &&
--- a/src/core/fleet/scale-out.ts
+++ b/src/core/fleet/scale-out.ts
@@ -39,7 +39,7 @@
 const MAX_JOBS_EXAMINED = 50;
 
 interface ScaleOutContext extends ProvisionContext {
-  /** All pools, ordered by price per processor. */
+  /** All pools, the cheapest per processor first. */
   readonly pools: readonly InstancePool[];
   /** Unfinished jobs with pending tasks. */
   readonly jobs: readonly Job[];
@@ -60,7 +60,7 @@
   return spec.cpus <= type.cpus && spec.gpus <= type.gpus && spec.memoryGb <= type.memoryGb;
 };
 
-/** Requests on-demand machines for services first; total demand is met from cheaper pools. */
+/** Requests on-demand machines for services, as total demand is met from cheaper pools. */
 const provisionForServices = (context: ScaleOutContext): void => {
   const { state, now, pools } = context;
   const requiredCpus = updateReservedOnDemandCpus(state, now);
@@ -122,8 +122,8 @@
 };
 
 /**
- * Whether a machine that failed a service does not count as capacity for it; otherwise no other
- * machine would be provisioned. Once several machines have failed it, the service is at fault.
+ * Whether a failed replica keeps the machine from counting as capacity for the service; otherwise
+ * no other would be provisioned. After failures on several machines, the service is at fault.
  */
 const isExcludedByFailures = (job: Job, machine: Machine): boolean =>
   isService(job) &&
@@ -142,7 +142,7 @@
   return spec.cpus <= cpus && spec.gpus <= gpus && spec.memoryGb <= memoryGb;
 };
 
-/** Whether a task of the job can start on the machine, now or once its array tasks have ended. */
+/** Whether a task of the job fits the machine, now or once the array tasks there have ended. */
 const isMachineSuitable = (state: CoreState, job: Job, machine: Machine): boolean => {
   const type = state.types.get(machine.type);
   return (
--- a/src/core/lifecycle/attempts.ts
+++ b/src/core/lifecycle/attempts.ts
@@ -11,7 +11,7 @@
 
 /**
  * Attempt numbers reserved for each revision of the key-value store, so that none is used twice.
- * A leader starts with those of its fencing token. Revisions that it has written since, guarded by
+ * A leader starts with those of its fencing token, a revision. Later ones that it wrote, guarded by
  * the leader key, cannot become another leader's fencing token, so it may use their numbers too.
  */
 export const ATTEMPTS_PER_REVISION = 1_000_000;
@@ -27,7 +27,7 @@
 /** Whether an attempt in this phase may be on its machine, so its resources count as used. */
 export const occupiesMachine = (phase: AttemptPhase): boolean => phase !== 'ended';
 
-/** Requests a kill without grace for a checkpoint. Resources count as used until it has ended. */
+/** Requests a kill without grace for a checkpoint. Until the attempt ends, resources stay used. */
 export const requestImmediateKill = (placement: Placement): void => {
   placement.stopRequest = { graceS: 0, sentAt: null };
 };
--- a/src/core/lifecycle/job-cancellation.ts
+++ b/src/core/lifecycle/job-cancellation.ts
@@ -17,8 +17,8 @@
 };
 
 /**
- * Kills all attempts of an ended job, even without a valid lease: see `belongsToEndedJob`. A kill
- * request without grace that exists already is kept, so that it is not repeated too soon.
+ * Kills all attempts of an ended job, even without a valid leader lease: see `belongsToEndedJob`.
+ * An earlier kill request without grace is kept, so that it is not repeated too soon.
  */
 export const killAllAttempts = (job: Job, now: Instant, effects: Effect[]): void => {
   for (const placements of job.attemptsByTask.values())
--- a/src/core/lifecycle/job-completion.ts
+++ b/src/core/lifecycle/job-completion.ts
@@ -14,7 +14,7 @@
   state.unsavedCompletions.add(job);
 };
 
-/** Kills the other attempts of a done task. They are counted until they have ended. */
+/** Kills the other attempts of a done task; `supersededAttempts` counts them until they end. */
 const supersedeOtherAttempts = (job: Job, index: TaskIndex, finished: Placement): void => {
   for (const other of job.attemptsByTask.get(index) ?? []) {
     if (other === finished) continue;
--- a/src/core/lifecycle/job-tasks.ts
+++ b/src/core/lifecycle/job-tasks.ts
@@ -7,7 +7,7 @@
 import { isService, type JobSpec } from '../model/job.js';
 import type { Instant } from '../model/time.js';
 
-/** Tasks per block. Ledger records refer to blocks by number, to smaller chunks by first task. */
+/** Tasks per block (a large chunk). Records name blocks by number, small chunks by first task. */
 export const TASKS_PER_BLOCK = 8192;
 /** Tasks per chunk if a block does not fit into one value of the key-value store. */
 const TASKS_PER_SMALL_CHUNK = 1024;
@@ -53,14 +53,14 @@
 });
 
 /**
- * Machines that fail a job, without a success in between, before it is tried one task at a time,
- * with pauses. For a service, consecutive failures of replicas.
+ * Number of machines on which a job's tasks fail, without a success in between, before it runs one
+ * task at a time, with pauses. For a service, number of consecutive failures of replicas.
  */
 export const FAILED_MACHINES_LIMIT = 3;
 
 /**
- * Whether the job itself seems at fault, not the machines. Failures of a service's replicas
- * count even on the same machine, as there may be no other; a running one shows that it works.
+ * Whether the job itself seems at fault, not the machines. Failures of a service's replicas count
+ * even on the same machine, as there may be no other, but not while another replica runs.
  */
 export const failsEverywhere = (job: Job): boolean => {
   if (!isService(job)) return job.failedMachines.size >= FAILED_MACHINES_LIMIT;
--- a/src/core/lifecycle/job-view.ts
+++ b/src/core/lifecycle/job-view.ts
@@ -50,7 +50,6 @@
   readonly machinesBooting: number;
 }
 
-/** Why tasks of a job wait. */
 type WaitReason =
   | { readonly kind: 'not-waiting' }
   | { readonly kind: 'recovering' }
@@ -96,7 +95,7 @@
   };
 };
 
-/** Users see these texts, so they must not change. Empty if no task waits. */
+/** The text for users, which must not change; empty if no task waits. */
 const describeWaitReason = (state: CoreState, reason: WaitReason): string => {
   switch (reason.kind) {
     case 'not-waiting':
--- a/src/core/lifecycle/jobs.ts
+++ b/src/core/lifecycle/jobs.ts
@@ -24,7 +24,7 @@
   state.isRoundDue = true;
 };
 
-/** Records the job's end, and drops ends so old that no late message shows the job unfinished. */
+/** Records the job's end, and drops ends older than the retention time. */
 const recordEndedJob = ({ recentlyEndedJobs }: CoreState, id: JobId, now: Instant): void => {
   for (const [ended, endedAt] of recentlyEndedJobs) {
     if (now - endedAt < ENDED_JOB_RETENTION_MS) break;
--- a/src/core/lifecycle/machine-reachability.ts
+++ b/src/core/lifecycle/machine-reachability.ts
@@ -15,7 +15,7 @@
 /** Consecutive unacknowledged replies before a machine is replaced. */
 const UNREACHABLE_AFTER_REPLIES = 4;
 
-/** Time without an authoritative heartbeat, in leases, before a machine is replaced. */
+/** Time without an authoritative heartbeat, in worker leases, before a machine is replaced. */
 const UNREACHABLE_AFTER_LEASES = 1.5;
 
 /**
--- a/src/core/lifecycle/machine-registry.ts
+++ b/src/core/lifecycle/machine-registry.ts
@@ -1,6 +1,6 @@
 /**
- * The machines that the leader tracks. Their attributes come from the ledger at first, then from
- * their heartbeats.
+ * The machines that the leader tracks. Their attributes come from the ledger or the cloud at first,
+ * then from their heartbeats.
  */
 
 import type { CoreState } from '../core-state.js';
@@ -18,8 +18,8 @@
 }
 
 /**
- * The tracked machine of this id, created from `initial` if it is new. Only heartbeats change the
- * attributes of a tracked machine.
+ * The tracked machine of this id, created from `initial` if it is new; otherwise `initial` is
+ * ignored.
  */
 export const getOrCreateMachine = (
   state: CoreState,
--- a/src/core/lifecycle/task-failures.ts
+++ b/src/core/lifecycle/task-failures.ts
@@ -15,7 +15,7 @@
 /** Pause of a service whose replicas fail repeatedly while other replicas run. */
 const HEALTHY_SERVICE_PAUSE_MS = 3000 as Millis;
 
-/** Bounds of the back-off of a job that fails everywhere, which doubles with each failure. */
+/** Bounds of the backoff of a job that fails everywhere, which doubles with each failure. */
 const MIN_BACKOFF_S = 2;
 const MAX_BACKOFF_S = 60;
 const MAX_BACKOFF_EXPONENT = 6;
@@ -37,7 +37,7 @@
   });
 };
 
-/** Counts a failed task. Its job backs off, or a machine that fails several jobs is replaced. */
+/** Counts a failed task. Backs off its job, or drains a machine on which several jobs failed. */
 export const recordTaskFailure = (
   state: CoreState,
   job: Job,
@@ -59,7 +59,7 @@
 /**
  * Counts a replica that exited by itself, for any cause. It runs again, on another machine if
  * possible. An exit soon after the start is a failure, so that a service whose replicas exit early
- * on every machine backs off for longer and longer.
+ * on every machine backs off ever longer.
  */
 export const recordReplicaExit = (
   state: CoreState,
--- a/src/core/lifecycle/task-reconciliation.ts
+++ b/src/core/lifecycle/task-reconciliation.ts
@@ -26,7 +26,7 @@
 
 /**
  * Adds an attempt that this leader did not place, from a former leader's ledger or a heartbeat.
- * `segment` is the ledger segment that holds it, or null.
+ * `segment` is the ledger segment with its entry, or null.
  */
 export const recoverPlacement = (
   state: CoreState,
@@ -35,7 +35,7 @@
   now: Instant,
   segment: LedgerSegment | null,
 ): Placement => {
-  // An attempt whose task index is outside its job is only counted and killed, as for unknown jobs.
+  // An attempt whose job, or whose task index in it, is unknown is only counted and killed.
   const knownJob = state.jobs.get(entry.job);
   const job = knownJob && entry.index < knownJob.spec.tasks ? knownJob : null;
   const placement: Placement = {
@@ -110,7 +110,7 @@
   if (job) machine.images.add(job.spec.image);
 };
 
-/** Records the task's end for its job: progress, a failure, or a replica to run again. */
+/** Records the task's end for its job: as progress, a failure or a replica's exit. */
 const recordTaskEnd = (
   state: CoreState,
   job: Job,
--- a/src/core/lifecycle/worker-commands.ts
+++ b/src/core/lifecycle/worker-commands.ts
@@ -28,7 +28,8 @@
 /**
  * Whether an attempt that is to stop belongs to a job that has ended or that its user asked to
  * cancel. Its kill is the one command that needs no valid leader lease: the next leader reads the
- * job as ended too, or is asked to cancel it again. No worker is kept alive with such a task.
+ * job as ended too, or is asked to cancel it again. Keep-alive replies carry it, so that no
+ * worker is kept alive with such a task.
  */
 export const belongsToEndedJob = ({ job, stopRequest }: Placement): boolean =>
   stopRequest !== null && (job === null || job.terminalState !== 'none');
@@ -39,7 +40,7 @@
   return { op: 'kill', job, index, attempt, graceS };
 };
 
-/** Kills of ended jobs' attempts: the only commands of a leader without a valid lease. */
+/** The kills of ended jobs' attempts, which need no valid leader lease. */
 export const killCommandsOfEndedJobs = (machine: Machine, now: Instant): WorkerCommand[] => {
   const commands: WorkerCommand[] = [];
   for (const placement of machine.placements.values()) {
@@ -112,8 +113,8 @@
   (sentAt === null || now - sentAt >= KILL_RESEND_MS);
 
 /**
- * Sends due kills straight to the worker instead of waiting for its next heartbeat. `isEligible`
- * selects the attempts that the leader may kill now.
+ * Sends due kills straight to the worker. `isEligible` selects the attempts that the leader may
+ * kill now.
  */
 export const dispatchKills = (
   machine: Machine,
--- a/src/core/lifecycle/worker-leases.ts
+++ b/src/core/lifecycle/worker-leases.ts
@@ -7,7 +7,7 @@
 /** Drift of one clock, as a share of the time; two clocks drift apart by at most twice this. */
 const MAX_CLOCK_DRIFT = 0.001;
 const LEASE_MARGIN_MS = 1000;
-/** Time from the end of the last task kept alive to the deadline of a cancellation. */
+/** Time left between the end of the last task kept alive and the deadline of a cancellation. */
 const CANCEL_MARGIN_MS = 3000;
 const MAX_GRACE_MS = 60_000;
 
@@ -16,9 +16,9 @@
  * settings leave no time: then no worker is kept alive.
  *
  * A worker's lease starts when it sends a heartbeat, before the reply, so neither a heartbeat in
- * flight nor a long turn of the event loop extends it. A worker that reaches only this leader has
- * lost its tasks this long plus one worker lease after the leader's lease expired. A job cancelled
- * without this leader's knowledge was cancelled under a later leader, so after that expiry.
+ * flight nor a long turn of the event loop extends it. After the leader's lease expires, a worker
+ * that reaches only this leader loses its tasks within the returned time plus one worker lease. A
+ * cancellation unknown to this leader was made under a later one, so after that expiry.
  */
 export const graceAfterLeaseLoss = (cancelMs: Millis, workerLeaseMs: Millis): Millis => {
   const availableMs =
--- a/src/core/scheduling/backfill.ts
+++ b/src/core/scheduling/backfill.ts
@@ -1,8 +1,8 @@
 /**
  * One scheduling round: flexible backfilling, scheduler BF UNMOD of the paper cited in scoring.ts.
- * The queue head stays head until its tasks are placed, and reserves the capacity that it lacks
- * until the shadow time. Other jobs are placed by score, outside that reservation or where they end
- * by the shadow time.
+ * The queue head stays head until its tasks are placed; those that do not fit yet get capacity
+ * reserved at the shadow time, their expected start. Other jobs are placed by score, outside that
+ * reservation or where they end by the shadow time.
  *
  * The phases are defined in the order in which `runSchedulingRound` runs them; each allocates from
  * the capacity that earlier ones left free.
@@ -82,9 +82,9 @@
   Math.min(job.pendingTasks, countTasksWithinQuota(state, job));
 
 /**
- * Whether the job may be queue head. A job that fails everywhere may not: its aging score would
- * make it head; it may wait, but not reserve capacity. A service may not: no estimate says when all
- * its replicas could start, so it could stay head forever.
+ * Whether the job may be queue head. A job that fails everywhere may not: aging would make it head
+ * eventually, and it must not reserve capacity. A service may not: no estimate says when all its
+ * replicas could start, so it could stay head forever.
  */
 const mayBeQueueHead = (job: Job): boolean =>
   job.failedMachines.size < FAILED_MACHINES_LIMIT && !isService(job);
@@ -100,7 +100,7 @@
 
 /**
  * Places replicas of critical services ahead of the queue; replicas that fit nowhere preempt.
- * Replicas whose machine is gone are restarted on the capacity that was reserved for them.
+ * Replicas whose machine is gone restart on the machines reserved for services.
  */
 const placeCriticalReplicas = (context: RoundContext): void => {
   const { state, now, ranked, capacities, smallest } = context;
@@ -111,7 +111,7 @@
     const unplaced = countUnplacedWithinQuota(state, job);
     if (unplaced > 0 && !failsEverywhere(job)) preemptForReplicas(job, unplaced, capacities, now);
   }
-  // Reserves the new replicas' machines, so that no array there fetches its image at the same time.
+  // Reserves the new replicas' machines, so that no array's image is fetched there meanwhile.
   if (context.placed.length > 0) reserveMachinesForServices(state, now);
 };
 
@@ -240,8 +240,9 @@
 
 /**
  * Places replicas of critical services only, on machines that have acknowledged the new leader,
- * while it waits for the other workers to report. A missing replica does harm at once, the ledger
- * lists the attempts that may run, and the wait matters only for the order among arrays.
+ * while it waits for the other workers to report. A missing replica does harm at once; none is
+ * placed twice, as the ledger lists the attempts that may run; only the order among arrays needs
+ * the wait.
  */
 export const placeCriticalReplicasOnly = (state: CoreState, now: Instant): SchedulingRound => {
   const placed: Placement[] = [];
--- a/src/core/scheduling/capacity.ts
+++ b/src/core/scheduling/capacity.ts
@@ -148,7 +148,7 @@
   readonly memoryGb: number;
 }
 
-/** The minimum over all waiting jobs, resource by resource. */
+/** The minimum of each resource over all waiting jobs. */
 export const findSmallestRequirement = (ranked: readonly RankedJob<Job>[]): SmallestRequirement => {
   let cpus = Number.POSITIVE_INFINITY;
   let gpus = Number.POSITIVE_INFINITY;
@@ -174,7 +174,7 @@
       capacity.memoryGb + EPSILON >= smallest.memoryGb,
   );
 
-/** Amounts of each resource of a machine; `cpus` and `gpus` may be fractional. */
+/** Amounts of each resource; `cpus` and `gpus` may be fractional. */
 export interface Resources {
   cpus: number;
   gpus: number;
--- a/src/core/scheduling/estimates.ts
+++ b/src/core/scheduling/estimates.ts
@@ -7,7 +7,7 @@
 const STOP_OVERHEAD_MS = 500;
 /** The least remaining run time assumed for an attempt, as a share of its estimate. */
 const MIN_REMAINING_SHARE = 1 / 4;
-/** The least remaining run time assumed for an attempt, whatever its estimate. */
+/** The least remaining run time assumed for any attempt. */
 const MIN_REMAINING_MS = 1000;
 
 /** The estimated run time of a task of the job, in milliseconds; infinite for a replica. */
--- a/src/core/scheduling/placement.ts
+++ b/src/core/scheduling/placement.ts
@@ -52,9 +52,9 @@
 
 /**
  * The machines for an array's tasks, best first: the largest, and among equally large ones those
- * that have the image, since a task starts sooner there. Free capacity only shrinks while a job is
- * placed, so a skipped machine is never examined again: the cost of a round grows with the number
- * of machines, not with machines times tasks.
+ * with the image, where a task starts sooner. Free capacity only shrinks while a job is placed, so
+ * a skipped machine is never examined again: the cost of a round grows with the number of machines,
+ * not with machines times tasks.
  */
 function* listArrayCandidates(
   job: Job,
@@ -114,12 +114,12 @@
   readonly job: Job;
   readonly now: Instant;
   readonly shadowTime: Instant | null;
-  /** The zone to which the job's first task binds it; null if it is not bound. */
+  /** The only zone to use, from `chooseZone`; null for no such limit. */
   readonly zone: ZoneName | null;
   readonly candidates: Generator<FreeCapacity, undefined>;
-  /** The machine of the last task: an array fills it before it uses the next. */
+  /** The machine of the task placed last. */
   currentMachine: FreeCapacity | undefined;
-  /** Whether a machine had enough capacity, but this is reserved for the queue head. */
+  /** Whether a machine had capacity that is reserved for the queue head. */
   isBlockedByReservation: boolean;
 }
 
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -17,11 +17,12 @@
 } from './capacity.js';
 import { type AttemptWithJob, requestStop } from './stop-requests.js';
 
-/** Run time before a task may be preempted for a head: a start stopped so soon is wasted. */
+/** Run time before a task may be preempted for the head: sooner, its start would be wasted. */
 const MIN_RUN_BEFORE_PREEMPTION_MS = 31_000;
 
 const writesCheckpoints = (job: Job): boolean => job.spec.checkpointIntervalS > 0;
 
+/** Whether the attempt is being stopped. Its capacity counts, or each round would stop more. */
 const isStopping = (placement: Placement): boolean =>
   placement.stopRequest !== null && occupiesMachine(placement.phase);
 
@@ -112,7 +113,6 @@
     if (!isFeasible(head, machine) || !satisfiesZoneConstraints(head, machine)) continue;
     const preemptible = findPreemptibleForHead(machine, headLevel, now);
     if (preemptible === null) {
-      // Counts capacity that is already being released; otherwise each round would stop more.
       const stopping = [...machine.placements.values()].filter(isStopping);
       remaining -= allocateFittingTasks(
         head,
@@ -172,8 +172,8 @@
 };
 
 /**
- * Preempts for replicas of a critical service that fit nowhere: for each in turn, stops the
- * attempts with the least lost run time in whose place it fits, but never replicas.
+ * Preempts for replicas of a critical service that fit nowhere: for each, stops the attempts, never
+ * replicas, that make it fit on one machine at the least lost run time.
  */
 export const preemptForReplicas = (
   service: Job,
@@ -190,7 +190,6 @@
       occupiesMachine(placement.phase),
     );
     const stopping = attempts.filter(isStopping);
-    // Counts capacity that is already being released; otherwise each round would stop more.
     if (
       stopping.length > 0 &&
       fitsResources(service, measureFreeResourcesWithout(capacity, stopping))
--- a/src/core/scheduling/ranking.ts
+++ b/src/core/scheduling/ranking.ts
@@ -23,7 +23,7 @@
   return total;
 };
 
-/** Ends the avoidance, except for services and jobs that fail everywhere: these back off. */
+/** Ends the avoidance, except for services and jobs that fail everywhere, which back off. */
 const expireFailedMachines = (job: Job, now: Instant): void => {
   if (isService(job) || job.failedMachines.size >= FAILED_MACHINES_LIMIT) return;
   if (now - job.lastFailureAt > FAILED_MACHINE_AVOIDANCE_MS) job.failedMachines.clear();
--- a/src/core/scheduling/replica-eviction.ts
+++ b/src/core/scheduling/replica-eviction.ts
@@ -39,9 +39,9 @@
 };
 
 /**
- * Evicts each replica that fits in another machine's free capacity. Capacity is reserved in this
- * round and in each until the replica is confirmed to have ended; then its task is placed, ahead of
- * the queue or by rank.
+ * Evicts each replica that fits in another machine's free capacity. Each round reserves
+ * capacity until the replica is confirmed to have ended; then its task is placed, ahead of the
+ * queue or by rank.
  */
 export const evictReplicas = (
   replicas: readonly AttemptWithJob[],
--- a/src/core/scheduling/reservation.ts
+++ b/src/core/scheduling/reservation.ts
@@ -1,4 +1,4 @@
-/** The queue head's reservation of capacity for its unplaced tasks until the shadow time. */
+/** The queue head's reservation of capacity for its unplaced tasks at the shadow time. */
 
 import { occupiesMachine } from '../lifecycle/attempts.js';
 import type { Job, Placement } from '../model/entities.js';
@@ -19,7 +19,7 @@
   readonly placement: Placement;
 }
 
-/** Resets the capacity at the shadow time to the capacity that is free now. */
+/** Resets the shadow capacity to the free capacity. */
 const resetShadowCapacities = (capacities: readonly FreeCapacity[]): void => {
   for (const capacity of capacities) {
     capacity.shadowCpus = capacity.cpus;
@@ -28,7 +28,7 @@
   }
 };
 
-/** The expected ends by second, so that only the ends within the seconds reached are sorted. */
+/** The expected ends by second, so that only those of the seconds reached are sorted. */
 const collectExpectedEnds = (
   capacities: readonly FreeCapacity[],
   now: Instant,
@@ -59,8 +59,8 @@
 
 /**
  * Reserves capacity for the head's unplaced tasks: goes through the expected ends of attempts in
- * order until all fit. Returns the shadow time, at which the last task that can fit does, or null
- * if none fits.
+ * order until all fit. Returns the shadow time: the expected end by which all tasks that can fit
+ * do, or null if none can.
  */
 export const reserveForHead = (
   head: Job,
--- a/src/core/scheduling/scoring.ts
+++ b/src/core/scheduling/scoring.ts
@@ -149,7 +149,7 @@
 
 /**
  * Shortness, without its weight: the paper's Wait Minimization heuristic, the shortest estimate in
- * the queue over the job's own. Its priority boost value is the weight here. A service scores 0.
+ * the queue over the job's own. The weight is the paper's priority boost value. A service scores 0.
  */
 export const scoreShortness = (job: WaitingJob, shortestEstimateS: number): number => {
   const estimateS = estimateJobS(job);
--- a/src/core/scheduling/service-reservation.ts
+++ b/src/core/scheduling/service-reservation.ts
@@ -13,7 +13,7 @@
 
 /** How long machines stay reserved after the last on-demand service has ended. */
 const RESERVATION_RETENTION_MS = seconds(240);
-/** Reserved over used capacity of the live services, so that their replicas can move. */
+/** Capacity reserved for live services, as a multiple of theirs, so that replicas can move. */
 const LIVE_SERVICES_FACTOR = 1.5;
 /** How many services as large as the largest recent one find capacity at once. */
 const LARGEST_SERVICE_FACTOR = 2;
@@ -97,12 +97,12 @@
 };
 
 /**
- * Reserves on-demand machines, which arrays that may use spot machines then do not use: those with
- * replicas first, then those reserved before. Zones are served round-robin, so that the loss of one
- * leaves capacity in the others.
+ * Reserves on-demand machines, which excludes arrays that may use spot machines: machines with
+ * replicas first, then those reserved before. Zones take turns, so that the loss of one leaves
+ * capacity in the others.
  */
 export const reserveMachinesForServices = (state: CoreState, now: Instant): void => {
-  // An overdue job suspends the reservation: the cloud may have no other machines left for it.
+  // Suspended for an overdue array: the cloud may have no other machines left for it.
   let remainingCpus = hasOverdueFirstTask(state, now) ? 0 : updateReservedOnDemandCpus(state, now);
   const zones = [...releaseReservations(state, remainingCpus).values()];
   for (const zone of zones)
--- a/src/core/scheduling/stop-requests.ts
+++ b/src/core/scheduling/stop-requests.ts
@@ -8,7 +8,7 @@
 /** Seconds beyond the nominal time of a checkpoint write, so that a slow write still ends. */
 const CHECKPOINT_WRITE_MARGIN_S = 5;
 
-/** Requests a stop, unless one is requested already; the task is then requeued. */
+/** Requests a stop, unless one is requested already; the task is requeued once the attempt ends. */
 export const requestStop = (attempt: AttemptWithJob): void => {
   const { checkpointIntervalS, checkpointWriteS } = attempt.job.spec;
   attempt.stopRequest ??= {
