--- a/src/core/lifecycle/heartbeat-evidence.ts
+++ b/src/core/lifecycle/heartbeat-evidence.ts
@@ -8,12 +8,12 @@
  * Whether a heartbeat proves that the attempts it does not list are absent from its machine:
  * - `direct-response`: no. It came in the response to commands sent straight to the worker, and may
  *   cross a heartbeat reply that is still in flight.
- * - `unconfirmed`: no. It carries an older fencing token, or an agent epoch in which this leader
+ * - `unverified`: no. It carries an older fencing token, or an agent epoch in which this leader
  *   has not replied yet, so it may predate a start that a former leader's reply delivered.
  * - `authoritative`: yes. It carries this leader's fencing token, in an agent epoch in which this
  *   leader has replied.
  */
-export type HeartbeatEvidence = 'direct-response' | 'unconfirmed' | 'authoritative';
+export type HeartbeatEvidence = 'direct-response' | 'unverified' | 'authoritative';
 
 /**
  * Whether a heartbeat is out of date: its machine is deleted, its agent epoch has ended, or its
@@ -38,7 +38,7 @@
   return heartbeat.fencingToken === state.config.fencingToken &&
     machine.acknowledgedEpoch === heartbeat.agentEpoch
     ? 'authoritative'
-    : 'unconfirmed';
+    : 'unverified';
 };
 
 /**
--- a/src/core/lifecycle/heartbeat-reconciliation.ts
+++ b/src/core/lifecycle/heartbeat-reconciliation.ts
@@ -86,7 +86,7 @@
     if (!machine.isReady) state.isRoundDue = true;
     machine.isReady = true;
     machine.unverifiedSince = null;
-  } else if (evidence === 'unconfirmed' && !machine.isReady) {
+  } else if (evidence === 'unverified' && !machine.isReady) {
     machine.unverifiedSince ??= now;
   }
   if (machine.acknowledgedEpoch !== heartbeat.agentEpoch) machine.isReady = false;
--- a/src/core/lifecycle/heartbeat-replies.ts
+++ b/src/core/lifecycle/heartbeat-replies.ts
@@ -30,7 +30,7 @@
 const isSteadyReplica = (placement: Placement): boolean =>
   isLiveReplica(placement) && placement.phase === 'running' && !placement.stopRequest;
 
-/** Whether no task on the machine is expected to end, so that its next heartbeat can wait. */
+/** Whether the machine counts as idle: no task is expected to end, so its heartbeat can wait. */
 const isIdle = ({ placements, isReservedForServices }: Machine): boolean => {
   if (placements.size === 0) return true;
   if (!isReservedForServices) return false;
