--- a/src/core/apply-commands.ts
+++ b/src/core/apply-commands.ts
@@ -34,7 +34,7 @@
 const TICK_MS = 500;
 /** Interval of rounds without an event: some scores change with time alone. */
 const ROUND_EVERY_MS = 2000;
-/** Delay from recovery to the first round, in heartbeat intervals: covers the longest one. */
+/** Delay from recovery to the first round, in nominal heartbeat intervals; covers the longest. */
 const REPORT_WAIT_INTERVALS = 1.3;
 
 /**
@@ -151,7 +151,7 @@
 };
 
 /**
- * Runs one step of the core: applies the commands and returns the effects to carry out, in order.
+ * Runs one step of the core and returns the effects to carry out, in order.
  * `authority` limits the step: without a valid lease nothing is placed or stored.
  */
 export const applyCommands = (
--- a/src/core/extensions/extension-package.ts
+++ b/src/core/extensions/extension-package.ts
@@ -20,7 +20,7 @@
 
 /** An optional package. */
 export interface ExtensionPackage {
-  /** Parses its file under `deploy/`; returns a one-line error that names an invalid field. */
+  /** Parses its file under `deploy/`, or returns a one-line error that names an invalid field. */
   configure(
     text: string,
     known: { readonly teams: ReadonlySet<string> },
--- a/src/core/extensions/extension-runtime.ts
+++ b/src/core/extensions/extension-runtime.ts
@@ -16,7 +16,7 @@
   load(name: string, records: readonly ExtensionRecord[]): void;
   /** Passes an event to all extensions. */
   observe(event: ExtensionEvent): void;
-  /** Passes on a provision request's result; false when no extension made the request. */
+  /** Passes on a provision request's result; false if no extension made the request. */
   handleProvisionResult(event: Extract<ExtensionEvent, { kind: 'provision-result' }>): boolean;
   /** Reports writes of a batch as stored or refused. */
   handleStoreResult(writes: ExtensionWrites, kind: 'stored' | 'refused'): void;
--- a/src/core/extensions/extension.ts
+++ b/src/core/extensions/extension.ts
@@ -94,7 +94,7 @@
   readonly refusals: number;
 }
 
-/** The leader's view of the fleet. Extensions must not modify it or keep references to it. */
+/** The leader's view of the fleet. Extensions must not modify it or keep references. */
 export interface FleetView {
   /** Identifies the term. */
   readonly fencingToken: FencingToken;
@@ -119,7 +119,7 @@
   isTaskDone(job: JobId, index: TaskIndex): boolean;
 }
 
-/** The current time, on the steady clock and on the wall clock. */
+/** The current time, on the steady and the wall clock. */
 export interface Moment {
   readonly now: Instant;
   /** Milliseconds since the epoch; its error is within the platform's bound for clocks. */
--- a/src/core/ledger/batch-builder.ts
+++ b/src/core/ledger/batch-builder.ts
@@ -1,6 +1,6 @@
 /**
  * Builds the batches in which the leader stores its decisions: completions, attempts, progress,
- * compaction, deletions of obsolete segments, and writes of extensions.
+ * compaction, deletions of segments, and extensions' writes.
  */
 
 import type { CoreState } from '../core-state.js';
--- a/src/core/ledger/batch-draft.ts
+++ b/src/core/ledger/batch-draft.ts
@@ -1,4 +1,4 @@
-/** Construction of a batch: its operations, its open segments and the space left in it. */
+/** Construction of a batch within its limits of size. */
 
 import type { CoreState } from '../core-state.js';
 import type { Batch, Job, LedgerSegment, Placement, ProgressChunk } from '../model/entities.js';
@@ -12,7 +12,7 @@
 const MAX_BATCH_BYTES = 40_000;
 /**
  * A batch may have this many mutations even if a transaction may have fewer. It is then stored in
- * several transactions: a batch for each would cost a step of the command loop.
+ * several transactions: with a batch for each, every one would cost a step of the command loop.
  */
 const MIN_MUTATIONS_BY_TRANSACTION = 24;
 /** A batch takes effect after its last mutation: all must be written within this time. */
@@ -33,7 +33,7 @@
     Math.max(MIN_MUTATIONS_BY_RATE, Math.ceil(config.storeWritesPerSecond * MAX_BATCH_WRITE_S)),
   );
 
-/** A batch under construction. Each addition updates the ledger's part of the state at once. */
+/** A batch under construction, whose additions update the ledger's part of the state at once. */
 export class BatchDraft {
   /** The changes to apply once the batch is stored. */
   readonly batch: Batch;
--- a/src/core/ledger/compaction.ts
+++ b/src/core/ledger/compaction.ts
@@ -1,4 +1,4 @@
-/** Compaction of the placement ledger: moves live rows of sparse segments to new ones. */
+/** Compaction of the placement ledger. */
 
 import type { CoreState } from '../core-state.js';
 import type { LedgerSegment } from '../model/entities.js';
@@ -26,9 +26,9 @@
 };
 
 /**
- * Moves the live rows of sparse segments, the oldest first, so that a few long tasks do not keep
- * many segments that a new leader would have to read. The batch writes moved rows before it deletes
- * their old segment. A segment larger than the current limit is moved in several parts.
+ * Moves live rows of sparse segments, the oldest first, to new ones, so that a few long tasks do
+ * not keep many segments that a new leader would have to read. The batch writes moved rows before
+ * it deletes their old segment. A segment larger than the current limit is moved in parts.
  */
 export const compactSparseSegments = (state: CoreState, draft: BatchDraft): void => {
   let compacted = 0;
--- a/src/core/ledger/recovery.ts
+++ b/src/core/ledger/recovery.ts
@@ -1,4 +1,4 @@
-/** Restores a new leader's state from the ledger rows that former leaders have stored. */
+/** Restores a new leader's state from former leaders' ledger rows. */
 
 import type { CoreState } from '../core-state.js';
 import { getOrCreateChunk, isTaskDone, recountPendingTasks } from '../lifecycle/job-tasks.js';
@@ -112,7 +112,7 @@
   for (const entry of row.entries) {
     segment.initialRowCount += 1;
     const job = state.jobs.get(entry.job);
-    // The result of a task that is stored as done is safe: its attempts need no reconciliation.
+    // The result of a task stored as done is safe: its attempts need no reconciliation.
     if (job && isTaskDone(job, entry.index)) continue;
     if (!machine.placements.has(entry.attempt))
       recoverPlacement(state, machine, entry, now, segment);
--- a/src/core/ledger/segments.ts
+++ b/src/core/ledger/segments.ts
@@ -37,7 +37,7 @@
   return segment;
 };
 
-/** Number of a segment's live rows: attempts and chunks whose current row it holds. */
+/** Number of live rows: attempts and chunks whose current row the segment holds. */
 export const liveRowCount = ({ placements, chunks }: LedgerSegment): number =>
   placements.size + chunks.size;
 
--- a/src/core/log-event.ts
+++ b/src/core/log-event.ts
@@ -2,7 +2,7 @@
 import type { Effect } from './model/effect.js';
 import type { LogFields, LogLevel } from './model/log-record.js';
 
-/** Adds a log record: `text` is a constant event name, and variable data is in `fields`. */
+/** Adds a log record, with the parameters explained at `LogRecord`. */
 export const logEvent = (
   effects: Effect[],
   level: LogLevel,
--- a/src/core/model/attempt.ts
+++ b/src/core/model/attempt.ts
@@ -2,9 +2,9 @@
 import type { TaskPhase } from './heartbeat.js';
 
 /**
- * Phase of an attempt. `unconfirmed`: known from the ledger or a heartbeat, but its machine has not
- * confirmed it; `persisting`: its ledger entry is being written; `dispatched`: each reply to its
- * machine carries its start command. The worker reports the later phases.
+ * Phase of an attempt. `unconfirmed`: recovered, but not yet confirmed by its machine;
+ * `persisting`: its ledger entry is being written; `dispatched`: each reply to its machine carries
+ * its start command. The worker reports the later phases.
  */
 export type AttemptPhase = 'unconfirmed' | 'persisting' | 'dispatched' | TaskPhase;
 
--- a/src/core/model/entities.ts
+++ b/src/core/model/entities.ts
@@ -149,7 +149,7 @@
   isCordoned: boolean;
   /** Its deletion is not requested before this time, to delay the retry after a failure. */
   deleteNotBefore: Instant;
-  /** Attempts that may be on it, and ended ones that its worker has not yet reaped. */
+  /** Attempts that may be on it, and ended ones not yet reaped. */
   readonly placements: Map<AttemptId, Placement>;
   /** Number of attempts that may be on it. */
   attemptCount: number;
--- a/src/core/model/extension-record.ts
+++ b/src/core/model/extension-record.ts
@@ -1,6 +1,6 @@
 /** Records that an extension keeps in the key-value store. */
 
-/** A stored record, as a new leader reads it and passes it to the extension. */
+/** A stored record, as a new leader passes it to the extension. */
 export interface ExtensionRecord {
   /** Relative to the extension's own prefix. */
   readonly key: string;
--- a/src/core/model/heartbeat.ts
+++ b/src/core/model/heartbeat.ts
@@ -9,7 +9,7 @@
   ZoneName,
 } from './ids.js';
 
-/** Phase of a task on its machine. An ended task stays in the heartbeats until it is reaped. */
+/** Phase of a task on its machine. */
 export type TaskPhase = 'fetching' | 'running' | 'checkpointing' | 'ended';
 
 /**
--- a/src/core/model/ids.ts
+++ b/src/core/model/ids.ts
@@ -1,8 +1,8 @@
-/** Identifiers and versions as branded types, which are not assignable to one another. */
+/** Identifiers and versions as branded types. */
 
 declare const brand: unique symbol;
 
-/** A `T` with the brand `B`, to which no other `T` is assignable. */
+/** A `T` with the brand `B`; no `T` without this brand is assignable to it. */
 export type Branded<T, B extends string> = T & { readonly [brand]: B };
 
 /** Name of a job, chosen by the user who submits it. */
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -29,9 +29,9 @@
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
-  /** Machine types on which it may run; null if it may run on all. */
+  /** Machine types on which it may run; null for all. */
   readonly machineTypes: readonly MachineTypeName[] | null;
-  /** The only zone in which it may run; null if it may run in all. */
+  /** The only zone in which it may run; null for all. */
   readonly zone: ZoneName | null;
   /** Whether all its tasks must run in the same zone. */
   readonly singleZone: boolean;
@@ -48,7 +48,7 @@
   readonly checkpointIntervalS: number;
   /** Seconds that a task needs to write a checkpoint when it is stopped. */
   readonly checkpointWriteS: number;
-  /** Deadline in seconds after its submission; null if it has none. */
+  /** Deadline in seconds after submission; null if it has none. */
   readonly deadlineS: number | null;
 }
 
--- a/src/core/model/ledger-record.ts
+++ b/src/core/model/ledger-record.ts
@@ -46,7 +46,7 @@
     }
   /** Deletes an obsolete segment. */
   | { readonly kind: 'delete-segment'; readonly key: SegmentKey }
-  /** Writes records of an extension atomically. */
+  /** Writes records of an extension. */
   | {
       readonly kind: 'write-extension-records';
       readonly extension: string;
--- a/src/core/model/policy.ts
+++ b/src/core/model/policy.ts
@@ -1,6 +1,6 @@
 /** The operators' policy: weights, thresholds and delays. README lists names and defaults. */
 
-/** Operators' policy. `…S` is in seconds, `…Ms` in milliseconds; weights multiply job scores. */
+/** Policy values: `…S` in seconds, `…Ms` in milliseconds; weights multiply job scores. */
 export interface Policy {
   /** Points per hour of waiting. */
   readonly ageFactor: number;
--- a/src/core/model/worker-command.ts
+++ b/src/core/model/worker-command.ts
@@ -3,7 +3,7 @@
 
 /**
  * A command to a worker about one attempt. Commands may be repeated, except a start after the
- * attempt's reap: the worker has no record of the attempt then, and would run it again.
+ * attempt's reap: the worker then has no record of the attempt, and would run it again.
  */
 export type WorkerCommand =
   /** Runs a task. */
--- a/src/ports/key-value-store.ts
+++ b/src/ports/key-value-store.ts
@@ -4,7 +4,7 @@
  */
 import type { Revision } from '../core/model/ids.js';
 
-/** Id of a lease in the store; keys attached to a lease are deleted when it expires. */
+/** Id of a lease; keys attached to a lease are deleted when it expires. */
 export type LeaseId = number & { readonly __lease: unique symbol };
 
 /** `refused`: certainly not executed; `unknown`: may have been executed, or may still be. */
@@ -54,13 +54,13 @@
 
 /** Result of a compare-and-swap. Only `committed`, and possibly `unknown`, changed anything. */
 export type CompareAndSwapResult =
-  /** All mutations were applied, at this revision. */
+  /** Applied at this revision. */
   | { readonly kind: 'committed'; readonly revision: Revision }
   /** A precondition does not hold. */
   | { readonly kind: 'conflict' }
   /** A lease named by a mutation has expired. */
   | { readonly kind: 'lease-expired' }
-  /** The request or one of its values exceeds a size limit of the store. */
+  /** The request or one of its values exceeds a size limit. */
   | { readonly kind: 'too-large' }
   | StoreFailure;
 
@@ -73,7 +73,7 @@
   | { readonly kind: 'lease-expired' }
   | StoreFailure;
 
-/** Client of the store within this node's share of the rates. Failures never throw. */
+/** Client of the store, limited to this node's share of its rates. Failures never throw. */
 export interface KeyValueStore {
   /** Whether the store has stopped answering this node: callers need not wait for a time-out. */
   readonly isDown: boolean;
--- a/src/service/command-loop.ts
+++ b/src/service/command-loop.ts
@@ -1,6 +1,6 @@
 /**
- * The single owner of the leader's state: commands are queued and applied in batches. The pause
- * after a batch grows with the batch's duration, so that batches are larger under load.
+ * The single owner of the leader's state, to which it applies commands in batches. The pause after
+ * a batch grows with the batch's duration, so that batches are larger under load.
  *
  * A process that exceeds a quota of a fraction of a core is throttled. The pauses therefore limit
  * applying commands to about a third of the quota, and leave the rest to answering requests.
@@ -39,7 +39,7 @@
   readonly cores?: number;
 }
 
-/** Queues commands, applies them in batches and runs the effects in order. */
+/** Queues commands, applies them to the core and runs the effects in order. */
 export class CommandLoop {
   readonly core: CoreState;
   private readonly authority: () => Authority;
@@ -85,7 +85,7 @@
     this.scheduleBatch();
   }
 
-  /** Stops the loop permanently; queued commands are never applied. */
+  /** Stops the loop permanently, without applying queued commands. */
   stop(): void {
     this.isStopped = true;
     if (this.timer) clearTimeout(this.timer);
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -107,7 +107,7 @@
     });
   }
 
-  /** What this node may do at this moment; `none` unless it leads. */
+  /** What this node may do now; `none` unless it leads. */
   authority(): Authority {
     return this.leaderTerm?.authority() ?? 'none';
   }
@@ -130,7 +130,7 @@
     endedTerm?.stop();
   }
 
-  /** False without machine types, or while neither store nor peers answer this node. */
+  /** False without machine types, or while neither store nor peers answer: it serves nobody. */
   isReady(): boolean {
     return this.dependencies.machineTypes !== null && !this.peerMonitor.isIsolated();
   }
@@ -150,7 +150,7 @@
     return leader && requestOperatorCall(leader, extension, call);
   }
 
-  /** Answers a peer's request; the peer server sends the result unchanged. */
+  /** Answers a peer's request, in the wire form of the answer. */
   handlePeerRequest(request: PeerRequest): Promise<unknown> {
     return this.peerRequests.handle(request);
   }
--- a/src/service/create-dependencies.ts
+++ b/src/service/create-dependencies.ts
@@ -1,4 +1,4 @@
-/** Creates the clients of a controller's external services, and divides their limits. */
+/** Clients of a controller's external services, and shares of their limits. */
 import { CloudClient } from '../adapters/cloud/cloud-client.js';
 import type { Settings } from '../adapters/configuration/settings.js';
 import { KeyValueStoreClient } from '../adapters/key-value-store/key-value-store-client.js';
@@ -10,8 +10,8 @@
 import { MIN_BATCH_WRITE_SHARE } from './write-share.js';
 
 /**
- * Shares of the key-value store's rate limits. All nodes' admissions may exceed what the leader's
- * batches leave: users have priority, and a batch refused by the rate limit is retried.
+ * Shares of the key-value store's rate limits. All nodes' admissions together may exceed what the
+ * leader's batches leave: users have priority, and a batch refused by the rate limit is retried.
  */
 const RATE_SHARES = {
   batches: { reads: 0.3, writes: MIN_BATCH_WRITE_SHARE },
@@ -31,7 +31,7 @@
   lowered: { rps: nextRps * reads, writeRps: nextWriteRps * writes },
 });
 
-/** Logs answers that do not follow the protocol, once for each service and kind of request. */
+/** Logs malformed answers, once for each service and kind of request. */
 const makeMalformedAnswerLogger = (log: Log) => {
   const logged = new LogDeduplicator();
   return (service: string) =>
--- a/src/service/dependencies.ts
+++ b/src/service/dependencies.ts
@@ -25,7 +25,7 @@
   readonly workers: WorkerClient;
   readonly peers: ReadonlyMap<NodeId, Peer>;
   readonly extensions: readonly ExtensionModule[];
-  /** null until discovered; until then submissions are answered as unavailable. */
+  /** null before discovery, when submissions are answered as unavailable. */
   machineTypes: readonly MachineType[] | null;
   /** Runs a named task in the background; the process exits if the task fails. */
   readonly runInBackground: (name: string, work: () => Promise<void>) => void;
--- a/src/service/effect-runner.ts
+++ b/src/service/effect-runner.ts
@@ -1,4 +1,4 @@
-/** Executes the core's effects, with one handler for each kind. */
+/** Executes the core's effects. */
 import type { Effect } from '../core/model/effect.js';
 import type { JobId } from '../core/model/ids.js';
 import type { BatchWriter } from './batch-writer.js';
--- a/src/service/guarded-writer.ts
+++ b/src/service/guarded-writer.ts
@@ -29,7 +29,7 @@
 
 const keyOf = (mutation: Mutation): string => ('del' in mutation ? mutation.del : mutation.put);
 
-/** Executes transactions one at a time; each is retried until its outcome is known. */
+/** Executes transactions one at a time. */
 export class GuardedWriter {
   /** Last known revision of each key that this leader has read or written. */
   readonly keyRevisions = new Map<string, Revision>();
@@ -52,7 +52,7 @@
     this.isStopped = true;
   }
 
-  /** Executes mutations as one transaction, and retries it. */
+  /** Executes mutations as one transaction, retried until its outcome is known. */
   async write(mutations: readonly Mutation[]): Promise<WriteOutcome> {
     const keys = mutations.map(keyOf);
     for (let retries = 0; !this.isStopped; retries += 1) {
--- a/src/service/job-watch.ts
+++ b/src/service/job-watch.ts
@@ -45,7 +45,7 @@
         revision = result.revision;
         this.submitJobs(writtenItems(result.changes));
       } else if (result.kind === 'too-old') {
-        // The store no longer has all changes since this revision: all jobs are listed again.
+        // Changes since this revision are missing: all jobs are listed again.
         const listing = await listPrefix(dependencies, term, JOB_PREFIX);
         if (!listing) return;
         revision = listing.revision;
--- a/src/service/jobs/cancellation-service.ts
+++ b/src/service/jobs/cancellation-service.ts
@@ -49,7 +49,7 @@
         const ended = this.completions.view(id);
         return ended ? { kind: 'found', job: ended } : this.queries.lookUpInStore(id);
       }
-      // Unknown to this leader: ended, never accepted, or just accepted by another controller.
+      // Unknown to this leader, but perhaps just accepted by another controller.
       const stored = await this.dependencies.store.get(jobKey(id));
       if (stored.kind !== 'found') break;
       const { key, value, revision } = stored.item;
--- a/src/service/jobs/job-query-service.ts
+++ b/src/service/jobs/job-query-service.ts
@@ -69,7 +69,7 @@
     return { id, team: '' as TeamName, status: 'queued', done: 0, running: 0, waiting };
   }
 
-  /** Queries this node, the leader, then the store, or if it is down, a peer that reaches it. */
+  /** Queries this node, the leader, then the store, or, if it is down, a peer that reaches it. */
   async lookUp(id: JobId): Promise<LookupResult> {
     const local = this.viewLocally(id);
     if (local) return { kind: 'found', job: local };
--- a/src/service/jobs/submission-validation.ts
+++ b/src/service/jobs/submission-validation.ts
@@ -4,7 +4,7 @@
 import type { MachineType } from '../../core/model/machine.js';
 import type { Team } from '../../core/model/team.js';
 
-/** Zones that offer an allowed machine type large enough for a task of the job. */
+/** Zones that offer an allowed machine type large enough for a task. */
 const feasibleZones = (spec: JobSpec, machineTypes: readonly MachineType[]): Set<ZoneName> => {
   const zones = new Set<ZoneName>();
   for (const type of machineTypes) {
@@ -25,7 +25,7 @@
   if (!team) return `unknown team ${spec.team}`;
   if (spec.cpus > team.cpusMax || spec.gpus > team.gpusMax)
     return "a task exceeds the team's limit";
-  // An array's tasks can run one after another; replicas run concurrently and permanently.
+  // An array's tasks can run one after another; replicas run concurrently.
   const replicas = isService({ spec }) ? spec.tasks : 1;
   if (spec.cpus * replicas > team.cpusMax || spec.gpus * replicas > team.gpusMax)
     return "all replicas together exceed the team's limit";
--- a/src/service/leader-election.ts
+++ b/src/service/leader-election.ts
@@ -40,7 +40,7 @@
 /** Expected revision for a key that must be absent. */
 const ABSENT = 0 as Revision;
 
-/** Callbacks for role changes; called synchronously, before any other code of the service runs. */
+/** Callbacks for role changes, called synchronously before any other code of the service. */
 export interface LeaderElectionEvents {
   /** This node has become the leader under this fencing token. */
   onElected(fencingToken: FencingToken, at: Instant): void;
--- a/src/service/leader-term.ts
+++ b/src/service/leader-term.ts
@@ -1,7 +1,7 @@
 /**
  * One term of leadership: its lifecycle, its authority and the wiring of its components. These
- * recover the state, watch jobs and machines, answer workers and execute effects; the state itself
- * is owned by the command loop.
+ * recover the state, watch jobs and machines, answer workers and execute effects; the command loop
+ * owns the state.
  */
 import { sleep, steadyNow } from '../adapters/runtime/clock.js';
 import { type CoreState, createCore } from '../core/core-state.js';
@@ -32,7 +32,7 @@
 const MAX_ATTEMPTS_PER_MACHINE = 400;
 const TICK_INTERVAL_MS = 250;
 
-/** What a term gets from its controller when this node is elected. */
+/** What a term gets from its controller. */
 export interface LeaderTermOptions {
   readonly dependencies: Dependencies;
   readonly fencingToken: FencingToken;
--- a/src/service/machine-type-discovery.ts
+++ b/src/service/machine-type-discovery.ts
@@ -27,12 +27,12 @@
   async run(): Promise<void> {
     const { dependencies } = this;
     while (!this.isStopped && !dependencies.machineTypes) {
-      const storedItem = this.readStoredMachineTypes();
+      const storedRead = this.readStoredMachineTypes();
       const listed = await dependencies.cloud.listMachineTypes();
       if (listed) this.setMachineTypes(listed);
-      if (listed && this.fitsStoredValue(listed) && (await storedItem).kind === 'absent')
+      if (listed && this.fitsStoredValue(listed) && (await storedRead).kind === 'absent')
         await this.storeMachineTypes(listed);
-      await storedItem;
+      await storedRead;
       if (!dependencies.machineTypes) await sleep(dependencies.jitter.apply(RETRY_MS));
     }
   }
--- a/src/service/peers/peer-messages.ts
+++ b/src/service/peers/peer-messages.ts
@@ -21,7 +21,7 @@
   waiting: v.optional(v.string()),
 });
 
-/** Decodes a job view, or returns null. Wire names equal field names, so there is no encoder. */
+/** Decodes a job view, or returns null; wire names equal field names, so there is no encoder. */
 export const decodeJobView = (answer: unknown): JobView | null => {
   const result = v.safeParse(jobViewSchema, answer);
   return result.success ? (result.output as JobView) : null;
--- a/src/service/peers/peer-requests.ts
+++ b/src/service/peers/peer-requests.ts
@@ -49,7 +49,7 @@
 export const requestExplanation = (leader: Peer, id: JobId): Promise<unknown> =>
   leader.request({ ask: 'explain', job: id }, TIMEOUT_MS.query);
 
-/** Requests a team's unfinished jobs; views that cannot be decoded are omitted. */
+/** Requests a team's unfinished jobs; undecodable views are omitted. */
 export const requestJobList = async (leader: Peer, team: TeamName): Promise<JobView[] | null> => {
   const answer = await leader.request({ ask: 'list', team }, TIMEOUT_MS.query);
   return Array.isArray(answer) ? answer.map(decodeJobView).filter((job) => job !== null) : null;
--- a/src/service/pending-replies.ts
+++ b/src/service/pending-replies.ts
@@ -12,7 +12,7 @@
   }
 }
 
-/** Callers that wait for one kind of reply. Each gets a reply: no promise stays pending. */
+/** Callers that wait for one kind of reply. Each gets one: no promise stays pending. */
 export class PendingReplies<T> {
   private readonly resolvers = new Map<ReplyTicket, (reply: T) => void>();
 
--- a/src/service/store-listing.ts
+++ b/src/service/store-listing.ts
@@ -1,4 +1,4 @@
-/** Lists a prefix of the key-value store, retrying until it answers. */
+/** Lists a prefix of the key-value store. */
 
 import { sleep } from '../adapters/runtime/clock.js';
 import type { Revision } from '../core/model/ids.js';
--- a/src/service/stored-records/job-record.ts
+++ b/src/service/stored-records/job-record.ts
@@ -34,8 +34,8 @@
 type StoredSpec = v.InferOutput<typeof specSchema>;
 
 /**
- * A service's spec is stored under another name than an array's, so that versions without services
- * find the record invalid and ignore it: they would run it as an array and report it as done.
+ * A service's spec is stored under another name than an array's. Versions without services ignore
+ * the record as invalid; otherwise they would run it as an array and report it as done.
  */
 const arraySchema = v.object({ at: v.number(), spec: specSchema });
 const serviceSchema = v.object({ at: v.number(), service: specSchema });
--- a/src/service/term-context.ts
+++ b/src/service/term-context.ts
@@ -7,6 +7,6 @@
   readonly fencingToken: FencingToken;
   /** False once the term has ended: its loops stop, and late answers are discarded. */
   readonly isCurrent: boolean;
-  /** What the leader may do at this moment; checked again whenever a message is sent. */
+  /** What the leader may do now; checked again whenever a message is sent. */
   authority(): Authority;
 }
