--- a/packages/drain/measure/drain-load.ts
+++ b/packages/drain/measure/drain-load.ts
@@ -89,8 +89,8 @@
     const controller = processes[this.nextJobNumber % processes.length];
     if (!controller) throw new Error('no controller process was started');
     await until(async () => {
-      const reply = await requestJson(controller.api, '/api/jobs', jobBody(id, fields));
-      return [200, 201].includes(reply?.status ?? 0);
+      const answer = await requestJson(controller.api, '/api/jobs', jobBody(id, fields));
+      return [200, 201].includes(answer?.status ?? 0);
     });
   }
 
@@ -157,11 +157,12 @@
   const controller = processes[0];
   if (!controller) throw new Error('no controller process was started');
   const request = { name: 'whole', select: { all: true }, atOnceShare: strategy.atOnceShare };
-  const reply = await until(async () => {
+  const finalAnswer = await until(async () => {
     const answer = await requestJson(controller.api, '/api/drains', request);
     return answer && answer.status !== 503 ? answer : null;
   });
-  if (reply.status !== 201) throw new Error(`the drain was refused: ${JSON.stringify(reply.body)}`);
+  if (finalAnswer.status !== 201)
+    throw new Error(`the drain was refused: ${JSON.stringify(finalAnswer.body)}`);
 };
 
 /** Delays in ms from submission to first start, of short jobs submitted since `sinceMs`. */
@@ -177,10 +178,10 @@
   return delays;
 };
 
-const measure = async (name: string, machines: number, seed: number): Promise<object> => {
-  const strategy = STRATEGIES[name];
+const measure = async (strategyName: string, machines: number, seed: number): Promise<object> => {
+  const strategy = STRATEGIES[strategyName];
   if (!strategy)
-    throw new Error(`unknown way ${name}; known: ${Object.keys(STRATEGIES).join(', ')}`);
+    throw new Error(`unknown way ${strategyName}; known: ${Object.keys(STRATEGIES).join(', ')}`);
   const source = randomLcg(seed);
   const nextGapS = randomExponential.source(source)(SHORT_JOBS_PER_S);
   const nextRunMs = randomLogNormal.source(source)(Math.log(1500), 0.5);
@@ -204,7 +205,7 @@
   const delays = measureStartDelays(fleet, load, drainStartedAt);
   const maxStopped = maxStoppedByTeam(cloud.taskEvents, (task) => load.teamOfTask(task));
   const result = {
-    way: name,
+    way: strategyName,
     machines: initialMachines.length,
     seed,
     drainedInS: Math.round(drainDurationS),
@@ -226,6 +227,8 @@
   return result;
 };
 
-const [way = 'budgets', machines = '100', seed = '1'] = process.argv.slice(2);
-process.stdout.write(`${JSON.stringify(await measure(way, Number(machines), Number(seed)))}\n`);
+const [strategyName = 'budgets', machines = '100', seed = '1'] = process.argv.slice(2);
+process.stdout.write(
+  `${JSON.stringify(await measure(strategyName, Number(machines), Number(seed)))}\n`,
+);
 process.exit(0);
--- a/packages/drain/src/adapters/drain-request-parser.ts
+++ b/packages/drain/src/adapters/drain-request-parser.ts
@@ -49,7 +49,7 @@
 
 const invalid = (message: string): ParsedDrainRequest => ({ kind: 'invalid', message });
 
-const selectorOf = (select: v.InferOutput<typeof selectorSchema>): Selector => ({
+const toSelector = (select: v.InferOutput<typeof selectorSchema>): Selector => ({
   all: select.all ?? false,
   machines: (select.machines as MachineId[] | undefined)?.slice().sort() ?? null,
   type: (select.type as MachineTypeName | undefined) ?? null,
@@ -59,7 +59,7 @@
   image: (select.image as ImageName | undefined) ?? null,
 });
 
-const stepSizeOf = (atOnce: number | undefined, atOnceShare: number | undefined): StepSize =>
+const toStepSize = (atOnce: number | undefined, atOnceShare: number | undefined): StepSize =>
   atOnceShare === undefined
     ? { kind: 'count', count: atOnce ?? 1 }
     : { kind: 'share', share: atOnceShare };
@@ -84,8 +84,8 @@
     kind: 'valid',
     request: {
       name: name as DrainName,
-      selector: selectorOf(select),
-      stepSize: stepSizeOf(atOnce, atOnceShare),
+      selector: toSelector(select),
+      stepSize: toStepSize(atOnce, atOnceShare),
       replace: replace ?? true,
       deadlineS: deadlineS ?? null,
     },
--- a/packages/drain/src/adapters/settings-parser.ts
+++ b/packages/drain/src/adapters/settings-parser.ts
@@ -110,7 +110,7 @@
 
 const parseBudgets = (
   form: Form,
-  known: ReadonlySet<string>,
+  knownTeams: ReadonlySet<string>,
 ): Pick<DrainSettings, 'defaultBudget' | 'teams'> => {
   let defaultBudget: BudgetLimits | null = null;
   const teams = new Map<string, TeamBudget>();
@@ -125,7 +125,7 @@
       );
     } else if (kind === 'team') {
       const team = nameOf(budget[1]);
-      if (!known.has(team)) throw new SettingsError(`field budgets: unknown team ${team}`);
+      if (!knownTeams.has(team)) throw new SettingsError(`field budgets: unknown team ${team}`);
       if (teams.has(team)) throw new SettingsError(`field budgets ${team}: stated twice`);
       teams.set(team, parseTeam(budget, team));
     } else throw new SettingsError(`unknown field budgets ${kind}`);
--- a/packages/drain/src/cli.ts
+++ b/packages/drain/src/cli.ts
@@ -214,14 +214,14 @@
 const drainPath = (name: string, change = ''): string =>
   `/api/drains/${encodeURIComponent(name)}${change}`;
 
-const detailsText = (answer: unknown) => detailLines(answer as DrainDetails);
+const detailsLinesOf = (answer: unknown) => detailLines(answer as DrainDetails);
 
 const addRequestCommands = (drain: Command, tools: CommandTools): void => {
   const start = drain.command('start').description('begin a drain').argument('<name>');
   withRequestOptions(start).action((name: string, options: RequestOptions) => {
     const body = requestBody(name, options);
     const path = '/api/drains';
-    return callController(tools, options, { method: 'POST', path, body, linesOf: detailsText });
+    return callController(tools, options, { method: 'POST', path, body, linesOf: detailsLinesOf });
   });
   const plan = drain.command('plan').description('what a drain would do');
   withRequestOptions(plan).action((options: RequestOptions) =>
@@ -246,7 +246,7 @@
   const status = drain.command('status').description('one drain').argument('<name>');
   withTargetOptions(status).action((name: string, target: TargetOptions) => {
     const path = drainPath(name);
-    return callController(tools, target, { method: 'GET', path, linesOf: detailsText });
+    return callController(tools, target, { method: 'GET', path, linesOf: detailsLinesOf });
   });
 };
 
@@ -259,7 +259,7 @@
         method: 'POST',
         path,
         body: {},
-        linesOf: detailsText,
+        linesOf: detailsLinesOf,
       });
     });
   }
--- a/scripts/measure-drain.mjs
+++ b/scripts/measure-drain.mjs
@@ -1,16 +1,16 @@
 /**
- * Measures drains of a fleet of simulated workers on loopback, one drain mode after the other.
- * Prints one line of JSON per mode.
+ * Measures drains of a fleet of simulated workers on loopback, one drain strategy after the other.
+ * Prints one line of JSON per strategy.
  *
- * Usage: node scripts/measure-drain.mjs [MACHINES] [SEED] [MODE...]
+ * Usage: node scripts/measure-drain.mjs [MACHINES] [SEED] [STRATEGY...]
  */
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { join } from 'node:path';
 import { build } from 'esbuild';
 
-const MODES = ['budgets', 'no-budgets', 'all-at-once', 'taken-at-once'];
-const [machines = '100', seed = '1', ...modes] = process.argv.slice(2);
+const STRATEGIES = ['budgets', 'no-budgets', 'all-at-once', 'taken-at-once'];
+const [machines = '100', seed = '1', ...strategies] = process.argv.slice(2);
 const directory = mkdtempSync(join(process.cwd(), 'target-measure-'));
 const program = join(directory, 'drain-load.mjs');
 await build({
@@ -24,8 +24,8 @@
   logLevel: 'warning',
 });
 let failed = false;
-for (const mode of modes.length > 0 ? modes : MODES) {
-  const { status } = spawnSync(process.execPath, [program, mode, machines, seed], {
+for (const strategy of strategies.length > 0 ? strategies : STRATEGIES) {
+  const { status } = spawnSync(process.execPath, [program, strategy, machines, seed], {
     stdio: 'inherit',
   });
   failed ||= status !== 0;
--- a/src/adapters/cloud/cloud-client.ts
+++ b/src/adapters/cloud/cloud-client.ts
@@ -2,7 +2,7 @@
 import type { MachineId } from '../../core/model/ids.js';
 import type { ListedMachine, MachineType, ProvisionRequest } from '../../core/model/machine.js';
 import type { Endpoint } from '../configuration/settings.js';
-import { HttpClient, type NoAnswer, type Reply } from '../outbound/http-client.js';
+import { type ExchangeResult, HttpClient, type NoAnswer } from '../outbound/http-client.js';
 import { RateLimiter } from '../outbound/rate-limiter.js';
 import {
   encodeDeletion,
@@ -80,37 +80,37 @@
     path: string,
     body?: unknown,
     isAuthorized: AuthorizationCheck = always,
-  ): Promise<Reply> {
+  ): Promise<ExchangeResult> {
     if (!(await this.limiter.acquire(1, MAX_QUEUE_MS))) return RATE_LIMITED;
     if (!isAuthorized()) return NOT_AUTHORIZED;
     const timeoutMs = REQUEST_TIMEOUT_MS;
-    const reply = await this.http.send({ method, path, body, timeoutMs });
+    const result = await this.http.send({ method, path, body, timeoutMs });
     const error =
-      reply.kind === 'answer' ? (reply.body as { error?: unknown } | null)?.error : undefined;
-    this.isUnavailable = reply.kind === 'none' || error === 'trouble';
-    return reply;
+      result.kind === 'answer' ? (result.body as { error?: unknown } | null)?.error : undefined;
+    this.isUnavailable = result.kind === 'none' || error === 'trouble';
+    return result;
   }
 
   /** Returns the parsed content, or null if it is missing, malformed or has an error status. */
   private read<T>(
     operation: Operation,
-    reply: Reply,
+    result: ExchangeResult,
     parse: (body: unknown) => T | null,
   ): T | null {
-    if (reply.kind === 'none') {
-      if (reply.reason === 'not-json') this.onUnexpectedAnswer(operation);
+    if (result.kind === 'none') {
+      if (result.reason === 'not-json') this.onUnexpectedAnswer(operation);
       return null;
     }
-    if (reply.status !== 200) return null;
-    const value = parse(reply.body);
+    if (result.status !== 200) return null;
+    const value = parse(result.body);
     if (value === null) this.onUnexpectedAnswer(operation);
     return value;
   }
 
   /** Lists the machine types that the cloud offers. Returns null if the request fails. */
   async listMachineTypes(): Promise<MachineType[] | null> {
-    const reply = await this.send('GET', '/machine_types');
-    return this.read('list-machine-types', reply, parseMachineTypes);
+    const result = await this.send('GET', '/machine_types');
+    return this.read('list-machine-types', result, parseMachineTypes);
   }
 
   /** Provisions machines. Repeating a request with the same id returns the same machines. */
@@ -118,15 +118,15 @@
     request: ProvisionRequest,
     isAuthorized?: AuthorizationCheck,
   ): Promise<ProvisionResult> {
-    const reply = await this.send(
+    const result = await this.send(
       'POST',
       '/machines',
       encodeProvisionRequest(request),
       isAuthorized,
     );
-    if (reply.kind === 'none') return reply.sent ? UNKNOWN : REFUSED;
-    if (reply.status !== 200) return REFUSED;
-    const machines = this.read('provision', reply, parseMachineIds);
+    if (result.kind === 'none') return result.sent ? UNKNOWN : REFUSED;
+    if (result.status !== 200) return REFUSED;
+    const machines = this.read('provision', result, parseMachineIds);
     return machines ? { kind: 'provisioned', machines } : UNKNOWN;
   }
 
@@ -136,19 +136,19 @@
     isAuthorized?: AuthorizationCheck,
   ): Promise<boolean> {
     const body = encodeDeletion(machines);
-    const reply = await this.send('POST', '/machines/delete', body, isAuthorized);
-    return reply.kind === 'answer' && reply.status === 200;
+    const result = await this.send('POST', '/machines/delete', body, isAuthorized);
+    return result.kind === 'answer' && result.status === 200;
   }
 
   /** Lists all machines, page by page. Returns null if any page cannot be read. */
   async listMachines(): Promise<ListedMachine[] | null> {
     const all: ListedMachine[] = [];
     for (let pages = 1; ; pages += 1) {
-      const reply = await this.send(
+      const result = await this.send(
         'GET',
         `/machines?${encodePageQuery(all.at(-1)?.id, PAGE_SIZE)}`,
       );
-      const page = this.read('list-machines', reply, parseMachinePage);
+      const page = this.read('list-machines', result, parseMachinePage);
       if (!page) return null;
       all.push(...page.machines);
       if (page.hasMore && page.machines.length > 0) continue;
--- a/src/adapters/http/answers.ts
+++ b/src/adapters/http/answers.ts
@@ -16,7 +16,7 @@
 }
 
 /** The response to a worker's heartbeat. */
-export interface HeartbeatReply extends HttpAnswer {
+export interface HeartbeatAnswer extends HttpAnswer {
   readonly status: 200 | 400 | 421 | 503;
   readonly body: object;
 }
@@ -96,7 +96,7 @@
   answer ?? unavailable('no leader to ask');
 
 /** Responds to a well-formed heartbeat. */
-export const answerHeartbeat = (decision: HeartbeatDecision): HeartbeatReply => {
+export const answerHeartbeat = (decision: HeartbeatDecision): HeartbeatAnswer => {
   switch (decision.kind) {
     case 'commands':
       return {
@@ -114,6 +114,6 @@
 };
 
 /** The response to a malformed heartbeat. */
-export const MALFORMED_HEARTBEAT: HeartbeatReply = { status: 400, body: { error: 'malformed' } };
+export const MALFORMED_HEARTBEAT: HeartbeatAnswer = { status: 400, body: { error: 'malformed' } };
 /** The response to a heartbeat whose handling threw an error. */
-export const HEARTBEAT_FAILED: HeartbeatReply = { status: 503, body: { error: 'fault' } };
+export const HEARTBEAT_FAILED: HeartbeatAnswer = { status: 503, body: { error: 'fault' } };
--- a/src/adapters/http/heartbeat-connections.ts
+++ b/src/adapters/http/heartbeat-connections.ts
@@ -6,11 +6,11 @@
  */
 import type { Socket } from 'node:net';
 import { steadyNow } from '../runtime/clock.js';
-import { type HeartbeatReply, RETRY_AFTER_S, UNAVAILABLE_STATUS } from './answers.js';
+import { type HeartbeatAnswer, RETRY_AFTER_S, UNAVAILABLE_STATUS } from './answers.js';
 import { frameHeartbeat } from './heartbeat-framing.js';
 
 /** Handles the body of a heartbeat. The promise must not reject. */
-export type HeartbeatHandler = (body: string) => Promise<HeartbeatReply>;
+export type HeartbeatHandler = (body: string) => Promise<HeartbeatAnswer>;
 
 /** Limits of a connection on which a worker sends heartbeats; one that exceeds them is closed. */
 export interface HeartbeatLimits {
@@ -21,14 +21,14 @@
   readonly requestMs: number;
 }
 
-const REASON_PHRASES: Record<HeartbeatReply['status'], string> = {
+const REASON_PHRASES: Record<HeartbeatAnswer['status'], string> = {
   200: 'OK',
   400: 'Bad Request',
   421: 'Misdirected Request',
   503: 'Service Unavailable',
 };
 
-const encodeReply = ({ status, body }: HeartbeatReply, close: boolean): string => {
+const encodeAnswer = ({ status, body }: HeartbeatAnswer, close: boolean): string => {
   const text = JSON.stringify(body);
   const retry = status === UNAVAILABLE_STATUS ? `Retry-After: ${RETRY_AFTER_S}\r\n` : '';
   const connection = close ? 'close' : 'keep-alive';
@@ -100,16 +100,16 @@
         this.unread = unread.length > framing.bodyEnd ? unread.subarray(framing.bodyEnd) : null;
         this.unreadSince = steadyNow();
         this.isAnswering = true;
-        void this.handle(body).then((reply) => this.answer(reply, framing.close));
+        void this.handle(body).then((answer) => this.sendAnswer(answer, framing.close));
       }
     }
   }
 
-  private answer(reply: HeartbeatReply, close: boolean): void {
+  private sendAnswer(answer: HeartbeatAnswer, close: boolean): void {
     this.isAnswering = false;
     // The worker may have closed the connection meanwhile.
     if (this.socket.destroyed || !this.socket.writable) return;
-    this.socket.write(encodeReply(reply, close));
+    this.socket.write(encodeAnswer(answer, close));
     if (close || this.hasClientEnded) this.socket.end();
     else this.readNext();
   }
--- a/src/adapters/http/heartbeat-handler.ts
+++ b/src/adapters/http/heartbeat-handler.ts
@@ -5,7 +5,7 @@
 import {
   answerHeartbeat,
   HEARTBEAT_FAILED,
-  type HeartbeatReply,
+  type HeartbeatAnswer,
   MALFORMED_HEARTBEAT,
 } from './answers.js';
 import type { HeartbeatHandler } from './heartbeat-connections.js';
@@ -26,14 +26,14 @@
   const parser = new HeartbeatParser();
   const logDeduplicator = new LogDeduplicator();
 
-  const refuse = (body: JsonBody): HeartbeatReply => {
+  const refuse = (body: JsonBody): HeartbeatAnswer => {
     const { machineId, reason } = describeMalformed(body);
     if (logDeduplicator.isFirstOccurrence(`${machineId} ${reason}`))
       log.info({ machineId, reason }, 'malformed heartbeat, answering 400');
     return MALFORMED_HEARTBEAT;
   };
 
-  const answer = async (text: string): Promise<HeartbeatReply> => {
+  const answer = async (text: string): Promise<HeartbeatAnswer> => {
     const body = parseJsonText(text);
     const heartbeat = body.kind === 'json' ? parser.parse(body.json) : null;
     if (!heartbeat) return refuse(body);
--- a/src/adapters/key-value-store/key-value-store-client.ts
+++ b/src/adapters/key-value-store/key-value-store-client.ts
@@ -15,7 +15,7 @@
   WatchResult,
 } from '../../ports/key-value-store.js';
 import type { Endpoint } from '../configuration/settings.js';
-import type { Reply } from '../outbound/http-client.js';
+import type { ExchangeResult } from '../outbound/http-client.js';
 import {
   encodeLeaseRequest,
   encodeTransaction,
@@ -82,26 +82,26 @@
     this.rates.scaleWriteRate(scale);
   }
 
-  /** Classifies a reply that is not a valid success as `refused` or `unknown`. */
-  private failureOf(operation: Operation, reply: Reply): StoreFailure {
-    if (reply.kind === 'none') {
-      if (reply.reason === 'not-json') this.onUnexpectedAnswer(operation);
-      return reply.sent ? UNKNOWN : REFUSED;
+  /** Classifies a result that is not a valid success as `refused` or `unknown`. */
+  private failureOf(operation: Operation, result: ExchangeResult): StoreFailure {
+    if (result.kind === 'none') {
+      if (result.reason === 'not-json') this.onUnexpectedAnswer(operation);
+      return result.sent ? UNKNOWN : REFUSED;
     }
-    if (reply.status >= 500 || reply.status === 429) return REFUSED;
+    if (result.status >= 500 || result.status === 429) return REFUSED;
     this.onUnexpectedAnswer(operation);
     return UNKNOWN;
   }
 
   async get(key: string): Promise<GetResult> {
-    const reply = await this.connection.send({
+    const result = await this.connection.send({
       method: 'GET',
       path: `/kv/${key}`,
       timeoutMs: READ_TIMEOUT_MS,
     });
-    if (hasStatus(reply, 404)) return ABSENT;
-    const item = readContent(reply, parseItem);
-    return item ? { kind: 'found', item } : this.failureOf('get', reply);
+    if (hasStatus(result, 404)) return ABSENT;
+    const item = readContent(result, parseItem);
+    return item ? { kind: 'found', item } : this.failureOf('get', result);
   }
 
   /** Reads one page of the keys under a prefix; `after` is the last key of the previous page. */
@@ -110,12 +110,12 @@
     after: string | undefined,
     limit: number,
   ): Promise<StoredPage | StoreFailure> {
-    const reply = await this.connection.send({
+    const result = await this.connection.send({
       method: 'GET',
       path: pagePath(prefix, after, limit),
       timeoutMs: WRITE_TIMEOUT_MS,
     });
-    return readContent(reply, parsePage) ?? this.failureOf('list', reply);
+    return readContent(result, parsePage) ?? this.failureOf('list', result);
   }
 
   /** Returns the first page's revision, so that a watch from it misses no change of any page. */
@@ -138,42 +138,42 @@
     timeoutMs = WRITE_TIMEOUT_MS,
   ): Promise<CompareAndSwapResult> {
     if (!(await this.rates.writes.acquire(mutations.length, maxWaitMs))) return REFUSED;
-    const reply = await this.connection.send({
+    const result = await this.connection.send({
       method: 'POST',
       path: '/multi',
       body: encodeTransaction(preconditions, mutations),
       timeoutMs,
     });
-    if (hasStatus(reply, 409)) return CONFLICT;
+    if (hasStatus(result, 409)) return CONFLICT;
     // `no such lease` is the only named reason for 400; otherwise the request itself is invalid.
-    if (hasStatus(reply, 400)) return isNoSuchLease(reply.body) ? LEASE_EXPIRED : TOO_LARGE;
-    const revision = readContent(reply, parseCommit);
-    if (revision === null) return this.failureOf('compare-and-swap', reply);
+    if (hasStatus(result, 400)) return isNoSuchLease(result.body) ? LEASE_EXPIRED : TOO_LARGE;
+    const revision = readContent(result, parseCommit);
+    if (revision === null) return this.failureOf('compare-and-swap', result);
     return { kind: 'committed', revision };
   }
 
   async grantLease(ttlMs: number): Promise<LeaseGrantResult> {
-    const reply = await this.connection.sendLeaseRequest({
+    const result = await this.connection.sendLeaseRequest({
       method: 'POST',
       path: '/holds',
       body: encodeLeaseRequest(ttlMs),
       timeoutMs: LEASE_TIMEOUT_MS,
     });
-    const lease = readContent(reply, parseLease);
-    if (lease === null) return this.failureOf('grant-lease', reply);
+    const lease = readContent(result, parseLease);
+    if (lease === null) return this.failureOf('grant-lease', result);
     return { kind: 'granted', lease };
   }
 
   async renewLease(lease: LeaseId): Promise<LeaseRenewalResult> {
-    const reply = await this.connection.sendLeaseRequest({
+    const result = await this.connection.sendLeaseRequest({
       method: 'POST',
       path: `/holds/${lease}/renew`,
       body: {},
       timeoutMs: LEASE_TIMEOUT_MS,
     });
-    if (hasStatus(reply, 200)) return RENEWED;
-    if (hasStatus(reply, 404)) return LEASE_EXPIRED;
-    return this.failureOf('renew-lease', reply);
+    if (hasStatus(result, 200)) return RENEWED;
+    if (hasStatus(result, 404)) return LEASE_EXPIRED;
+    return this.failureOf('renew-lease', result);
   }
 
   async revokeLease(lease: LeaseId): Promise<void> {
@@ -185,15 +185,15 @@
   }
 
   async watch(prefix: string, since: Revision, pollTimeoutMs: number): Promise<WatchResult> {
-    const reply = await this.connection.sendWatch({
+    const result = await this.connection.sendWatch({
       method: 'GET',
       path: watchPath(prefix, since, pollTimeoutMs),
       timeoutMs: pollTimeoutMs + WATCH_TIMEOUT_SLACK_MS,
     });
-    if (hasStatus(reply, 410)) return TOO_OLD;
+    if (hasStatus(result, 410)) return TOO_OLD;
     // A watch returns all changes in one answer of any size: the caller lists the keys instead.
-    if (reply.kind === 'none' && reply.reason === 'too-large') return TOO_OLD;
-    return readContent(reply, parseChanges) ?? this.failureOf('watch', reply);
+    if (result.kind === 'none' && result.reason === 'too-large') return TOO_OLD;
+    return readContent(result, parseChanges) ?? this.failureOf('watch', result);
   }
 
   close(): void {
@@ -201,14 +201,14 @@
   }
 }
 
-type Answer = Extract<Reply, { kind: 'answer' }>;
+type Answer = Extract<ExchangeResult, { kind: 'answer' }>;
 
 const hasStatus = <Status extends number>(
-  reply: Reply,
+  result: ExchangeResult,
   status: Status,
-): reply is Answer & { readonly status: Status } =>
-  reply.kind === 'answer' && reply.status === status;
+): result is Answer & { readonly status: Status } =>
+  result.kind === 'answer' && result.status === status;
 
 /** Returns the parsed body of a valid 200 answer, else null. */
-const readContent = <T>(reply: Reply, parse: (body: unknown) => T | null): T | null =>
-  hasStatus(reply, 200) ? parse(reply.body) : null;
+const readContent = <T>(result: ExchangeResult, parse: (body: unknown) => T | null): T | null =>
+  hasStatus(result, 200) ? parse(result.body) : null;
--- a/src/adapters/key-value-store/store-connection.ts
+++ b/src/adapters/key-value-store/store-connection.ts
@@ -1,10 +1,10 @@
 /** Sends requests to the key-value store and tracks whether the store answers this node. */
 import type { Endpoint } from '../configuration/settings.js';
 import {
+  type ExchangeResult,
   HttpClient,
   type HttpRequest,
   type NoAnswer,
-  type Reply,
 } from '../outbound/http-client.js';
 import type { StoreRates } from './store-rates.js';
 
@@ -50,30 +50,30 @@
   }
 
   /** Sends a request once the rate limiter permits, within `MAX_QUEUE_MS`. */
-  async send(request: HttpRequest): Promise<Reply> {
+  async send(request: HttpRequest): Promise<ExchangeResult> {
     if (!(await this.rates.requests.acquire(1, MAX_QUEUE_MS))) return RATE_LIMITED;
     return this.record(await this.http.send(request));
   }
 
   /** Sends a request without waiting for the rate limiter, since the lease might expire. */
-  async sendLeaseRequest(request: HttpRequest): Promise<Reply> {
+  async sendLeaseRequest(request: HttpRequest): Promise<ExchangeResult> {
     this.rates.requests.acquireImmediately(1);
     return this.record(await this.leases.send(request));
   }
 
   /** Sends a long poll. Its result does not count for `isDown`. */
-  sendWatch(request: HttpRequest): Promise<Reply> {
+  sendWatch(request: HttpRequest): Promise<ExchangeResult> {
     this.rates.requests.acquireImmediately(1);
     return this.watches.send(request);
   }
 
-  private record(reply: Reply): Reply {
-    if (reply.kind === 'none' || reply.status === 503) {
+  private record(result: ExchangeResult): ExchangeResult {
+    if (result.kind === 'none' || result.status === 503) {
       this.unresponsive = true;
       if (!this.closed) this.probe ??= setTimeout(() => this.sendProbe(), PROBE_DELAY_MS);
-    } else if (reply.status !== 429) this.unresponsive = false;
-    if (reply.kind === 'answer') this.rates.recordAnswer(reply.status === 429);
-    return reply;
+    } else if (result.status !== 429) this.unresponsive = false;
+    if (result.kind === 'answer') this.rates.recordAnswer(result.status === 429);
+    return result;
   }
 
   /** Detects recovery: while the store is down, callers may send no other requests. */
@@ -81,7 +81,7 @@
     this.probe = null;
     if (!this.unresponsive || this.closed) return;
     this.rates.requests.acquireImmediately(1);
-    void this.http.send(PROBE).then((reply) => this.record(reply));
+    void this.http.send(PROBE).then((result) => this.record(result));
   }
 
   close(): void {
--- a/src/adapters/outbound/http-client.ts
+++ b/src/adapters/outbound/http-client.ts
@@ -36,7 +36,7 @@
 }
 
 /** The result of an exchange. `body` is parsed JSON, or null if the answer has no body. */
-export type Reply =
+export type ExchangeResult =
   | { readonly kind: 'answer'; readonly status: number; readonly body: unknown }
   | NoAnswer;
 
@@ -62,7 +62,7 @@
   return openRequest({ host, port, method, path, headers, agent });
 };
 
-const parseAnswer = (status: number, text: string): Reply => {
+const parseAnswer = (status: number, text: string): ExchangeResult => {
   try {
     return { kind: 'answer', status, body: text === '' ? null : JSON.parse(text) };
   } catch {
@@ -70,7 +70,7 @@
   }
 };
 
-/** A request in flight. The first terminal event determines the reply; later ones are ignored. */
+/** A request in flight. The first terminal event determines the result; later ones are ignored. */
 class PendingExchange {
   private settled = false;
   private connected = false;
@@ -79,7 +79,7 @@
   constructor(
     private readonly request: ClientRequest,
     timeoutMs: number,
-    private readonly resolve: (reply: Reply) => void,
+    private readonly resolve: (result: ExchangeResult) => void,
   ) {
     this.deadline = setTimeout(() => this.fail('timeout', 'no answer in time'), timeoutMs);
     request.on('socket', (socket) => {
@@ -90,11 +90,11 @@
     request.on('response', (response) => this.readAnswer(response));
   }
 
-  private settle(reply: Reply): void {
+  private settle(result: ExchangeResult): void {
     if (this.settled) return;
     this.settled = true;
     clearTimeout(this.deadline);
-    this.resolve(reply);
+    this.resolve(result);
   }
 
   private fail(reason: NoAnswerReason, message: string): void {
@@ -120,7 +120,11 @@
 }
 
 /** Sends a request through `agent`. Never rejects: failures are returned as a `NoAnswer`. */
-export const exchange = (agent: Agent, endpoint: Endpoint, request: HttpRequest): Promise<Reply> =>
+export const exchange = (
+  agent: Agent,
+  endpoint: Endpoint,
+  request: HttpRequest,
+): Promise<ExchangeResult> =>
   new Promise((resolve) => {
     const text = request.body === undefined ? undefined : JSON.stringify(request.body);
     let clientRequest: ClientRequest;
@@ -152,7 +156,7 @@
     });
   }
 
-  send(request: HttpRequest): Promise<Reply> {
+  send(request: HttpRequest): Promise<ExchangeResult> {
     return exchange(this.agent, this.endpoint, request);
   }
 
--- a/src/adapters/workers/worker-client.ts
+++ b/src/adapters/workers/worker-client.ts
@@ -32,15 +32,15 @@
     commands: readonly WorkerCommand[],
   ): Promise<Heartbeat | null> {
     if (!ENDPOINT.test(endpoint)) return null;
-    const reply = await exchange(this.agent, parseEndpoint(endpoint), {
+    const result = await exchange(this.agent, parseEndpoint(endpoint), {
       method: 'POST',
       path: '/orders',
       body: encodeDirectCommands(fencingToken, agentEpoch, commands),
       timeoutMs: REQUEST_TIMEOUT_MS,
     });
-    if (reply.kind !== 'answer') return null;
+    if (result.kind !== 'answer') return null;
     // 409: the worker has seen a higher fencing token, which its heartbeat contains.
-    if (reply.status !== 200 && reply.status !== 409) return null;
-    return parseHeartbeat(reply.body);
+    if (result.status !== 200 && result.status !== 409) return null;
+    return parseHeartbeat(result.body);
   }
 }
--- a/src/cli/ask.ts
+++ b/src/cli/ask.ts
@@ -9,11 +9,11 @@
 /** Prints any answer as JSON. Sets a failure exit code unless its status is 200. */
 const printAnswer = async (endpoint: string, path: string): Promise<void> => {
   const client = new HttpClient(parseEndpoint(endpoint), 1);
-  const reply = await client.send({ method: 'GET', path, timeoutMs: ANSWER_TIMEOUT_MS });
+  const result = await client.send({ method: 'GET', path, timeoutMs: ANSWER_TIMEOUT_MS });
   client.close();
-  if (reply.kind === 'none') throw new NoAnswerError(endpoint, reply.message);
-  process.stdout.write(`${JSON.stringify(reply.body, null, 2)}\n`);
-  if (reply.status !== 200) process.exitCode = EXIT_CODES.failed;
+  if (result.kind === 'none') throw new NoAnswerError(endpoint, result.message);
+  process.stdout.write(`${JSON.stringify(result.body, null, 2)}\n`);
+  if (result.status !== 200) process.exitCode = EXIT_CODES.failed;
 };
 
 /** Prints why a job waits. Throws a `NoAnswerError` if the controller does not answer. */
--- a/src/cli/command-tools.ts
+++ b/src/cli/command-tools.ts
@@ -11,9 +11,9 @@
 export const commandTools: CommandTools = {
   sendRequest: async (endpoint, method, path, body) => {
     const client = new HttpClient(parseEndpoint(endpoint), 1);
-    const reply = await client.send({ method, path, body, timeoutMs: ANSWER_TIMEOUT_MS });
+    const result = await client.send({ method, path, body, timeoutMs: ANSWER_TIMEOUT_MS });
     client.close();
-    return reply.kind === 'none' ? null : { status: reply.status, body: reply.body };
+    return result.kind === 'none' ? null : { status: result.status, body: result.body };
   },
   print: (text) => process.stdout.write(`${text}\n`),
   printError: writeError,
--- a/test/heartbeat-http.test.ts
+++ b/test/heartbeat-http.test.ts
@@ -2,7 +2,7 @@
 import { connect, type Socket } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
 import { parseSettings } from '../src/adapters/configuration/settings.js';
-import type { HeartbeatReply } from '../src/adapters/http/answers.js';
+import type { HeartbeatAnswer } from '../src/adapters/http/answers.js';
 import { makeApi } from '../src/adapters/http/api.js';
 import { serveApi } from '../src/adapters/http/api-server.js';
 import { type Framing, frameHeartbeat } from '../src/adapters/http/heartbeat-framing.js';
@@ -99,7 +99,7 @@
   const bodies: string[] = [];
   const heldReplies: (() => void)[] = [];
   const control = { holdsReplies: false };
-  const handleHeartbeat = async (body: string): Promise<HeartbeatReply> => {
+  const handleHeartbeat = async (body: string): Promise<HeartbeatAnswer> => {
     bodies.push(body);
     if (control.holdsReplies) await new Promise<void>((resolve) => heldReplies.push(resolve));
     return { status: 200, body: { got: body } };
