--- a/packages/drain/measure/drain-load.ts
+++ b/packages/drain/measure/drain-load.ts
@@ -1,6 +1,8 @@
 /**
- * Empties a fleet of stand-in workers under load by one of `STRATEGIES` and prints its cost as one
- * line of JSON. Run by `scripts/measure-drain.mjs`. Usage: drain-load [WAY [MACHINES [SEED]]]
+ * Empties a fleet of stand-in workers under load with one of `STRATEGIES` and prints the cost as
+ * one line of JSON. Run by `scripts/measure-drain.mjs`.
+ *
+ * Usage: drain-load [STRATEGY [MACHINES [SEED]]]
  */
 import { writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -15,7 +17,7 @@
   tasksLostWithMachines,
 } from '../test/support/history-checker.js';
 
-/** How the fleet is emptied: the budgets in effect and the share of machines per step. */
+/** How the fleet is emptied: the budgets and the share of machines per step. */
 interface Strategy {
   readonly budgets: string;
   readonly atOnceShare: number;
@@ -34,14 +36,14 @@
 };
 
 const CPUS_PER_MACHINE = 8;
-/** Shares of the fleet's processors that long tasks and service replicas use. */
+/** Shares of the fleet's CPUs that long tasks and service replicas use. */
 const LONG_TASK_SHARE = 0.5;
 const REPLICA_SHARE = 0.05;
 /** Longer than any measured drain. */
 const LONG_TASK_MS = 1_200_000;
 const SHORT_JOBS_PER_S = 4;
 const WARM_UP_MS = 5000;
-/** Lets the last stops and starts reach the history. */
+/** Time for the last stops and starts to reach the history. */
 const SETTLE_MS = 3000;
 const HEARTBEAT_MS = 1000;
 
@@ -127,7 +129,7 @@
   return fleet;
 };
 
-/** Submits the replicas and the long tasks; returns their total number. */
+/** Submits replicas and long tasks; returns their total number. */
 const submitLongRunningWork = async (load: LoadGenerator, cpus: number): Promise<number> => {
   const replicas = Math.round(cpus * REPLICA_SHARE);
   const longTasks = Math.round((cpus * LONG_TASK_SHARE) / 2);
--- a/packages/drain/src/adapters/drain-request-parser.ts
+++ b/packages/drain/src/adapters/drain-request-parser.ts
@@ -1,4 +1,4 @@
-/** Parses the body of a drain request; errors are one line each and name the invalid field. */
+/** Parses the body of a drain request. */
 import type { ImageName, MachineId, MachineTypeName, ZoneName } from '@robinspread/extension-api';
 import * as v from 'valibot';
 import type { DrainName, DrainRequest, Selector, StepSize } from '../core/drain.js';
--- a/packages/drain/src/adapters/settings-parser.ts
+++ b/packages/drain/src/adapters/settings-parser.ts
@@ -1,4 +1,4 @@
-/** Parses the package's settings file (S-expressions); errors are one line and name the field. */
+/** Parses the package's settings file (S-expressions). */
 import parseExpression from 's-expression';
 import {
   type BudgetLimits,
@@ -7,7 +7,7 @@
   type TeamBudget,
 } from '../core/settings.js';
 
-/** An invalid settings file; the message is shown to operators. */
+/** The settings file is invalid. The message, one line for operators, names the field. */
 class SettingsError extends Error {}
 
 /** A list in the settings file: a name, followed by values or nested lists. */
@@ -50,7 +50,7 @@
     throw new SettingsError(`field ${where}: takes ${length - 1} value(s)`);
 };
 
-/** Parses the limits among the forms; `handleNonLimit` gets the others. */
+/** Parses the limits among the forms; passes the others to `handleNonLimit`. */
 const parseLimits = (
   forms: Form,
   where: string,
@@ -162,10 +162,7 @@
   return settings;
 };
 
-/**
- * Parses the settings. For an invalid file, returns an error text as `ExtensionPackage.configure`
- * does.
- */
+/** Parses the settings, or returns an error text for `ExtensionPackage.configure`. */
 export const parseDrainSettings = (
   text: string,
   knownTeams: ReadonlySet<string>,
--- a/packages/drain/src/cli.ts
+++ b/packages/drain/src/cli.ts
@@ -5,7 +5,7 @@
 /** Exit codes, as documented on the operators' page. */
 const EXIT_CODES = { done: 0, refused: 1, badInput: 2, noAnswer: 3, tryLater: 4 } as const;
 
-/** The controller to call, and the format in which its answer is printed. */
+/** The controller to call, and whether its answer is printed as JSON. */
 interface TargetOptions {
   readonly at: string;
   readonly json?: boolean;
@@ -54,7 +54,6 @@
   }[];
 }
 
-/** Answer to a plan request. */
 interface PlanView {
   readonly refused: string | null;
   readonly machines: number;
@@ -117,7 +116,7 @@
 const optionalNumber = (text: string | undefined): number | undefined =>
   text === undefined ? undefined : Number(text);
 
-/** Converts a step size, such as `4` (machines) or `10%`, to request fields. */
+/** Converts a step size, `4` (machines) or `10%`, to request fields. */
 const stepSizeFields = (text: string | undefined): object => {
   if (text === undefined) return {};
   if (text.endsWith('%')) return { atOnceShare: Number(text.slice(0, -1)) / 100 };
@@ -130,7 +129,7 @@
   return ordinary ? false : undefined;
 };
 
-/** Builds the request body; `name` is null if it requests a plan. */
+/** Builds the request body; `name` is null for a plan. */
 const requestBody = (name: string | null, options: RequestOptions): object => {
   const select = {
     all: options.all,
--- a/packages/drain/src/core/blocker.ts
+++ b/packages/drain/src/core/blocker.ts
@@ -1,4 +1,4 @@
-/** Reasons why a drain or one of its machines is blocked, and their texts for operators. */
+/** Blockers of drains and machines, and their texts for operators. */
 import type { ProvisionRequestId } from '@robinspread/extension-api';
 import type { MachineWork } from './machine-selection.js';
 
--- a/packages/drain/src/core/budget-ledger.ts
+++ b/packages/drain/src/core/budget-ledger.ts
@@ -1,8 +1,8 @@
 /**
- * The ledger of disruptions and the usage of their budgets. A task is disrupted from when its stop
- * is decided, or its machine is known to be lost, until it runs again, is done, or its job has
- * ended. Voluntary disruptions are granted only if no budget they count against is used up;
- * involuntary ones are always counted, even beyond the limit.
+ * The ledger of disruptions and the usage of their budgets. A task is disrupted from the decision
+ * to stop it, or the loss of its machine, until it runs again, is done or its job ends. Voluntary
+ * disruptions are granted only within every budget that they count against; involuntary ones are
+ * always counted, even beyond the limit.
  */
 import type {
   AttemptId,
@@ -46,7 +46,7 @@
 export class BudgetLedger {
   /** All disruptions that count against a budget, by attempt. */
   readonly disruptions = new Map<AttemptId, Disruption>();
-  /** Until when attempts whose grant expired get no new one, on the steady clock. */
+  /** When attempts whose grant expired may get a new one, on the steady clock. */
   private readonly retryBlockedUntil = new Map<AttemptId, number>();
   /** Blockers by team and job class, cached for one decision. */
   private readonly blockedClasses = new Map<string, Blocker>();
@@ -87,7 +87,7 @@
     return tasks;
   }
 
-  /** Returns a blocker if a budget allows no further task of the job class, else null. */
+  /** Returns a blocker if a budget allows no further disruption in the job class, else null. */
   findBlocker(team: TeamName, jobClass: string, fleet: FleetView, moment: Moment): Blocker | null {
     for (const scope of scopesOf(this.settings, team, jobClass)) {
       const { open, limit, inWindow } = this.usageOf(scope, fleet, moment);
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Requests the disruption of an attempt. Returns the disruption, the blocker, or null if its job
-   * has ended or its last grant expired less than `GRANT_LIFETIME_MS` ago.
+   * Requests the disruption of an attempt. Returns the disruption, its blocker, or null if its job
+   * has ended or is unknown, or its last grant expired less than `GRANT_LIFETIME_MS` ago.
    */
   requestDisruption(
     attempt: AttemptView,
@@ -124,7 +124,7 @@
     return blocker;
   }
 
-  /** Counts a disruption by a lost machine or reclaim notice, or marks a counted one as stopped. */
+  /** Counts a disruption by a lost machine or a reclaim notice; marks a counted one as stopped. */
   recordInvoluntary(attempt: AttemptView, moment: Moment): void {
     const known = this.disruptions.get(attempt.entry.attempt);
     if (known) {
@@ -160,11 +160,11 @@
     return disruption;
   }
 
-  /** Drops the disruption of an attempt that ended by itself or whose record was refused. */
+  /** Drops a disruption whose attempt ended by itself or whose record was refused. */
   withdraw(attempt: AttemptId): void {
     const known = this.disruptions.get(attempt);
     if (!known || known.phase === 'stopped') return;
-    // Still counted: the previous leader may have sent the stop.
+    // It stays counted, since the previous leader may have sent the stop.
     if (known.isInherited) known.phase = 'stopped';
     else this.disruptions.delete(attempt);
   }
@@ -235,7 +235,7 @@
     else this.disruptions.delete(disruption.attempt);
   }
 
-  /** Keeps, for each window, at most as many settled disruptions as it allows, newest first. */
+  /** Keeps only settled disruptions that count in a window: the newest, as many as it allows. */
   private pruneSettled(moment: Moment): void {
     const settled = [...this.disruptions.values()].filter(({ phase }) => phase === 'settled');
     settled.sort((a, b) => b.startedAt - a.startedAt);
@@ -246,7 +246,7 @@
     }
   }
 
-  /** Counts a settled disruption in every window that still needs it; false if none does. */
+  /** Counts a settled disruption in each of its windows that is not full; false if none. */
   private countTowardsWindows(
     { team, jobClass, startedAt }: Disruption,
     keptByScope: Map<string, number>,
--- a/packages/drain/src/core/budget-scopes.ts
+++ b/packages/drain/src/core/budget-scopes.ts
@@ -16,17 +16,17 @@
   readonly scope: BudgetScope;
   /** Tasks that are disrupted now. */
   readonly open: number;
-  /** The current limit of `open`; null if there is none. */
+  /** The current limit on `open`; null if there is none. */
   readonly limit: number | null;
   /** Tasks disrupted within the window or now; null if there is no window. */
   readonly inWindow: number | null;
 }
 
-/** Whether a task of this team and job class counts against the scope. */
+/** Whether the scope covers a task of this team and job class. */
 export const isCovered = (scope: BudgetScope, team: TeamName, jobClass: string): boolean =>
   scope.team === team && (scope.jobClass === null || scope.jobClass === jobClass);
 
-/** The scopes that a task counts against; empty if it has no budget. */
+/** The scopes that cover a task; empty if it has no budget. */
 export const scopesOf = (
   settings: DrainSettings,
   team: TeamName,
@@ -44,13 +44,13 @@
     limits: budget.limits,
   };
   const limits = budget.classes.get(jobClass);
-  // The narrower scope comes first: it is the more specific blocker to report.
+  // The narrower scope comes first, since it makes the more specific blocker.
   return limits
     ? [{ name: `team ${team} class ${jobClass}`, team, jobClass, limits }, teamScope]
     : [teamScope];
 };
 
-/** Every scope that has a budget, without duplicates, in the order of the teams. */
+/** Every scope that has a budget, in the order of the teams. */
 export const allScopes = (settings: DrainSettings, fleet: FleetView): BudgetScope[] => {
   const scopes = new Map<string, BudgetScope>();
   const add = (found: readonly BudgetScope[]) => {
--- a/packages/drain/src/core/disruption-codec.ts
+++ b/packages/drain/src/core/disruption-codec.ts
@@ -1,5 +1,5 @@
 /**
- * The codec of disruption records. A record holds several disruptions, as rows without field names,
+ * Codec of disruption records. A record holds several disruptions as rows without field names,
  * since the key-value store limits the size of a value and the rate of writes.
  */
 import type { AttemptId, JobId, TaskIndex, TeamName } from '@robinspread/extension-api';
@@ -63,8 +63,8 @@
 };
 
 /** Encodes disruptions as the value of one record. */
-export const encodeDisruptions = (rows: readonly Disruption[]): DisruptionRow[] =>
-  rows.map(encodeDisruption);
+export const encodeDisruptions = (disruptions: readonly Disruption[]): DisruptionRow[] =>
+  disruptions.map(encodeDisruption);
 
 /** Decodes the disruptions of a record; null if it is malformed. */
 export const decodeDisruptions = (key: string, value: unknown): Disruption[] | null => {
--- a/packages/drain/src/core/disruption-records.ts
+++ b/packages/drain/src/core/disruption-records.ts
@@ -1,6 +1,6 @@
 /**
  * Disruption records in the key-value store: written before the attempts are stopped, deleted once
- * none of their disruptions counts any more.
+ * none of their disruptions counts.
  */
 import type { Moment } from '@robinspread/extension-api';
 import type { BudgetLedger } from './budget-ledger.js';
@@ -23,7 +23,7 @@
     private readonly writes: PendingWrites,
   ) {}
 
-  /** Takes over the disruptions that previous leaders stored. */
+  /** Loads the disruptions that previous leaders stored. */
   load(disruptions: readonly Disruption[]): void {
     for (const disruption of disruptions) {
       this.budget.disruptions.set(disruption.attempt, disruption);
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Writes disruptions without a record, and deletes records that are not needed. */
+  /** Writes records of new disruptions, and deletes unneeded records. */
   update(context: DecisionContext): void {
     this.writeUnrecorded(context);
     this.deleteUnneeded(context);
@@ -55,30 +55,33 @@
 
   /** Uses as few records as possible, since the key-value store limits the rate of writes. */
   private writeUnrecorded(context: DecisionContext): void {
-    let rows: Disruption[] = [];
+    let batch: Disruption[] = [];
     let bytes = EMPTY_RECORD_BYTES;
     const maxBytes = context.fleet.maxValueBytes * MAX_RECORD_SHARE;
     for (const disruption of this.budget.disruptions.values()) {
       if (disruption.recordKey !== null) continue;
       const rowBytes = Buffer.byteLength(JSON.stringify(encodeDisruptions([disruption])));
       if (bytes + rowBytes > maxBytes) {
-        this.writeRecord(rows, context);
-        rows = [];
+        this.writeRecord(batch, context);
+        batch = [];
         bytes = EMPTY_RECORD_BYTES;
       }
-      rows.push(disruption);
+      batch.push(disruption);
       bytes += rowBytes;
     }
-    this.writeRecord(rows, context);
+    this.writeRecord(batch, context);
   }
 
-  private writeRecord(rows: readonly Disruption[], { fleet, requests }: DecisionContext): void {
-    if (rows.length === 0) return;
+  private writeRecord(
+    disruptions: readonly Disruption[],
+    { fleet, requests }: DecisionContext,
+  ): void {
+    if (disruptions.length === 0) return;
     const key = disruptionsKey(fleet.fencingToken, this.nextRecord);
     this.nextRecord += 1;
-    for (const row of rows) row.recordKey = key;
+    for (const disruption of disruptions) disruption.recordKey = key;
     this.keys.add(key);
-    requests.push(this.writes.requestWrite({ key, value: encodeDisruptions(rows) }));
+    requests.push(this.writes.requestWrite({ key, value: encodeDisruptions(disruptions) }));
   }
 
   private deleteUnneeded({ requests }: DecisionContext): void {
--- a/packages/drain/src/core/disruption-tracker.ts
+++ b/packages/drain/src/core/disruption-tracker.ts
@@ -1,6 +1,6 @@
 /**
- * Disruptions that no drain requests: replicas that the core evicts by its own decision, reclaim
- * notices, and attempts that are lost with their machines.
+ * Disruptions that no drain requests: evictions of replicas by the core, reclaim notices, and
+ * attempts lost with their machines.
  */
 import type {
   AttemptId,
@@ -13,7 +13,7 @@
 import type { DecisionContext } from './decision-context.js';
 import type { DrainRegistry } from './drain-registry.js';
 
-/** How often machines are checked for reclaim notices; attempts that end arrive as events. */
+/** Interval of checks for reclaim notices, which are not reported as events. */
 const RECLAIM_SCAN_INTERVAL_MS = 500;
 
 const hasBegun = ({ phase }: AttemptView): boolean =>
@@ -28,7 +28,7 @@
 const isUnfinished = ({ job, isSuperseded, phase }: AttemptView): boolean =>
   job?.terminalState === 'none' && !isSuperseded && phase !== 'ended';
 
-/** Records disruptions that the core or the cloud decides on in the budget ledger. */
+/** Records in the budget ledger the disruptions that the core or the cloud causes. */
 export class DisruptionTracker {
   /** Replicas that the core wants to evict; the next decision requests their disruption. */
   private readonly evictionRequests = new Map<AttemptId, AttemptView>();
@@ -41,8 +41,9 @@
   ) {}
 
   /**
-   * Whether the core may evict a replica now. Unless a drain requests its disruption, the next
-   * decision does. A machine on which jobs fail is emptied whatever the phase of its drain.
+   * Whether the core may evict a replica now. Unless a drain requests the disruption, the next
+   * decision does. The core may empty a draining machine, such as one on which jobs fail, whatever
+   * the phase of its drain.
    */
   mayEvictReplica(attempt: AttemptView): boolean {
     const drain = this.registry.drainOf(attempt.machine.id);
@@ -53,14 +54,14 @@
     return false;
   }
 
-  /** Requests the disruptions for evictions that the core wants to make. */
+  /** Requests the disruption of replicas that the core wants to evict. */
   requestEvictions({ fleet, moment }: DecisionContext): void {
     for (const attempt of this.evictionRequests.values())
       this.budget.requestDisruption(attempt, fleet, moment);
     this.evictionRequests.clear();
   }
 
-  /** Records the tasks that are stopped because of a reclaim notice as disrupted. */
+  /** Records tasks stopped because of a reclaim notice. */
   recordReclaimNotices({ fleet, moment }: DecisionContext): void {
     if (moment.now < this.nextReclaimScanAt) return;
     this.nextReclaimScanAt = moment.now + RECLAIM_SCAN_INTERVAL_MS;
--- a/packages/drain/src/core/disruption.ts
+++ b/packages/drain/src/core/disruption.ts
@@ -1,9 +1,10 @@
-/** Disruptions: tasks and replicas that are interrupted before they end by themselves. */
+/** Disruptions: tasks and replicas interrupted before they end by themselves. */
 import type { AttemptId, JobId, TaskIndex, TeamName } from '@robinspread/extension-api';
 
 /**
- * requested: its record is not stored yet; granted: the attempt may be stopped; stopped: it is
- * being stopped or has been; settled: the task runs again or need not, and only counts in windows.
+ * requested: the record is not stored yet; granted: the attempt may be stopped; stopped: it is
+ * being stopped, or has been; settled: the task runs again or need not, so it counts in windows
+ * only.
  */
 export type DisruptionPhase = 'requested' | 'granted' | 'stopped' | 'settled';
 
@@ -14,7 +15,7 @@
   readonly index: TaskIndex;
   readonly team: TeamName;
   readonly jobClass: string;
-  /** Time of day, in milliseconds since the epoch. */
+  /** When it was requested or observed, in Unix ms. */
   readonly startedAt: number;
   /** Decided by the package or the core, not caused by a lost machine or a reclaim notice. */
   readonly isVoluntary: boolean;
@@ -23,6 +24,6 @@
   recordKey: string | null;
   /** When it was granted, on the steady clock; an unused grant expires. */
   grantedAt: number | null;
-  /** Loaded from a previous leader's record; whether the stop was sent is unknown. */
+  /** Loaded from the record of a previous leader, which may have sent the stop. */
   readonly isInherited: boolean;
 }
--- a/packages/drain/src/core/drain-events.ts
+++ b/packages/drain/src/core/drain-events.ts
@@ -36,7 +36,7 @@
     }
   }
 
-  /** Assigns the provisioned machines to the drained machines that wait for this request. */
+  /** Sets the replacements of the machines that wait for this provision request. */
   private handleProvisionResult(event: ProvisionResult, moment: Moment): RecordWrite[] {
     const { registry, replacements } = this.collaborators;
     if (!replacements.handleProvisionResult(event, moment)) return [];
--- a/packages/drain/src/core/drain-manager.ts
+++ b/packages/drain/src/core/drain-manager.ts
@@ -1,7 +1,7 @@
 /**
  * Drains machines step by step during one leader's term. Decisions are stored before they are acted
- * upon, and resumed from the records after a failover. This module wires up the components and
- * defines the order of a decision.
+ * upon, and resumed from the records after a failover. This module connects the components and
+ * orders the actions of a decision.
  */
 import type {
   AttemptView,
@@ -70,7 +70,6 @@
     );
   }
 
-  /** Loads the records that previous leaders stored. */
   load(records: readonly ExtensionRecord[]): void {
     const stored = decodeRecords(records);
     this.registry.load(stored);
@@ -78,7 +77,7 @@
     this.orphanedKeys.push(...stored.orphaned);
   }
 
-  /** Handles an event; returns writes for the next decision to request. */
+  /** See `DrainEventHandler.handle`. */
   handleEvent(event: ExtensionEvent, moment: Moment): readonly RecordWrite[] {
     return this.events.handle(event, moment);
   }
@@ -93,7 +92,6 @@
     return !this.registry.isReplacement(machine.id);
   }
 
-  /** Whether the core may evict a replica now. */
   mayEvictReplica(attempt: AttemptView): boolean {
     return this.disruptions.mayEvictReplica(attempt);
   }
--- a/packages/drain/src/core/drain-operations.ts
+++ b/packages/drain/src/core/drain-operations.ts
@@ -31,7 +31,7 @@
   return { ...drain, total: remainingMachines(drain, fleet, moment).length };
 };
 
-/** Executes operators' requests. The caller checks that the drain's phase allows the request. */
+/** Applies operators' changes. The caller checks that the drain's phase allows the change. */
 export class DrainOperations {
   constructor(
     private readonly registry: DrainRegistry,
--- a/packages/drain/src/core/drain-progress.ts
+++ b/packages/drain/src/core/drain-progress.ts
@@ -1,4 +1,4 @@
-/** Current blockers of drains, and when each drain last made progress; kept in memory only. */
+/** Current blockers of drains, and when each last made progress; kept in memory only. */
 import type { MachineId, Moment } from '@robinspread/extension-api';
 import type { Blocker } from './blocker.js';
 import { type Drain, type DrainName, type DrainStatus, isActive } from './drain.js';
@@ -23,7 +23,7 @@
     this.blockers.set(request.name, new Map());
   }
 
-  /** Restores the blockers of the previous decision, for a decision that skips the checks. */
+  /** Restores the last blockers, for a decision that does not select a step. */
   restorePreviousBlockers({ request }: Drain): void {
     const previous = this.previousBlockers.get(request.name);
     if (previous) this.blockers.set(request.name, previous);
@@ -34,12 +34,12 @@
     this.blockers.get(request.name)?.set(machine, blocker);
   }
 
-  /** Records that the drain made progress and is not stalled. */
+  /** Records that the drain made progress. */
   recordProgress({ request }: Drain, { now }: Moment): void {
     this.progressedAt.set(request.name, now);
   }
 
-  /** Records the attempts left on the machines of the current step; a decrease is progress. */
+  /** Records how many attempts the machines in the step still hold; a decrease is progress. */
   recordRemainingAttempts(drain: Drain, remaining: number, moment: Moment): void {
     const { name } = drain.request;
     const before = this.remainingAttempts.get(name);
@@ -56,12 +56,12 @@
     return isBlocked && now - progressedAt > this.stalledAfterS * 1000 ? 'stalled' : drain.phase;
   }
 
-  /** The blocker of a machine in the step, or of the drain as a whole; null if there is none. */
+  /** The blocker of a machine in the step, or of the drain as a whole; null if none. */
   blockerOf({ request }: Drain, machine: MachineId = WHOLE_DRAIN): Blocker | null {
     return this.blockers.get(request.name)?.get(machine) ?? null;
   }
 
-  /** Removes a drain that is no longer kept. */
+  /** Removes a drain that the registry no longer keeps. */
   remove(name: DrainName): void {
     this.blockers.delete(name);
     this.previousBlockers.delete(name);
--- a/packages/drain/src/core/drain-registry.ts
+++ b/packages/drain/src/core/drain-registry.ts
@@ -1,6 +1,7 @@
 /**
- * The drains of one leader's term. The registry is the only owner of their state and records: each
- * change of a stored field is made here, together with the write request for its record.
+ * The drains of one leader's term. Each change requests the write of its record; callers set
+ * `step`, `failed` and `deadlineAt` just before `setPhase`, which stores them. A pause because of
+ * an unusable record is not stored.
  */
 import type {
   MachineId,
@@ -89,12 +90,12 @@
     return false;
   }
 
-  /** Whether the stored record of the drain itself is up to date. */
+  /** Whether the drain's own record is up to date. */
   isDrainStored(drain: Drain): boolean {
     return this.writes.isStored(drainKey(drain.request.name));
   }
 
-  /** Whether the stored record of a machine in the drain's step is up to date. */
+  /** Whether the record of a machine in its step is up to date. */
   isMachineStored(drain: Drain, machine: MachineId): boolean {
     return this.writes.isStored(machineKey(drain.request.name, machine));
   }
@@ -201,7 +202,7 @@
     requests.push(this.writes.requestWrite(machineWrite(drain, machineDrain)));
   }
 
-  /** Sets the provisioned replacement; returns the write, for the next decision to request. */
+  /** Sets a provisioned replacement; returns the write, for the next decision to request. */
   setReplacement(
     drain: Drain,
     machineDrain: MachineDrain,
@@ -213,7 +214,7 @@
     return machineWrite(drain, machineDrain);
   }
 
-  /** Makes the machine wait for another replacement; it is in use until then. */
+  /** Makes the machine wait for another replacement, and keep its work until then. */
   awaitAnotherReplacement(
     drain: Drain,
     machineDrain: MachineDrain,
@@ -227,7 +228,7 @@
     requests.push(this.writes.requestWrite(machineWrite(drain, machineDrain)));
   }
 
-  /** Removes a machine that left the fleet, by its return or before it. */
+  /** Removes a machine that has left the fleet: returned, or lost before. */
   completeMachine(
     drain: Drain,
     { machine, phase }: MachineDrain,
--- a/packages/drain/src/core/drain-stepper.ts
+++ b/packages/drain/src/core/drain-stepper.ts
@@ -4,7 +4,7 @@
 import type { MachineDrainer, MachineDrainerCollaborators } from './machine-drainer.js';
 import { type StepConstraints, selectStep } from './step-selection.js';
 
-/** Delay until the next attempt to select a step, after one that found no machine. */
+/** Delay before selecting a step again, after no machine could be chosen. */
 const STEP_RETRY_MS = 2000;
 
 /** Advances each drain once per decision. */
--- a/packages/drain/src/core/drain.ts
+++ b/packages/drain/src/core/drain.ts
@@ -13,7 +13,7 @@
 
 /** Selects the machines to drain: those that meet every criterion that is not null. */
 export interface Selector {
-  /** Every machine that meets the other criteria; on its own, every machine. */
+  /** Requires nothing of a machine; on its own, it selects every machine. */
   readonly all: boolean;
   readonly machines: readonly MachineId[] | null;
   readonly type: MachineTypeName | null;
@@ -41,25 +41,25 @@
   readonly deadlineS: number | null;
 }
 
-/** The stored phase of a drain. `stalled` is not a phase: see `DrainStatus`. */
+/** The stored phase of a drain. */
 export type DrainPhase = 'pending' | 'running' | 'paused' | 'cancelled' | 'done';
 
-/** The status for operators; see `DrainSettings.stalledAfterS` for `stalled`. */
+/** The status for operators: the phase, or `stalled` (see `DrainSettings.stalledAfterS`). */
 export type DrainStatus = DrainPhase | 'stalled';
 
 /**
  * The phase of a machine in the current step. `waiting`: for its replacement; `cordoned`: gets no
- * new work; `draining`: stops or moves of its work are granted; `returning`: its return is stored,
- * and is requested until the machine has left the fleet.
+ * new work; `draining`: stops or moves of its work are granted; `returning`: its return is
+ * recorded, and is requested until it has left the fleet.
  */
 export type MachinePhase = 'waiting' | 'cordoned' | 'draining' | 'returning';
 
 /** Identifies one replacement among the machines of a provision request. */
 export interface ReplacementSlot {
   readonly request: ProvisionRequestId;
-  /** Index among these machines, from 0. */
+  /** Index among the machines of the request, from 0. */
   readonly position: number;
-  /** Machines requested in all; a repeat must state the same number. */
+  /** Machines requested in all; a repeated request must state the same number. */
   readonly requested: number;
 }
 
@@ -80,18 +80,18 @@
   readonly request: DrainRequest;
   phase: DrainPhase;
   pauseReason: string | null;
-  /** Time of day, in milliseconds since the epoch. */
+  /** In Unix ms. */
   readonly startedAt: number;
   /** Machine ids ascend in the order of creation; machines newer than this one are not drained. */
   readonly newestMachineAtStart: MachineId;
   /** Machines selected when the drain started. */
   readonly total: number;
   returned: number;
-  /** Machines that were lost or reclaimed before they were returned. */
+  /** Machines lost or reclaimed before they were returned. */
   failed: number;
   /** The number of the current step, from 1; 0 before the first. */
   step: number;
-  /** Deadline, in milliseconds since the epoch; null if none. */
+  /** In Unix ms; null if there is none. */
   deadlineAt: number | null;
   readonly machinesInStep: Map<MachineId, MachineDrain>;
 }
--- a/packages/drain/src/core/machine-drainer.ts
+++ b/packages/drain/src/core/machine-drainer.ts
@@ -1,6 +1,6 @@
 /**
  * Drains one machine: waits for its replacement, cordons it, stops or moves its work within the
- * budgets, and returns it to the cloud. Each change is stored before the next one is made.
+ * budgets, and returns it to the cloud. Each phase is stored before the next.
  */
 import type { AttemptView, MachineView } from '@robinspread/extension-api';
 import { type Blocker, finishingBlocker } from './blocker.js';
@@ -19,7 +19,7 @@
 
 const isBlocker = (result: Disruption | Blocker): result is Blocker => 'kind' in result;
 
-/** The objects used to drain a machine; owned by the drain manager. */
+/** The objects that `MachineDrainer` uses; owned by the drain manager. */
 export interface MachineDrainerCollaborators {
   readonly settings: DrainSettings;
   readonly registry: DrainRegistry;
--- a/packages/drain/src/core/machine-selection.ts
+++ b/packages/drain/src/core/machine-selection.ts
@@ -1,4 +1,4 @@
-/** Selects a drain's machines, classifies their work, and ranks them by how much they disturb. */
+/** Selects a drain's machines, classifies their work, and ranks the least disruptive first. */
 import type { AttemptView, FleetView, MachineView, Moment } from '@robinspread/extension-api';
 import type { Drain, Selector } from './drain.js';
 
@@ -38,9 +38,9 @@
   /** Tasks of arrays that write checkpoints and are not expected to end soon. */
   readonly stoppable: readonly AttemptView[];
   readonly replicas: readonly AttemptView[];
-  /** Tasks that are left to finish. */
+  /** Other tasks of arrays, which are left to finish. */
   readonly finishing: readonly AttemptView[];
-  /** Number of attempts being stopped, superseded, or whose job has ended. */
+  /** Number of attempts that are being stopped or superseded, or whose job has ended. */
   readonly stopping: number;
   /** Number of ended attempts whose results the machine still holds. */
   readonly ended: number;
@@ -55,7 +55,10 @@
   return Math.max(0, estimateMs - ranMs);
 };
 
-/** Classifies a machine's work; tasks expected to end within `letEndS` are left to finish. */
+/**
+ * Classifies a machine's work. Tasks that end within `letEndS` by their estimate, or write no
+ * checkpoints, are left to finish.
+ */
 export const classifyWork = (
   machine: MachineView,
   letEndS: number,
@@ -95,7 +98,7 @@
 export interface DrainCandidate {
   readonly machine: MachineView;
   readonly work: MachineWork;
-  /** 0: idle; 1: all work writes checkpoints or is stopping; 2: some has to end or move first. */
+  /** 0: no unfinished work; 1: all of it is stoppable or stopping; 2: some has to end or move. */
   readonly rank: number;
 }
 
@@ -104,7 +107,7 @@
   return stoppable.length + stopping > 0 ? 1 : 0;
 };
 
-/** Ranks machines in drain order: the least disturbing first. */
+/** Sorts machines, the least disruptive to drain first. */
 export const rankCandidates = (
   machines: readonly MachineView[],
   letEndS: number,
--- a/packages/drain/src/core/pending-writes.ts
+++ b/packages/drain/src/core/pending-writes.ts
@@ -1,6 +1,6 @@
 /**
- * Writes that are requested and not confirmed yet. A machine is acted upon only while its stored
- * record is up to date, so that a new leader can read all actions from the records.
+ * Writes that are requested and not confirmed yet. A machine is acted upon only while its record is
+ * up to date, so that a new leader can read all actions from the records.
  */
 import type { ExtensionRequest, RecordWrite } from '@robinspread/extension-api';
 
--- a/packages/drain/src/core/plan.ts
+++ b/packages/drain/src/core/plan.ts
@@ -1,4 +1,4 @@
-/** Dry run: the steps of a drain in the current state of the fleet, and their blockers. */
+/** Dry run: the steps of a drain and their blockers, if the fleet stayed as it is. */
 import { type Blocker, describeBlocker, finishingBlocker } from './blocker.js';
 import type { DecisionContext } from './decision-context.js';
 import type { Drain } from './drain.js';
@@ -39,7 +39,7 @@
   return blockers;
 };
 
-/** Plans a drain that has not been started, as shown to operators; changes no state. */
+/** Plans a drain that has not been started, for operators; changes no state. */
 export const planOf = (manager: DrainManager, drain: Drain, context: DecisionContext) => {
   const machines = remainingMachines(drain, context.fleet, context.moment);
   const order = orderCandidates(machines, manager.constraintsOf(context), context.moment);
--- a/packages/drain/src/core/queue-head-check.ts
+++ b/packages/drain/src/core/queue-head-check.ts
@@ -19,7 +19,7 @@
 
 /**
  * Reserves one machine that the queue head fits on, unless the cloud offers such machines and did
- * not refuse the last request for them. The fleet is scanned only once, by the constructor.
+ * not refuse the last request for them. Only the constructor scans the fleet.
  */
 export class QueueHeadCheck {
   private readonly head: JobSpec | null;
@@ -48,14 +48,14 @@
     return false;
   }
 
-  /** The blocker if the head needs this machine, given those marked as leaving; null otherwise. */
+  /** The blocker if the head fits on this machine and no other is left for it; null otherwise. */
   findBlocker(machine: MachineId): Blocker | null {
     if (this.head === null || this.isProvisionable) return null;
     if (!this.feasibleMachines.has(machine) || this.feasibleMachines.size > 1) return null;
     return { kind: 'head-needs-it', job: this.head.id };
   }
 
-  /** Marks a machine as leaving, and thus as unavailable to the head. */
+  /** Marks a machine as leaving, so that the head cannot use it. */
   markLeaving(machine: MachineId): void {
     this.feasibleMachines.delete(machine);
   }
--- a/packages/drain/src/core/records.ts
+++ b/packages/drain/src/core/records.ts
@@ -1,7 +1,7 @@
 /**
- * The package's records in the key-value store: keys and codecs of drains and of the machines in
- * their steps, and the decoding of all records. Stored names are fixed, since leaders of other
- * versions read them; only the codecs map them to internal names.
+ * The package's records in the key-value store: keys and codecs of drains and the machines in their
+ * steps, and the decoding of all records. Stored names are fixed, since leaders of other versions
+ * read them, and occur only in codecs.
  */
 import type {
   ExtensionRecord,
@@ -111,7 +111,7 @@
   deadline: drain.request.deadlineS,
 });
 
-/** Decodes a drain, without the machines in its step; null if the record is malformed. */
+/** Decodes a drain, without the machines in its step; null if malformed. */
 const decodeDrain = (name: DrainName, value: unknown): Drain | null => {
   const result = v.safeParse(drainSchema, value);
   if (!result.success) return null;
--- a/packages/drain/src/core/replacements.ts
+++ b/packages/drain/src/core/replacements.ts
@@ -20,7 +20,7 @@
 /** The cloud's answer to a provision request. */
 export type ProvisionResult = Extract<ExtensionEvent, { kind: 'provision-result' }>;
 
-/** A provision request, and its outcome once there is one. */
+/** A provision request and its outcome. */
 interface ProvisionRequestState {
   /** Machines requested. */
   readonly count: number;
@@ -47,12 +47,12 @@
 const MAX_RETRY_MS = 60_000;
 /** Limits the exponent only; the delay reaches `MAX_RETRY_MS` before that. */
 const MAX_BACKOFF_DOUBLINGS = 6;
-/** Number of failed replacements from which on they are reported to operators. */
+/** Operators see `replacement-failed` after this many failed replacements. */
 const FAILURE_REPORT_THRESHOLD = 3;
 /** The most machines that the cloud provisions per request. */
 const MAX_MACHINES_PER_REQUEST = 50;
 
-/** A replacement is ready, not ready yet, or to be replaced by another one. */
+/** A replacement is ready, not ready yet (`blocked`), or given up for another one. */
 export type ReplacementState =
   | { readonly kind: 'ready' }
   | { readonly kind: 'blocked'; readonly blocker: Blocker }
@@ -163,7 +163,7 @@
     return blockedBy({ kind: 'replacement-booting', request: slot.request });
   }
 
-  /** Sends the request unless it is in flight or delayed. */
+  /** Sends the request unless it is in flight or its retry is not due. */
   private provision(
     state: ProvisionRequestState,
     { request }: ReplacementSlot,
@@ -217,7 +217,7 @@
     return this.provisionRequests.get(request)?.machines?.[position] ?? null;
   }
 
-  /** For a machine that leaves its drain or gets another replacement. */
+  /** Ends the watch for a machine that leaves its drain or gets another replacement. */
   stopWatching(machineDrain: MachineDrain): void {
     this.watches.delete(machineDrain);
   }
--- a/packages/drain/src/core/settings.ts
+++ b/packages/drain/src/core/settings.ts
@@ -4,7 +4,7 @@
 export interface BudgetLimits {
   /** Tasks disrupted at once. */
   readonly count: number | null;
-  /** At once, as a share of the tasks on machines or disrupted; rounded down. */
+  /** Tasks disrupted at once, as a share of those on machines or disrupted; rounded down. */
   readonly share: number | null;
   /** Tasks disrupted within any period of this length. */
   readonly window: { readonly seconds: number; readonly count: number } | null;
--- a/packages/drain/src/core/step-selection.ts
+++ b/packages/drain/src/core/step-selection.ts
@@ -34,7 +34,7 @@
   readonly blocker: Blocker | null;
 }
 
-/** Constraints on the choice of machines, beside the fleet. */
+/** Constraints on the choice of machines, in addition to the fleet's state. */
 export interface StepConstraints {
   readonly letEndS: number;
   /** Whether a machine is in a current step, or a replacement in one. */
@@ -48,8 +48,8 @@
   request.replace ? null : new QueueHeadCheck(fleet);
 
 /**
- * Sorts machines in drain order: first those without work that a budget blocks, and within each
- * group the least disturbing first.
+ * Sorts machines in drain order: first those without work that a budget blocks, and the least
+ * disruptive first in both groups.
  */
 export const orderCandidates = (
   machines: readonly MachineView[],
@@ -74,8 +74,8 @@
 };
 
 /**
- * Whether a step may include the machine. A machine that has not reported to this leader may be
- * known only from a previous leader's ledger or an outdated cloud list, and is left out.
+ * Whether a step may include the machine. One that has not reported to this leader is left out: it
+ * may be known only from a previous leader's ledger or an outdated cloud list.
  */
 const isAvailable = (machine: MachineView, { isAssignedToDrain }: StepConstraints): boolean =>
   machine.hasReported &&
@@ -104,7 +104,7 @@
   return { chosen, blocker };
 };
 
-/** Selects the available machines that disturb least for the next step. */
+/** Selects the least disruptive of the available machines for the next step. */
 export const selectStep = (
   drain: Drain,
   constraints: StepConstraints,
--- a/packages/drain/src/core/views.ts
+++ b/packages/drain/src/core/views.ts
@@ -1,14 +1,14 @@
-/**
- * Drains and budgets as shown to operators, with the field names of the HTTP interface. Answers are
- * well below the maximum frame size of the connection between controllers.
- */
+/** Drains and budgets as shown to operators, with the field names of the HTTP interface. */
 import type { FleetView, Moment } from '@robinspread/extension-api';
 import { type Blocker, describeBlocker } from './blocker.js';
 import { type Drain, isFinished, type MachineDrain } from './drain.js';
 import type { DrainManager } from './drain-manager.js';
 import { remainingMachines } from './machine-selection.js';
 
-/** Machines listed in one answer; the others are only counted. */
+/**
+ * Machines listed in one answer, to keep it well below the maximum frame size between controllers;
+ * others are counted.
+ */
 export const MAX_LISTED_MACHINES = 200;
 
 const blockerView = (blocker: Blocker | null) =>
--- a/packages/drain/src/drain-extension.ts
+++ b/packages/drain/src/drain-extension.ts
@@ -25,9 +25,9 @@
   readonly name = EXTENSION_NAME;
   private readonly manager: DrainManager;
   private readonly operatorApi: OperatorApiHandler;
-  /** Requests of calls, for the next decision. */
+  /** Requests caused by operators' calls, for the next decision. */
   private readonly queuedRequests: ExtensionRequest[] = [];
-  /** Writes that events caused, for the next decision. */
+  /** Writes caused by events, for the next decision. */
   private readonly queuedWrites: RecordWrite[] = [];
 
   constructor(settings: DrainSettings) {
--- a/packages/drain/src/index.ts
+++ b/packages/drain/src/index.ts
@@ -16,7 +16,7 @@
   { name: 'budgets', method: 'GET', path: '/api/budgets' },
 ];
 
-/** The package's part in the daemon, with the settings of its file. */
+/** The package's module for a controller, with the settings of its file. */
 export const drainModule = (settings: DrainSettings): ExtensionModule => ({
   name: EXTENSION_NAME,
   routes: ROUTES,
--- a/packages/drain/src/operator-api-handler.ts
+++ b/packages/drain/src/operator-api-handler.ts
@@ -34,7 +34,7 @@
 const NO_SUCH_DRAIN = errorAnswer(404, 'no such drain');
 const FLEET_UNSETTLED = errorAnswer(503, 'a new leader waits for the machines to report');
 
-/** A call that is answered once its change is stored. */
+/** The answer to a call, due once its change is stored. */
 interface PendingAnswer {
   readonly ticket: ReplyTicket;
   readonly drain: Drain;
@@ -59,7 +59,7 @@
   return false;
 };
 
-/** Why the selector is rejected, with the field's name; null if it is valid. */
+/** Why the selector is refused, with the field's name; null if it is valid. */
 const selectorRefusal = ({ request, total }: Drain, fleet: FleetView): string | null => {
   const { type, zone, machines } = request.selector;
   if (type !== null && !fleet.types.has(type))
--- a/packages/extension-api/src/index.ts
+++ b/packages/extension-api/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Public types for optional packages. A package imports from this module only, so that the core's
- * internals can change without affecting it.
+ * Public types for optional packages, which import from this module only, so that the core's
+ * internals can change without affecting them.
  */
 
 /** The extension interface: read-only views of the fleet, events and requests. */
--- a/scripts/measure-drain.mjs
+++ b/scripts/measure-drain.mjs
@@ -1,6 +1,6 @@
 /**
- * Measures drains of a fleet of simulated workers on loopback, one drain strategy after the other.
- * Prints one line of JSON per strategy.
+ * Measures drains of a fleet of stand-in workers on loopback, one strategy after the other. Prints
+ * one line of JSON per strategy.
  *
  * Usage: node scripts/measure-drain.mjs [MACHINES] [SEED] [STRATEGY...]
  */
--- a/src/adapters/cloud/cloud-client.ts
+++ b/src/adapters/cloud/cloud-client.ts
@@ -18,12 +18,12 @@
 const MAX_QUEUED = 20;
 const PAGE_SIZE = 500;
 const MAX_SOCKETS = 4;
-/** This controller's share of the rate common to all; only the leader sends continuously. */
+/** This controller's share of the total rate; only the leader sends continuously. */
 const RATE_SHARE = 0.7;
-/** Share of the rate that machine lists may use; the rest is for provisioning and deletion. */
+/** Share of the rate for machine lists; the rest is for provisioning and deletion. */
 const LIST_SHARE = 0.4;
 
-/** Whether a request is still authorized. Called just before sending, after any queueing. */
+/** Whether a queued request is still authorized; called just before it is sent. */
 export type AuthorizationCheck = () => boolean;
 
 const RATE_LIMITED: NoAnswer = {
@@ -39,15 +39,13 @@
   message: 'request not sent: no longer authorized',
 };
 
-/** Names the request whose answer violates the protocol. */
 type Operation = 'list-machine-types' | 'list-machines' | 'provision';
 
 /** Outcome of a provision request; only `refused` proves that it creates no machines. */
 export type ProvisionResult =
   | { readonly kind: 'provisioned'; readonly machines: MachineId[] }
-  /** Certainly not executed. */
   | { readonly kind: 'refused' }
-  /** The request may have been executed, or may still be. */
+  /** May have been executed, or may still be. */
   | { readonly kind: 'unknown' };
 
 const REFUSED: ProvisionResult = { kind: 'refused' };
@@ -55,13 +53,13 @@
 
 const always: AuthorizationCheck = () => true;
 
-/** HTTP client of the cloud. Failures are returned, never thrown; no request is retried. */
+/** Failures are returned, never thrown; no request is retried. */
 export class CloudClient {
   private readonly http: HttpClient;
   private readonly limiter: RateLimiter;
-  /** True if the last request got no answer, or the cloud answered with the error `trouble`. */
+  /** True if the last request sent got no answer, or the error `trouble`. */
   isUnavailable = false;
-  /** Number of pages, each one request, that the last complete list took. */
+  /** Pages of the last complete list, each one request. */
   private pagesOfLastList = 1;
 
   /** `onUnexpectedAnswer` is called with the operation when an answer violates the protocol. */
@@ -91,7 +89,7 @@
     return result;
   }
 
-  /** Returns the parsed content, or null if it is missing, malformed or has an error status. */
+  /** Returns the parsed answer; null if there is none, or it is malformed or an error. */
   private read<T>(
     operation: Operation,
     result: ExchangeResult,
@@ -107,7 +105,7 @@
     return value;
   }
 
-  /** Lists the machine types that the cloud offers. Returns null if the request fails. */
+  /** Lists the machine types that the cloud offers; null if the request fails. */
   async listMachineTypes(): Promise<MachineType[] | null> {
     const result = await this.send('GET', '/machine_types');
     return this.read('list-machine-types', result, parseMachineTypes);
@@ -140,7 +138,7 @@
     return result.kind === 'answer' && result.status === 200;
   }
 
-  /** Lists all machines, page by page. Returns null if any page cannot be read. */
+  /** Lists all machines, page by page; null if any page cannot be read. */
   async listMachines(): Promise<ListedMachine[] | null> {
     const all: ListedMachine[] = [];
     for (let pages = 1; ; pages += 1) {
@@ -157,7 +155,7 @@
     }
   }
 
-  /** Pause between lists, in ms; keeps the requests for a large fleet within `LIST_SHARE`. */
+  /** Pause between lists in ms, which keeps a large fleet's lists within `LIST_SHARE`. */
   get listPauseMs(): number {
     return (this.pagesOfLastList / (this.requestsPerSecond * LIST_SHARE)) * 1000;
   }
--- a/src/adapters/configuration/configuration-file.ts
+++ b/src/adapters/configuration/configuration-file.ts
@@ -3,7 +3,7 @@
 import { readFileSync } from 'node:fs';
 import parseExpression from 's-expression';
 
-/** A configuration file is unreadable or invalid. The message is one line, for operators. */
+/** A configuration file is unreadable or invalid. The message is one line for operators. */
 export class SettingsError extends Error {
   override readonly name = 'SettingsError';
 }
--- a/src/adapters/configuration/policy.ts
+++ b/src/adapters/configuration/policy.ts
@@ -3,7 +3,7 @@
 import type { Policy } from '../../core/model/policy.js';
 import { parseSExpression, readConfigurationFile, SettingsError } from './configuration-file.js';
 
-/** The policy without a policy file; also the values of omitted fields. */
+/** The policy without a policy file, and the defaults of omitted fields. */
 export const DEFAULT_POLICY: Policy = {
   ageFactor: 1,
   deadlineWeight: 1,
@@ -47,7 +47,7 @@
 
 type MutablePolicy = { -readonly [K in keyof Policy]: Policy[K] };
 
-/** Validates one `(NAME VALUE)` entry and stores its value in the policy. */
+/** Validates a `(NAME VALUE)` entry and sets its field. */
 const applyField = (policy: MutablePolicy, entry: unknown): void => {
   const parts: readonly unknown[] = Array.isArray(entry) ? entry : [entry];
   const name = String(parts[0]);
@@ -63,8 +63,8 @@
 };
 
 /**
- * Parses and validates `(policy (deadline-k 2) (age-factor 1) ...)`. Omitted fields keep their
- * defaults. Throws a `SettingsError` that names the invalid field.
+ * Parses `(policy (deadline-k 2) (age-factor 1) ...)`. Throws a `SettingsError` that names the
+ * invalid field.
  */
 export const parsePolicy = (text: string): Policy => {
   const form = parseSExpression(text);
--- a/src/adapters/configuration/settings.ts
+++ b/src/adapters/configuration/settings.ts
@@ -10,7 +10,7 @@
 
 const MAX_PORT = 65_535;
 const BYTES_PER_KB = 1024;
-/** Default limits for a controller process, used for each that the settings omit. */
+/** Limits for a controller process where the settings omit them. */
 const DEFAULT_QUOTA = { cores: 1, memoryMb: 178, maxConnections: 1000 };
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
@@ -97,10 +97,10 @@
   readonly rps: number;
   /** Changed keys per second. */
   readonly writeRps: number;
-  /** Announced rates that apply from an unknown time on; never above the present ones. */
+  /** Announced rates, which apply from an unknown time on; never above the present ones. */
   readonly nextRps: number;
   readonly nextWriteRps: number;
-  /** Size limits: the smaller of present and announced value. */
+  /** Size limits: the lower of present and announced value. */
   readonly maxValueBytes: number;
   readonly maxTransactionOperations: number;
 }
@@ -119,7 +119,7 @@
   readonly teams: ReadonlyMap<TeamName, Team>;
   readonly workers: WorkerTimes;
   readonly keyValueStoreLimits: KeyValueStoreLimits;
-  /** Requests per second that the cloud accepts, and the staleness of its machine list, in s. */
+  /** Requests per second that the cloud accepts, and how stale its machine list may be, in s. */
   readonly cloudLimits: { readonly rps: number; readonly listLagS: number };
   readonly quota: {
     readonly cores: number;
@@ -182,7 +182,7 @@
   maxConnections: quota.max_connections ?? DEFAULT_QUOTA.maxConnections,
 });
 
-/** Parses and validates the settings. Throws a `SettingsError` naming the first invalid field. */
+/** Parses the settings. Throws a `SettingsError` that names the first invalid field. */
 export const parseSettings = (text: string): Settings => {
   const result = v.safeParse(settingsSchema, parseJson(text));
   if (!result.success) throw new SettingsError(`settings: ${firstIssue(result.issues)}`);
--- a/src/adapters/http/answers.ts
+++ b/src/adapters/http/answers.ts
@@ -8,22 +8,22 @@
 import { encodeJobView } from '../wire/jobs.js';
 import { encodeWorkerCommands } from '../wire/workers.js';
 
-/** An HTTP response, independent of the server that sends it. */
+/** An HTTP answer, independent of the server that sends it. */
 export interface HttpAnswer {
   readonly status: number;
   /** Serialized as JSON. */
   readonly body: unknown;
 }
 
-/** The response to a worker's heartbeat. */
+/** The answer to a worker's heartbeat. */
 export interface HeartbeatAnswer extends HttpAnswer {
   readonly status: 200 | 400 | 421 | 503;
   readonly body: object;
 }
 
-/** Status of every response that asks the client to retry; sent with a `Retry-After` header. */
+/** Status of all answers that ask for a retry; sent with a `Retry-After` header. */
 export const UNAVAILABLE_STATUS = 503;
-/** Value of `Retry-After`: seconds after which a client may retry. */
+/** Value of `Retry-After`, in seconds. */
 export const RETRY_AFTER_S = '1';
 
 const ok = (body: unknown): HttpAnswer => ({ status: 200, body });
@@ -43,18 +43,18 @@
   body: { error: reason },
 });
 
-/** An error that no handler caught. Its text is only logged, not sent. */
+/** For an error that no handler caught; its text is only logged. */
 export const UNEXPECTED_ERROR = unavailable('fault');
 /** No route matches the path. */
 export const NO_SUCH_PATH = notFound('no such path');
 /** The job does not exist, or belongs to another team. */
 export const NO_SUCH_JOB = notFound('no such job');
 
-/** Responds to a load balancer's health check. */
+/** Answers a load balancer's health check. */
 export const answerHealthCheck = (isReady: boolean): HttpAnswer =>
   isReady ? ok({ ok: true }) : unavailable('starting');
 
-/** Responds to a submission: 201 only if this submission stored the job. */
+/** Answers a submission: 201 only if this submission stored the job. */
 export const answerSubmission = (result: SubmissionResult): HttpAnswer => {
   switch (result.kind) {
     case 'accepted':
@@ -70,7 +70,7 @@
   }
 };
 
-/** Responds to a look-up or a cancellation. */
+/** Answers a look-up or a cancellation. */
 export const answerLookup = (result: LookupResult): HttpAnswer => {
   switch (result.kind) {
     case 'found':
@@ -82,20 +82,20 @@
   }
 };
 
-/** Responds with a team's unfinished jobs. */
+/** Answers with a team's unfinished jobs. */
 export const answerList = (result: ListResult): HttpAnswer =>
   result.kind === 'listed'
     ? ok({ jobs: result.jobs.map(encodeJobView) })
     : unavailable(result.reason);
 
-/** Responds with the reason why a job waits; the explanation is passed through unchanged. */
+/** Answers with the reason why a job waits; the explanation is passed through unchanged. */
 export const answerExplanation = (explanation: unknown): HttpAnswer => ok(explanation);
 
-/** Responds to an operator's call; `answer` is null if no leader answered it. */
+/** Answers an operator's call; `answer` is null if no leader answered it. */
 export const answerOperatorCall = (answer: OperatorAnswer | null): HttpAnswer =>
   answer ?? unavailable('no leader to ask');
 
-/** Responds to a well-formed heartbeat. */
+/** Answers a well-formed heartbeat. */
 export const answerHeartbeat = (decision: HeartbeatDecision): HeartbeatAnswer => {
   switch (decision.kind) {
     case 'commands':
@@ -113,7 +113,7 @@
   }
 };
 
-/** The response to a malformed heartbeat. */
+/** Answers a malformed heartbeat. */
 export const MALFORMED_HEARTBEAT: HeartbeatAnswer = { status: 400, body: { error: 'malformed' } };
-/** The response to a heartbeat whose handling threw an error. */
+/** Answers a heartbeat whose handling threw an error. */
 export const HEARTBEAT_FAILED: HeartbeatAnswer = { status: 503, body: { error: 'fault' } };
--- a/src/adapters/http/api-server.ts
+++ b/src/adapters/http/api-server.ts
@@ -16,7 +16,7 @@
 import { createRequestListener, type NodeApplication } from './hono-listener.js';
 import { MAX_HEARTBEAT_BYTES } from './request-body.js';
 
-/** Limit of users' requests in flight, to bound memory; further ones are answered with 503. */
+/** Limit on users' requests in flight, to bound memory; others are answered with 503. */
 export const MAX_REQUESTS_IN_FLIGHT = 400;
 /** Share of all sockets; the rest is for the cloud, the store, peers and commands to workers. */
 const API_SOCKET_SHARE = 0.85;
@@ -32,7 +32,7 @@
     super(listener);
   }
 
-  /** Handles each connection as a worker's until it carries anything but plain heartbeats. */
+  /** Handles a connection as a worker's until it carries anything but plain heartbeats. */
   interceptHeartbeats(handleHeartbeat: HeartbeatHandler, limits: HeartbeatLimits): void {
     const [handleAsHttp] = this.listeners('connection');
     this.removeAllListeners('connection');
@@ -53,7 +53,7 @@
   }
 }
 
-/** Forwards requests, but answers users with 503 at `MAX_REQUESTS_IN_FLIGHT`. */
+/** Forwards requests; answers users with 503 at `MAX_REQUESTS_IN_FLIGHT`. */
 const limitInFlight = (listener: RequestListener): RequestListener => {
   let inFlight = 0;
   return (request, response) => {
@@ -76,12 +76,12 @@
   };
 };
 
-/** An application to serve, with its address and the limits of its connections. */
+/** An application to serve, and its settings. */
 export interface ServedApi {
   readonly settings: Pick<Settings, 'api' | 'workers' | 'quota'>;
   readonly app: NodeApplication;
   readonly log: Log;
-  /** Answers plain heartbeats outside `app`; if absent, `app` handles them as other requests. */
+  /** Answers plain heartbeats; if absent, `app` does. */
   readonly handleHeartbeat?: HeartbeatHandler;
 }
 
@@ -89,8 +89,8 @@
 export const serveApi = ({ settings, app, log, handleHeartbeat }: ServedApi): Server => {
   const server = new ApiServer(limitInFlight(createRequestListener(app)));
   // A client that moved to another controller, or whose machine is gone, may never close its
-  // connection. Connections idle for one worker lease are closed, so that a whole fleet that
-  // reconnects finds free sockets.
+  // connection. Closing those idle for one worker lease leaves free sockets for a whole fleet that
+  // reconnects.
   const idleMs = Math.max(MIN_IDLE_TIMEOUT_MS, settings.workers.leaseS * 1000);
   server.keepAliveTimeout = idleMs;
   server.headersTimeout = REQUEST_TIMEOUT_MS;
--- a/src/adapters/http/api.ts
+++ b/src/adapters/http/api.ts
@@ -1,4 +1,4 @@
-/** The HTTP API of a controller: its routes, and the responses to unknown paths and errors. */
+/** The HTTP API of a controller: its routes, and the answers to unknown paths and errors. */
 import { Hono } from 'hono';
 import type { ControllerApi } from '../../ports/controller-api.js';
 import type { Log } from '../logging/log.js';
@@ -11,7 +11,7 @@
 import { addOperatorRoutes } from './operator-routes.js';
 import { MAX_HEARTBEAT_BYTES, readText } from './request-body.js';
 
-/** Creates all routes. Plain heartbeats do not get here: `HeartbeatConnection` answers them. */
+/** Creates all routes. `HeartbeatConnection` answers plain heartbeats before they get here. */
 export const makeApi = (
   controller: ControllerApi,
   log: Log,
--- a/src/adapters/http/heartbeat-connections.ts
+++ b/src/adapters/http/heartbeat-connections.ts
@@ -1,8 +1,8 @@
 /**
  * Connections on which workers send heartbeats. Heartbeats are nearly all of a leader's load, and
  * do not need most of what Node's HTTP server does per request (streams, header objects, events):
- * plain ones are parsed and answered directly on the socket. A connection that carries anything
- * else is passed permanently to the HTTP server, together with all unprocessed bytes.
+ * plain ones (see `frameHeartbeat`) are parsed and answered directly on the socket. A connection
+ * that carries anything else is handed over to the HTTP server for good, with all unread bytes.
  */
 import type { Socket } from 'node:net';
 import { steadyNow } from '../runtime/clock.js';
@@ -12,12 +12,12 @@
 /** Handles the body of a heartbeat. The promise must not reject. */
 export type HeartbeatHandler = (body: string) => Promise<HeartbeatAnswer>;
 
-/** Limits of a connection on which a worker sends heartbeats; one that exceeds them is closed. */
+/** Limits of a worker's connection, which is closed when a time limit is exceeded. */
 export interface HeartbeatLimits {
   readonly maxBodyBytes: number;
-  /** A connection without data for this long is closed. */
+  /** Time without data. */
   readonly idleMs: number;
-  /** A connection whose request is incomplete after this long is closed. */
+  /** Time for a request to arrive in full. */
   readonly requestMs: number;
 }
 
@@ -79,7 +79,8 @@
       this.unreadSince = steadyNow();
     } else this.unread = Buffer.concat([this.unread, bytes]);
     if (!this.isAnswering) this.readNext();
-    // Workers do not pipeline requests: a client that keeps sending while it waits is disconnected.
+    // Workers do not pipeline requests: a client that sends this much while it waits is
+    // disconnected.
     else if (this.unread.length > this.limits.maxBodyBytes) this.socket.destroy();
   };
 
@@ -114,7 +115,7 @@
     else this.readNext();
   }
 
-  /** Removes the listeners and the timeout from the socket, for the HTTP server. */
+  /** Removes the listeners and the timeout from the socket. */
   private detach(): void {
     this.unread = null;
     this.socket.setTimeout(0);
--- a/src/adapters/http/heartbeat-framing.ts
+++ b/src/adapters/http/heartbeat-framing.ts
@@ -1,7 +1,7 @@
 /**
  * Frames plain heartbeats: `POST /checkin` with a `Content-Length` and no special headers. Any
- * other request is reported as `unsupported` and left to Node's HTTP parser, so that this module
- * need not interpret the rest of HTTP/1.1.
+ * other request is `unsupported` and left to Node's HTTP parser, so that this module need not
+ * interpret the rest of HTTP/1.1.
  */
 
 /** The path to which workers post heartbeats. */
@@ -50,7 +50,7 @@
   const headEnd = bytes.indexOf(HEAD_END, REQUEST_LINE.length - 2, 'latin1');
   if (headEnd < 0) return bytes.length > MAX_HEAD_BYTES ? UNSUPPORTED : INCOMPLETE;
   if (headEnd > MAX_HEAD_BYTES) return UNSUPPORTED;
-  // Includes the line breaks on both sides, so that every header is enclosed by two of them.
+  // Includes the line breaks on both sides, so that each header stands between two.
   const head = bytes.toString('latin1', REQUEST_LINE.length - 2, headEnd + 2);
   if (SPECIAL_HEADER.test(head)) return UNSUPPORTED;
   const length = onlyValue(head, CONTENT_LENGTH);
--- a/src/adapters/http/heartbeat-handler.ts
+++ b/src/adapters/http/heartbeat-handler.ts
@@ -1,4 +1,4 @@
-/** Handles workers' heartbeats, from the request body to the response. */
+/** Handles workers' heartbeats, from the request body to the answer. */
 import type { HeartbeatService } from '../../ports/heartbeat-service.js';
 import { type Log, LogDeduplicator } from '../logging/log.js';
 import { HeartbeatParser } from '../workers/heartbeat-parser.js';
--- a/src/adapters/http/hono-listener.ts
+++ b/src/adapters/http/hono-listener.ts
@@ -19,7 +19,7 @@
 /** Returned by handlers that have written to Node's response; Hono passes it through. */
 const ANSWERED = Object.freeze({ answered: true }) as unknown as Response;
 
-/** Sends a JSON response, with `Retry-After` if the status is 503. */
+/** Sends an answer as JSON, with `Retry-After` if the status is 503. */
 export const sendAnswer = (c: Context<NodeEnv>, { status, body }: HttpAnswer): Response => {
   const { outgoing } = c.env;
   // The client may have closed the connection meanwhile.
--- a/src/adapters/http/job-routes.ts
+++ b/src/adapters/http/job-routes.ts
@@ -55,7 +55,7 @@
   return isOutOfScope ? NOT_FOUND : result;
 };
 
-/** Returns null if the job is in the requested team's scope, else the response to send instead. */
+/** Returns null if the job is in the requested team's scope, else the answer to send. */
 const checkScope = async (
   c: Context<NodeEnv>,
   users: UserApi,
--- a/src/adapters/http/operator-routes.ts
+++ b/src/adapters/http/operator-routes.ts
@@ -21,7 +21,7 @@
   return answerOperatorCall(await operators.handleOperatorCall(extension, call));
 };
 
-/** Adds the routes of the enabled extensions. The extension on the leader answers each request. */
+/** Adds the routes of the enabled extensions. The leader's extension answers each request. */
 export const addOperatorRoutes = (
   app: Hono<NodeEnv>,
   operators: OperatorApi,
--- a/src/adapters/http/request-body.ts
+++ b/src/adapters/http/request-body.ts
@@ -3,7 +3,7 @@
 
 /** Size limit for requests of users and operators. */
 export const MAX_BODY_BYTES = 64 * 1024;
-/** Larger than `MAX_BODY_BYTES`, since a machine may report many small tasks. */
+/** Larger, since a machine may report many small tasks. */
 export const MAX_HEARTBEAT_BYTES = 4 * 1024 * 1024;
 
 /** A parsed body, or an error text for the client. */
--- a/src/adapters/key-value-store/key-value-store-client.ts
+++ b/src/adapters/key-value-store/key-value-store-client.ts
@@ -1,4 +1,4 @@
-/** HTTP client of the key-value store, limited to this node's share of the store's rates. */
+/** HTTP client of the key-value store, limited to this node's share of its rates. */
 import type { Revision } from '../../core/model/ids.js';
 import type {
   CompareAndSwapResult,
@@ -34,14 +34,13 @@
 
 /** Below the 2 s that users wait for an answer about a job. */
 const READ_TIMEOUT_MS = 1600;
-/** Longer, since late results are still useful, and retries would add load to a slow store. */
+/** Longer, since late results are useful, and retries would add load to a slow store. */
 const WRITE_TIMEOUT_MS = 4000;
 const LEASE_TIMEOUT_MS = 2500;
 /** The store answers a watch within its poll time-out; the request times out this much later. */
 const WATCH_TIMEOUT_SLACK_MS = 3000;
 const PAGE_SIZE = 500;
 
-/** Names the operation whose answer violates the protocol. */
 type Operation = 'get' | 'list' | 'compare-and-swap' | 'grant-lease' | 'renew-lease' | 'watch';
 
 /** Results without data, allocated once and shared by all requests. */
@@ -54,7 +53,7 @@
 const RENEWED = Object.freeze({ kind: 'renewed' } as const);
 const TOO_OLD = Object.freeze({ kind: 'too-old' } as const);
 
-/** HTTP client of the key-value store. It retries no request: that is up to the caller. */
+/** The client retries no request: that is up to the caller. */
 export class KeyValueStoreClient implements KeyValueStore {
   private readonly rates: StoreRates;
   private readonly connection: StoreConnection;
@@ -82,7 +81,7 @@
     this.rates.scaleWriteRate(scale);
   }
 
-  /** Classifies a result that is not a valid success as `refused` or `unknown`. */
+  /** Classifies the result of a failed exchange as `refused` or `unknown`. */
   private failureOf(operation: Operation, result: ExchangeResult): StoreFailure {
     if (result.kind === 'none') {
       if (result.reason === 'not-json') this.onUnexpectedAnswer(operation);
@@ -104,7 +103,7 @@
     return item ? { kind: 'found', item } : this.failureOf('get', result);
   }
 
-  /** Reads one page of the keys under a prefix; `after` is the last key of the previous page. */
+  /** Reads a page of the keys under a prefix; `after` is the last key of the previous page. */
   async list(
     prefix: string,
     after: string | undefined,
@@ -145,7 +144,7 @@
       timeoutMs,
     });
     if (hasStatus(result, 409)) return CONFLICT;
-    // `no such lease` is the only named reason for 400; otherwise the request itself is invalid.
+    // 400 without `no such lease` is taken as a request or value over a size limit.
     if (hasStatus(result, 400)) return isNoSuchLease(result.body) ? LEASE_EXPIRED : TOO_LARGE;
     const revision = readContent(result, parseCommit);
     if (revision === null) return this.failureOf('compare-and-swap', result);
@@ -191,7 +190,7 @@
       timeoutMs: pollTimeoutMs + WATCH_TIMEOUT_SLACK_MS,
     });
     if (hasStatus(result, 410)) return TOO_OLD;
-    // A watch returns all changes in one answer of any size: the caller lists the keys instead.
+    // A watch returns all changes in one answer. If it is too large, the caller lists the keys.
     if (result.kind === 'none' && result.reason === 'too-large') return TOO_OLD;
     return readContent(result, parseChanges) ?? this.failureOf('watch', result);
   }
@@ -209,6 +208,6 @@
 ): result is Answer & { readonly status: Status } =>
   result.kind === 'answer' && result.status === status;
 
-/** Returns the parsed body of a valid 200 answer, else null. */
+/** Returns the parsed body of a valid answer with status 200, else null. */
 const readContent = <T>(result: ExchangeResult, parse: (body: unknown) => T | null): T | null =>
   hasStatus(result, 200) ? parse(result.body) : null;
--- a/src/adapters/key-value-store/store-codec.ts
+++ b/src/adapters/key-value-store/store-codec.ts
@@ -1,4 +1,4 @@
-/** Encodes requests to the key-value store and parses its answers, by the wire's names. */
+/** Encodes requests to the key-value store and parses its answers. */
 import * as v from 'valibot';
 import type { Revision } from '../../core/model/ids.js';
 import type {
@@ -55,13 +55,13 @@
     ? { key: change.Write, value: change.Data, revision: change.Stamp as Revision }
     : { key: change.Delete, deleted: true, revision: change.Stamp as Revision };
 
-/** Parses an item. Returns null if the answer is malformed. */
+/** Parses an item; null if malformed. */
 export const parseItem = (body: unknown): StoredItem | null => {
   const result = v.safeParse(itemSchema, body);
   return result.success ? decodeItem(result.output) : null;
 };
 
-/** Parses a page. Returns null if the answer is malformed. */
+/** Parses a page; null if malformed. */
 export const parsePage = (body: unknown): StoredPage | null => {
   const result = v.safeParse(pageSchema, body);
   if (!result.success) return null;
@@ -70,13 +70,13 @@
   return { kind: 'page', items, hasMore: More ?? false, revision: Epoch as Revision };
 };
 
-/** Parses the revision of a committed transaction. Returns null if the answer is malformed. */
+/** Parses the revision of a commit; null if malformed. */
 export const parseCommit = (body: unknown): Revision | null => {
   const result = v.safeParse(commitSchema, body);
   return result.success ? (result.output.Epoch as Revision) : null;
 };
 
-/** Parses the id of a granted lease. Returns null if the answer is malformed. */
+/** Parses the id of a granted lease; null if malformed. */
 export const parseLease = (body: unknown): LeaseId | null => {
   const result = v.safeParse(leaseSchema, body);
   return result.success ? (result.output.Hold as LeaseId) : null;
@@ -88,7 +88,7 @@
 /** Changes in order, and the store's revision after the last of them. */
 export type StoredChanges = Extract<WatchResult, { kind: 'changes' }>;
 
-/** Parses the changes of a watch. Returns null if the answer is malformed. */
+/** Parses the changes of a watch; null if malformed. */
 export const parseChanges = (body: unknown): StoredChanges | null => {
   const result = v.safeParse(changesSchema, body);
   if (!result.success) return null;
@@ -103,7 +103,7 @@
   return { Write: put, Data: value, ...(lease === undefined ? {} : { Hold: lease }) };
 };
 
-/** Encodes the body of a transaction: preconditions, and mutations that apply if all hold. */
+/** Encodes a transaction: preconditions, and mutations that apply if all hold. */
 export const encodeTransaction = (
   preconditions: readonly Precondition[],
   mutations: readonly Mutation[],
@@ -112,17 +112,17 @@
   Apply: mutations.map(encodeMutation),
 });
 
-/** Encodes the body of a lease grant. The lease expires `ttlMs` after its grant or last renewal. */
+/** Encodes a lease request. The lease expires `ttlMs` after its grant or last renewal. */
 export const encodeLeaseRequest = (ttlMs: number) => ({ LifeMs: ttlMs });
 
-/** Encodes a query string. Slashes are not escaped, since keys are paths. */
+/** Slashes are not escaped, since keys are paths. */
 const encodeQuery = (parameters: Record<string, string | number | undefined>): string =>
   Object.entries(parameters)
     .filter(([, value]) => value !== undefined)
     .map(([name, value]) => `${name}=${encodeURIComponent(String(value)).replace(/%2F/g, '/')}`)
     .join('&');
 
-/** Path of the page of a prefix's keys after the key `after`, or of the first page without it. */
+/** Path of the page after the key `after`, or of the first page without it. */
 export const pagePath = (prefix: string, after: string | undefined, limit: number): string =>
   `/kv?${encodeQuery({ Under: prefix, Since: after, Limit: limit })}`;
 
--- a/src/adapters/key-value-store/store-connection.ts
+++ b/src/adapters/key-value-store/store-connection.ts
@@ -8,7 +8,7 @@
 } from '../outbound/http-client.js';
 import type { StoreRates } from './store-rates.js';
 
-/** Longest time that a request may wait for the rate limiter. */
+/** Longest wait of a request for the rate limiter. */
 export const MAX_QUEUE_MS = 1500;
 
 const MAX_SOCKETS = 24;
@@ -29,10 +29,10 @@
 export class StoreConnection {
   private readonly http: HttpClient;
   private readonly watches: HttpClient;
-  /** Separate, so that lease requests never wait for a socket behind other requests. */
+  /** Separate, so as not to wait for a socket behind other requests. */
   private readonly leases: HttpClient;
   private unresponsive = false;
-  private probe: NodeJS.Timeout | null = null;
+  private probeTimer: NodeJS.Timeout | null = null;
   private closed = false;
 
   constructor(
@@ -49,7 +49,7 @@
     return this.unresponsive;
   }
 
-  /** Sends a request once the rate limiter permits, within `MAX_QUEUE_MS`. */
+  /** Sends a request once the rate limiter permits it, within `MAX_QUEUE_MS`. */
   async send(request: HttpRequest): Promise<ExchangeResult> {
     if (!(await this.rates.requests.acquire(1, MAX_QUEUE_MS))) return RATE_LIMITED;
     return this.record(await this.http.send(request));
@@ -70,7 +70,7 @@
   private record(result: ExchangeResult): ExchangeResult {
     if (result.kind === 'none' || result.status === 503) {
       this.unresponsive = true;
-      if (!this.closed) this.probe ??= setTimeout(() => this.sendProbe(), PROBE_DELAY_MS);
+      if (!this.closed) this.probeTimer ??= setTimeout(() => this.sendProbe(), PROBE_DELAY_MS);
     } else if (result.status !== 429) this.unresponsive = false;
     if (result.kind === 'answer') this.rates.recordAnswer(result.status === 429);
     return result;
@@ -78,7 +78,7 @@
 
   /** Detects recovery: while the store is down, callers may send no other requests. */
   private sendProbe(): void {
-    this.probe = null;
+    this.probeTimer = null;
     if (!this.unresponsive || this.closed) return;
     this.rates.requests.acquireImmediately(1);
     void this.http.send(PROBE).then((result) => this.record(result));
@@ -86,7 +86,7 @@
 
   close(): void {
     this.closed = true;
-    if (this.probe) clearTimeout(this.probe);
+    if (this.probeTimer) clearTimeout(this.probeTimer);
     this.http.close();
     this.leases.close();
     this.watches.close();
--- a/src/adapters/key-value-store/store-rates.ts
+++ b/src/adapters/key-value-store/store-rates.ts
@@ -8,7 +8,7 @@
   readonly writeRps: number;
 }
 
-/** A node's share before and after the store lowers its limits; only 429 answers reveal that. */
+/** A node's share before and after the store lowers its limits, which only 429 answers show. */
 export interface RateShares extends Rates {
   readonly lowered: Rates;
 }
@@ -42,7 +42,7 @@
     this.applyRates();
   }
 
-  /** Multiplies the share of the write rate by `scale` from now on. */
+  /** Multiplies the write rate by `scale` from now on. */
   scaleWriteRate(scale: number): void {
     this.writeScale = scale;
     this.applyRates();
--- a/src/adapters/logging/log.ts
+++ b/src/adapters/logging/log.ts
@@ -2,7 +2,7 @@
 
 import pino from 'pino';
 
-/** A logger of events with a name and structured fields. */
+/** A logger of messages with structured fields. */
 export type Log = pino.Logger;
 
 const STANDARD_ERROR = 2;
@@ -15,10 +15,10 @@
   return pino({ level, base: { node } }, pino.destination({ fd: STANDARD_ERROR, sync: true }));
 };
 
-/** Bound on stored keys. Further keys are suppressed, to bound memory use and log volume. */
+/** Further keys are not logged, which bounds memory use and log volume. */
 const MAX_KEYS = 1000;
 
-/** Lets each key be logged once, since malformed data mostly recurs with every heartbeat. */
+/** Lets each key be logged once, since malformed data mostly recurs in every heartbeat. */
 export class LogDeduplicator {
   private readonly seenKeys = new Set<string>();
 
--- a/src/adapters/outbound/http-client.ts
+++ b/src/adapters/outbound/http-client.ts
@@ -2,7 +2,7 @@
 import { Agent, type ClientRequest, type IncomingMessage, request as openRequest } from 'node:http';
 import type { Endpoint } from '../configuration/settings.js';
 
-/** A JSON request; an `undefined` body sends none. `timeoutMs` covers connecting to last byte. */
+/** A JSON request, without a body if `body` is undefined; `timeoutMs` covers the whole exchange. */
 export interface HttpRequest {
   readonly method: string;
   readonly path: string;
@@ -35,7 +35,7 @@
   readonly message: string;
 }
 
-/** The result of an exchange. `body` is parsed JSON, or null if the answer has no body. */
+/** The answer to a request, or why there is none. `body` is parsed JSON, or null without a body. */
 export type ExchangeResult =
   | { readonly kind: 'answer'; readonly status: number; readonly body: unknown }
   | NoAnswer;
@@ -70,7 +70,7 @@
   }
 };
 
-/** A request in flight. The first terminal event determines the result; later ones are ignored. */
+/** A request in flight. The first final event determines its result. */
 class PendingExchange {
   private settled = false;
   private connected = false;
--- a/src/adapters/outbound/rate-limiter.ts
+++ b/src/adapters/outbound/rate-limiter.ts
@@ -1,7 +1,7 @@
 /** A token bucket with a bounded queue: overload leads to refusals, not to memory growth. */
 import { steadyNow } from '../runtime/clock.js';
 
-/** Grants tokens at a constant rate. At most `maxWaiting` callers wait at a time. */
+/** Grants tokens at a set rate; at most `maxWaiting` callers wait at a time. */
 export class RateLimiter {
   private tokens: number;
   private refilledAt: number;
--- a/src/adapters/peers/frames.ts
+++ b/src/adapters/peers/frames.ts
@@ -15,7 +15,7 @@
   }
 }
 
-/** Encodes a message as a frame. The receiver rejects frames larger than `MAX_FRAME_BYTES`. */
+/** Encodes a message as a frame, without a check of its size. */
 export const encodeFrame = (message: unknown): Buffer => {
   const body = packr.pack(message);
   const frame = Buffer.allocUnsafe(HEADER_BYTES + body.length);
@@ -30,7 +30,7 @@
 
   /**
    * Returns the messages completed by `bytes`. Throws `FrameTooLargeError`, or msgpack's error for
-   * an invalid body; the rest of the stream cannot be decoded then.
+   * an invalid body; the rest of the stream is then lost.
    */
   decode(bytes: Buffer): unknown[] {
     this.buffered = this.buffered.length === 0 ? bytes : Buffer.concat([this.buffered, bytes]);
--- a/src/adapters/peers/peer-client.ts
+++ b/src/adapters/peers/peer-client.ts
@@ -8,9 +8,9 @@
 import { encodeRequest, parseAnswer } from './request-codec.js';
 
 const IDLE_TIMEOUT_MS = 30_000;
-/** After a connection is lost, requests go unanswered for this long before a reconnect. */
+/** After a connection is lost, requests go unanswered for this long. */
 const RECONNECT_DELAY_MS = 300;
-/** Bound on pending requests, which limits the memory used at both ends. */
+/** Bounds the memory used at both ends. */
 const MAX_PENDING_REQUESTS = 512;
 
 /** Concurrent requests share the connection; those pending when it is lost go unanswered. */
--- a/src/adapters/peers/peer-server.ts
+++ b/src/adapters/peers/peer-server.ts
@@ -49,7 +49,7 @@
   });
 };
 
-/** Listens for peers. A message that cannot be answered is dropped; the others are not affected. */
+/** Listens for peers. A message that cannot be answered is dropped without effect on others. */
 export const servePeers = (
   endpoint: Endpoint,
   handleRequest: HandlePeerRequest,
--- a/src/adapters/peers/request-codec.ts
+++ b/src/adapters/peers/request-codec.ts
@@ -1,4 +1,4 @@
-/** Wire format of requests and answers between controllers; both carry the same number `n`. */
+/** Wire format of requests between controllers and their answers, which repeat the number `n`. */
 import * as v from 'valibot';
 import type { PeerRequest } from '../../ports/peer.js';
 
@@ -32,7 +32,7 @@
 /** A received answer; `n` is the sequence number of the request that it answers. */
 export type NumberedAnswer = v.InferOutput<typeof answerSchema>;
 
-/** Parses a request. Returns null if the message is malformed or of an unknown kind. */
+/** Parses a request; null if it is malformed or of an unknown kind. */
 export const parseRequest = (message: unknown): NumberedRequest | null => {
   const result = v.safeParse(requestSchema, message);
   if (!result.success) return null;
@@ -40,7 +40,7 @@
   return { n, request: request as PeerRequest };
 };
 
-/** Parses an answer. Returns null if the message is malformed. */
+/** Parses an answer; null if malformed. */
 export const parseAnswer = (message: unknown): NumberedAnswer | null => {
   const result = v.safeParse(answerSchema, message);
   return result.success ? result.output : null;
--- a/src/adapters/runtime/clock.ts
+++ b/src/adapters/runtime/clock.ts
@@ -3,8 +3,8 @@
 import type { Instant } from '../../core/model/time.js';
 
 /**
- * Reads the steady clock, in milliseconds; it times every lease and timeout. `performance.now()` is
- * not used, since it loads all of Node's performance hooks, which delays the start-up.
+ * Reads the steady clock, in ms. `performance.now()` is not used, since it loads all of Node's
+ * performance hooks, which delays the start-up.
  */
 export const steadyNow = (): Instant => {
   const [seconds, nanoseconds] = process.hrtime();
--- a/src/adapters/runtime/random.ts
+++ b/src/adapters/runtime/random.ts
@@ -11,7 +11,7 @@
     this.generator = xoroshiro128plus(seed);
   }
 
-  /** Returns a random duration between half of `ms` and one and a half times `ms`. */
+  /** Returns a random duration from half to one and a half times `ms`. */
   apply(ms: number): number {
     return ms * (0.5 + uniformFloat64(this.generator));
   }
--- a/src/adapters/wire/cloud.ts
+++ b/src/adapters/wire/cloud.ts
@@ -37,7 +37,7 @@
   count: 'HowMany',
 } as const satisfies Record<keyof ProvisionRequest, string>;
 
-/** The wire's name of each list, and of the flag that a page is not the last one. */
+/** The wire's name of each list, and of the flag that more pages follow. */
 const LIST_FIELDS = { machineTypes: 'Hulls', machines: 'Berths', hasMore: 'More' } as const;
 
 const DEFAULT_BOOT_S = 60;
@@ -58,7 +58,7 @@
   ),
 });
 
-/** Parses the machine types. Returns null if the answer is malformed. */
+/** Parses the machine types; null if malformed. */
 export const parseMachineTypes = (body: unknown): MachineType[] | null => {
   const result = v.safeParse(machineTypesSchema, body);
   if (!result.success) return null;
@@ -77,7 +77,7 @@
 
 const machineIdsSchema = v.object({ [LIST_FIELDS.machines]: v.array(keyLabel) });
 
-/** Parses the ids of provisioned machines. Returns null if the answer is malformed. */
+/** Parses the ids of provisioned machines; null if malformed. */
 export const parseMachineIds = (body: unknown): MachineId[] | null => {
   const result = v.safeParse(machineIdsSchema, body);
   return result.success ? (result.output[LIST_FIELDS.machines] as MachineId[]) : null;
@@ -102,13 +102,13 @@
 const decodeStatus = (status: string): ListedMachine['status'] =>
   status === 'failed' || status === 'running' ? status : 'booting';
 
-/** One page of the cloud's machine list; `hasMore` is false on the last one. */
+/** A page of the cloud's machine list. */
 export interface MachinePage {
   readonly machines: ListedMachine[];
   readonly hasMore: boolean;
 }
 
-/** Parses a page of the list. Returns null if the answer is malformed. */
+/** Parses a page of the list; null if malformed. */
 export const parseMachinePage = (body: unknown): MachinePage | null => {
   const result = v.safeParse(machinesSchema, body);
   if (!result.success) return null;
@@ -126,7 +126,7 @@
   return { machines, hasMore: result.output[LIST_FIELDS.hasMore] ?? false };
 };
 
-/** Encodes the body of a request that provisions machines. */
+/** Encodes a provision request. */
 export const encodeProvisionRequest = ({ request, type, zone, spot, count }: ProvisionRequest) => ({
   [PROVISION_FIELDS.request]: request,
   [PROVISION_FIELDS.type]: type,
@@ -135,7 +135,7 @@
   [PROVISION_FIELDS.count]: count,
 });
 
-/** Encodes the body of a request that deletes machines permanently. */
+/** Encodes a request that deletes machines. */
 export const encodeDeletion = (machines: readonly MachineId[]) => ({
   [LIST_FIELDS.machines]: machines,
 });
--- a/src/adapters/wire/jobs.ts
+++ b/src/adapters/wire/jobs.ts
@@ -74,11 +74,11 @@
   [JOB_FIELDS.deadlineS]: v.nullish(amount, null),
 });
 
-/** Validates a job id. Returns null if it is malformed. */
+/** Validates a job id; null if malformed. */
 export const parseJobId = (text: unknown): JobId | null =>
   typeof text === 'string' && JOB_ID.test(text) ? (text as JobId) : null;
 
-/** Parses a job. For an invalid body, returns an error text that names the first invalid field. */
+/** Parses a job, or returns an error text that names the first invalid field. */
 export const parseJob = (body: unknown): JobSpec | { readonly error: string } => {
   const result = v.safeParse(jobSchema, body);
   if (!result.success) {
@@ -118,7 +118,7 @@
   cancelled: 'withdrawn',
 } as const satisfies Record<JobView['status'], string>;
 
-/** Encodes a job for users. `Shape`, `Pieces` and `waiting` are omitted if absent from the view. */
+/** Encodes a job for users, without the fields that are absent from the view. */
 export const encodeJobView = (view: JobView) => ({
   Ref: view.id,
   Status: WIRE_STATUS[view.status],
--- a/src/adapters/wire/workers.ts
+++ b/src/adapters/wire/workers.ts
@@ -61,7 +61,7 @@
   ['unknown', 'unknown'],
 ]);
 
-/** Validates a heartbeat, except for its tasks. Returns null if it is malformed. */
+/** Validates a heartbeat, except for its tasks; null if malformed. */
 export const parseWireHeartbeat = (body: unknown): WireHeartbeat | null => {
   const result = v.safeParse(heartbeatSchema, body);
   return result.success ? result.output : null;
@@ -81,7 +81,7 @@
   tasks,
 });
 
-/** Decodes a task of a heartbeat. Returns null if it is malformed. */
+/** Decodes a task of a heartbeat; null if malformed. */
 export const decodeTask = (raw: unknown): TaskStatus | null => {
   const result = v.safeParse(taskSchema, raw);
   if (!result.success) return null;
@@ -100,8 +100,8 @@
 };
 
 /**
- * Whether two wire tasks decode alike. Comparing with `===` suffices, since `decodeTask` reads only
- * primitive values.
+ * Whether two wire tasks decode alike. `===` suffices, since `decodeTask` reads only primitive
+ * values.
  */
 export const isSameTask = (raw: unknown, previous: Record<string, unknown>): boolean => {
   if (typeof raw !== 'object' || raw === null) return false;
@@ -124,7 +124,7 @@
     ...(command.op === 'kill' ? { WindDownS: command.graceS } : {}),
   }));
 
-/** Encodes the body of a request that sends commands to a worker outside its heartbeats. */
+/** Encodes commands that are sent to a worker outside its heartbeats. */
 export const encodeDirectCommands = (
   fencingToken: FencingToken,
   agentEpoch: number,
--- a/src/adapters/workers/heartbeat-parser.ts
+++ b/src/adapters/workers/heartbeat-parser.ts
@@ -9,13 +9,13 @@
 }
 
 /**
- * The last heartbeat of every machine is cached, whatever the size of the fleet. A machine is
- * evicted once the others have sent this many heartbeats each without it, but not before all
- * machines together have sent `MIN_HEARTBEATS_PER_ROUND`.
+ * The last tasks of every machine are cached, whatever the size of the fleet, and evicted if it
+ * sends no heartbeat for a whole round. A round ends after this many heartbeats per machine that
+ * reported in it, but not before `MIN_HEARTBEATS_PER_ROUND` in all.
  */
 const HEARTBEATS_PER_MACHINE_PER_ROUND = 8;
 const MIN_HEARTBEATS_PER_ROUND = 1024;
-/** With this many new tasks in a heartbeat, searching the last one costs more than it saves. */
+/** After this many new tasks, searching the last heartbeat costs more than it saves. */
 const MAX_NEW_TASKS = 64;
 
 /** Parses heartbeats and caches the tasks of each machine's last one. */
@@ -28,7 +28,7 @@
   /** Number of tasks decoded so far; all others were found in the cache. */
   decodedTaskCount = 0;
 
-  /** Parses a heartbeat. Returns null if it is malformed. */
+  /** Parses a heartbeat; null if malformed. */
   parse(body: unknown): Heartbeat | null {
     const wire = parseWireHeartbeat(body);
     if (!wire) return null;
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Decodes the tasks of a heartbeat. Returns null if one is malformed. Workers list their tasks in
-   * a stable order, new ones last, so one pass over the last heartbeat finds all unchanged tasks.
+   * Decodes the tasks of a heartbeat; null if one is malformed. Workers list their tasks in a
+   * stable order, new ones last, so one pass over the last heartbeat finds all unchanged tasks.
    */
   private decodeTasks(
     entries: readonly unknown[],
@@ -88,7 +88,7 @@
     this.heartbeatsInRound = 0;
   }
 
-  /** Number of machines whose last heartbeat is cached. */
+  /** Number of machines whose last tasks are cached. */
   get cachedMachineCount(): number {
     let count = this.current.size;
     for (const machine of this.previous.keys()) if (!this.current.has(machine)) count += 1;
@@ -96,6 +96,6 @@
   }
 }
 
-/** Parses a heartbeat sent in answer to direct commands. Returns null if it is malformed. */
+/** Parses a heartbeat sent in answer to direct commands; null if malformed. */
 export const parseHeartbeat = (body: unknown): Heartbeat | null =>
   new HeartbeatParser().parse(body);
--- a/src/adapters/workers/worker-client.ts
+++ b/src/adapters/workers/worker-client.ts
@@ -15,8 +15,8 @@
 export class WorkerClient {
   /**
    * Shared by all machines: cancelling a large job sends commands to many at once, and those over
-   * the limit wait for a socket instead of taking sockets that heartbeats need. Connections are not
-   * kept alive, since few machines are sent commands twice.
+   * the limit wait instead of taking sockets that heartbeats need. Connections are not kept alive,
+   * since few machines are sent commands twice.
    */
   private readonly agent: Agent;
 
@@ -24,7 +24,7 @@
     this.agent = new Agent({ keepAlive: false, maxTotalSockets: maxSockets });
   }
 
-  /** Sends commands. Returns the heartbeat that answers them, or null if there is no valid one. */
+  /** Sends commands. Returns the heartbeat that answers them; null if none is valid. */
   async sendCommands(
     endpoint: string,
     fencingToken: FencingToken,
--- a/src/cli/ask.ts
+++ b/src/cli/ask.ts
@@ -6,7 +6,7 @@
 
 const ANSWER_TIMEOUT_MS = 5000;
 
-/** Prints any answer as JSON. Sets a failure exit code unless its status is 200. */
+/** Prints an answer as JSON. Sets a failure exit code unless its status is 200. */
 const printAnswer = async (endpoint: string, path: string): Promise<void> => {
   const client = new HttpClient(parseEndpoint(endpoint), 1);
   const result = await client.send({ method: 'GET', path, timeoutMs: ANSWER_TIMEOUT_MS });
@@ -20,6 +20,6 @@
 export const explainJob = (job: string, endpoint: string): Promise<void> =>
   printAnswer(endpoint, `/api/jobs/${encodeURIComponent(job)}/explain`);
 
-/** Prints a team's unfinished jobs. Throws a `NoAnswerError` as `explainJob` does. */
+/** Prints a team's unfinished jobs. Throws as `explainJob` does. */
 export const listJobs = (team: string, endpoint: string): Promise<void> =>
   printAnswer(endpoint, `/api/jobs?team=${encodeURIComponent(team)}`);
--- a/src/cli/command-failures.ts
+++ b/src/cli/command-failures.ts
@@ -2,7 +2,7 @@
 
 import { SettingsError } from '../adapters/configuration/configuration-file.js';
 
-/** Exit codes of the daemon's own commands when they fail. */
+/** Exit codes of failed commands, except those of optional packages. */
 export const EXIT_CODES = {
   /** A controller did not answer or refused a request, or this controller cannot continue. */
   failed: 1,
@@ -24,10 +24,7 @@
   process.stderr.write(`robinspread: ${text}\n`);
 };
 
-/**
- * Handles a command's failure: prints one line and sets the exit code for errors that operators can
- * act on, rethrows any other.
- */
+/** Prints one line and sets the exit code for errors that operators can act on; rethrows others. */
 export const handleCommandError = (error: unknown): void => {
   if (error instanceof SettingsError) {
     writeError(error.message);
--- a/src/cli/extensions.ts
+++ b/src/cli/extensions.ts
@@ -1,6 +1,6 @@
 /**
- * Loads optional packages. Each is a separate bundle in the program's directory, loaded only when a
- * file enables it or one of its commands is called. The program also runs without any of them.
+ * Loads optional packages: separate bundles in the program's directory, each loaded only when a
+ * file enables it or one of its commands is called. The program also runs without them.
  */
 
 import {
@@ -14,12 +14,12 @@
 
 type PackageLoader = () => Promise<{ readonly extensionPackage: ExtensionPackage }>;
 
-/** Keyed by package name: the first atom of the package's file, and its command on the CLI. */
+/** By package name, which is also the first atom of the package's file and its command. */
 const PACKAGE_LOADERS: ReadonlyMap<string, PackageLoader> = new Map([
   ['drain', () => import('@robinspread/drain')],
 ]);
 
-/** Loads a package by name. Returns null if there is none of that name. */
+/** Loads a package by name; null if there is none. */
 export const loadPackage = async (name: string | undefined): Promise<ExtensionPackage | null> => {
   const load = name === undefined ? undefined : PACKAGE_LOADERS.get(name);
   return load ? (await load()).extensionPackage : null;
--- a/src/cli/load.ts
+++ b/src/cli/load.ts
@@ -6,11 +6,11 @@
 import type { Policy } from '../core/model/policy.js';
 import { loadExtension } from './extensions.js';
 
-/** Paths of a controller's configuration files; the fields are the command-line options. */
+/** Paths of a controller's configuration files, named as the options. */
 export interface ConfigurationPaths {
   /** The platform's settings. */
   readonly config: string;
-  /** The operators' policy; the default policy applies if absent. */
+  /** The operators' policy; the default one applies if absent. */
   readonly policy?: string;
   /** Files that enable optional packages. */
   readonly enable?: readonly string[];
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -68,7 +68,7 @@
 
 /**
  * Called by the build to fill V8's code cache: loads the modules of `serve` and runs the start-up
- * code with these settings.
+ * code with the given settings.
  */
 export const warm = async (settingsText: string): Promise<void> => {
   createProgram().helpInformation();
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -8,7 +8,7 @@
 import { EXIT_CODES } from './command-failures.js';
 import { type ConfigurationPaths, loadConfiguration } from './load.js';
 
-/** Exits the process. The controller is restarted; meanwhile the others continue. */
+/** Exits the process, to be restarted; meanwhile the other controllers continue. */
 const logAndExit = (log: Log, event: string, error: unknown): void => {
   log.error({ err: error }, event);
   process.exit(EXIT_CODES.failed);
@@ -17,7 +17,7 @@
 /** Returns a seed that differs between controllers started together and between restarts. */
 const jitterSeed = (): number => (Date.now() ^ (process.pid << 8)) | 0;
 
-/** Runs a controller until the process exits. Throws a `SettingsError` for an invalid file. */
+/** Starts a controller. Throws a `SettingsError` for an invalid file. */
 export const serve = async (files: ConfigurationPaths): Promise<void> => {
   const { settings, policy, extensions } = await loadConfiguration(files);
   const log = createLog(settings.node);
--- a/src/cli/start-rehearsal.ts
+++ b/src/cli/start-rehearsal.ts
@@ -10,7 +10,7 @@
 import { Jitter } from '../adapters/runtime/random.js';
 import { Controller } from '../service/controller.js';
 
-/** Creates a controller and its HTTP API for the settings, and stops it without starting it. */
+/** Creates a controller and its HTTP API, and stops it without starting it. */
 export const rehearseStart = (settingsText: string): void => {
   const settings = parseSettings(settingsText);
   const log = createLog(settings.node);
