--- a/packages/drain/src/core/drain-registry.ts
+++ b/packages/drain/src/core/drain-registry.ts
@@ -1,7 +1,7 @@
 /**
- * The drains of one leader's term. Each change requests the write of its record; callers set
- * `step`, `failed` and `deadlineAt` just before `setPhase`, which stores them. A pause because of
- * an unusable record is not stored.
+ * The drains of one leader's term. Each change requests or returns the write of its record; callers
+ * set `step`, `failed` and `deadlineAt` just before `setPhase`, which stores them. A pause because
+ * of an unusable record is not stored.
  */
 import type {
   MachineId,
--- a/src/adapters/http/heartbeat-handler.ts
+++ b/src/adapters/http/heartbeat-handler.ts
@@ -18,7 +18,7 @@
 const describeMalformed = (body: JsonBody): { machineId: string; reason: string } => {
   if (body.kind === 'malformed') return { machineId: '', reason: body.reason };
   const { Berth: id } = (body.json ?? {}) as { Berth?: unknown };
-  return { machineId: String(id).slice(0, MAX_LOGGED_ID_LENGTH), reason: 'fields' };
+  return { machineId: String(id).slice(0, MAX_LOGGED_ID_LENGTH), reason: 'invalid fields' };
 };
 
 /** Creates a handler. It answers malformed heartbeats with 400 and logs them once per machine. */
--- a/src/adapters/key-value-store/store-connection.ts
+++ b/src/adapters/key-value-store/store-connection.ts
@@ -22,7 +22,7 @@
   kind: 'none',
   sent: false,
   reason: 'rate-limited',
-  message: 'too many requests waiting',
+  message: 'request not sent: client-side rate limit reached',
 };
 
 /** Connections to the store, with separate sockets for leases and for watches. */
