--- a/packages/drain/measure/drain-load.ts
+++ b/packages/drain/measure/drain-load.ts
@@ -43,7 +43,7 @@
 const LONG_TASK_MS = 1_200_000;
 const SHORT_JOBS_PER_S = 4;
 const WARM_UP_MS = 5000;
-/** Time for the last stops and starts to reach the history. */
+/** Time for the last stops and starts to be recorded. */
 const SETTLE_MS = 3000;
 const HEARTBEAT_MS = 1000;
 
