--- a/src/adapters/http/heartbeat-handler.ts
+++ b/src/adapters/http/heartbeat-handler.ts
@@ -21,7 +21,7 @@
   return { machineId: String(id).slice(0, MAX_LOGGED_ID_LENGTH), reason: 'invalid fields' };
 };
 
-/** Creates a handler. It answers malformed heartbeats with 400 and logs them once per machine. */
+/** Answers malformed heartbeats with 400, and logs them once per machine and reason. */
 export const makeHeartbeatHandler = (service: HeartbeatService, log: Log): HeartbeatHandler => {
   const parser = new HeartbeatParser();
   const logDeduplicator = new LogDeduplicator();
--- a/src/adapters/key-value-store/key-value-store-client.ts
+++ b/src/adapters/key-value-store/key-value-store-client.ts
@@ -1,4 +1,4 @@
-/** HTTP client of the key-value store, limited to this node's share of its rates. */
+/** HTTP client of the key-value store, limited to this node's share of the store's rates. */
 import type { Revision } from '../../core/model/ids.js';
 import type {
   CompareAndSwapResult,
