--- a/packages/drain/src/core/budget-ledger.ts
+++ b/packages/drain/src/core/budget-ledger.ts
@@ -48,7 +48,7 @@
   readonly disruptions = new Map<AttemptId, Disruption>();
   /** When attempts whose grant expired may get a new one, on the steady clock. */
   private readonly retryBlockedUntil = new Map<AttemptId, number>();
-  /** Blockers by team and job class, cached for one decision. */
+  /** Blockers by team and job class, cached for one decision, whatever the number of tasks. */
   private readonly blockedClasses = new Map<string, Blocker>();
 
   constructor(private readonly settings: DrainSettings) {}
--- a/packages/drain/src/core/machine-drainer.ts
+++ b/packages/drain/src/core/machine-drainer.ts
@@ -14,7 +14,7 @@
 import type { Replacements } from './replacements.js';
 import type { DrainSettings } from './settings.js';
 
-/** Added to the time that a task needs to write its checkpoint. */
+/** Added to the time that a task needs to write its checkpoint before it is ended. */
 const STOP_GRACE_MARGIN_S = 5;
 
 const isBlocker = (result: Disruption | Blocker): result is Blocker => 'kind' in result;
--- a/src/adapters/key-value-store/store-connection.ts
+++ b/src/adapters/key-value-store/store-connection.ts
@@ -61,7 +61,7 @@
     return this.record(await this.leases.send(request));
   }
 
-  /** Sends a long poll. Its result does not count for `isDown`. */
+  /** Sends a long poll. The store delays its answer, which therefore does not count for `isDown`. */
   sendWatch(request: HttpRequest): Promise<ExchangeResult> {
     this.rates.requests.acquireImmediately(1);
     return this.watches.send(request);
